--- a/bench/heartbeats.py
+++ b/bench/heartbeats.py
@@ -10,7 +10,7 @@
 
 from plumarch.config import routing_table
 from plumarch.core import clock, traffic
-from plumarch.gateway.news import gossiper, heartbeats
+from plumarch.gateway.gossip import gossiper, heartbeats
 from plumarch.membership import fleet_view
 from plumarch.peers import gossip
 from plumarch.routing import endpoint_choice
--- a/plumarch/daemon/gateway.py
+++ b/plumarch/daemon/gateway.py
@@ -15,7 +15,7 @@
 from plumarch.gateway import decision_log, dialect, fleet_state, measures, ports, relay, wakes
 from plumarch.gateway.callers import caller_connection
 from plumarch.gateway.duties import duty_holder
-from plumarch.gateway.news import gossiper, heartbeats
+from plumarch.gateway.gossip import gossiper, heartbeats
 from plumarch.gateway.store import follower, quarantine_record, registration
 from plumarch.limits import (
     attempt_budget,
--- a/plumarch/daemon/status_pages.py
+++ b/plumarch/daemon/status_pages.py
@@ -4,7 +4,7 @@
 
 from plumarch.gateway import fleet_state
 from plumarch.gateway.callers import caller_requests
-from plumarch.gateway.news import builds
+from plumarch.gateway.gossip import builds
 from plumarch.membership import fleet_view
 
 METRICS_PATH = b"/metrics"
--- a/plumarch/fleet/engine_plan_test.py
+++ b/plumarch/fleet/engine_plan_test.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from plumarch.core import clock, records, traffic
-from plumarch.fleet import engine_places, engine_plan
+from plumarch.fleet import engine_plan, engine_pools
 
 PRICES = {"a": 0.85, "b": 1.2, "c": 1.0}
 SCALING = traffic.Scaling(1, 3, 4_000.0, 0.22, PRICES)
@@ -227,7 +227,7 @@
         prices = {f"dc{number}": 1.0 for number in range(places)}
         scaling = traffic.Scaling(1, 40, 4_000.0, 0.22, prices)
         plan = engine_plan.EnginePlan(clock.ManualClock(), "s", first_count=30)
-        counts = sorted(engine_places.spread(plan.spot_wanted(scaling), scaling).values())
+        counts = sorted(engine_pools.spread(plan.spot_wanted(scaling), scaling).values())
         assert sum(counts) >= 30
         assert sum(counts[: places - 2]) >= 15
 
@@ -237,7 +237,7 @@
         prices = {f"dc{number}": 1.0 for number in range(places)}
         scaling = traffic.Scaling(1, 40, 4_000.0, 0.22, prices)
         plan = engine_plan.EnginePlan(clock.ManualClock(), "s", first_count=30)
-        counts = sorted(engine_places.spread(plan.spot_wanted(scaling), scaling).values())
+        counts = sorted(engine_pools.spread(plan.spot_wanted(scaling), scaling).values())
         assert sum(counts[: places - 1]) >= 30
 
 
@@ -256,12 +256,12 @@
     plan = settled(time)
     for _ in range(60):
         plan.sample_demand(2.0)
-    ready = {engine_places.Place("b", True): 3, engine_places.Place("c", True): 3}
+    ready = {engine_pools.Place("b", True): 3, engine_pools.Place("c", True): 3}
     plan.ordered(records.EngineOrder("s", "a", 2, True), refused=True)
     wanted = plan.wanted(SCALING, ready)
-    assert wanted[engine_places.Place("b", True)] == 3
+    assert wanted[engine_pools.Place("b", True)] == 3
     time.advance_to(time.now() + 2 * engine_plan.REPEAT_MS)
-    assert plan.wanted(SCALING, ready)[engine_places.Place("b", True)] == 2
+    assert plan.wanted(SCALING, ready)[engine_pools.Place("b", True)] == 2
 
 
 def test_the_limits_hold():
@@ -269,7 +269,7 @@
     for _ in range(300):
         plan.sample_demand(1e9)
     assert plan.needed(SCALING) == 9
-    assert engine_places.spread(50, SCALING) == {"a": 3, "b": 3, "c": 3}
+    assert engine_pools.spread(50, SCALING) == {"a": 3, "b": 3, "c": 3}
 
 
 MANY = traffic.Scaling(1, 20, 4_000.0, 0.22, PRICES)
@@ -400,7 +400,7 @@
     time = clock.ManualClock()
     plan = later_start(time, MANY_RUN)
     plan.ordered(records.EngineOrder("s", "c", 17, True), refused=True)
-    place = engine_places.Place("c", True)
+    place = engine_pools.Place("c", True)
     assert not plan._is_due(place, 19, 0, MANY)
     assert plan._is_due(place, 15, 17, MANY)
     time.advance_to(time.now() + engine_plan.REPEAT_MS)
--- a/plumarch/fleet/engine_regions_test.py
+++ b/plumarch/fleet/engine_regions_test.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from plumarch.core import clock, records, traffic
-from plumarch.fleet import engine_firm, engine_places, engine_plan, engine_regions, region_demand
+from plumarch.fleet import engine_firm, engine_plan, engine_pools, engine_regions, region_demand
 
 REGION_OF = {"n1": "n", "n2": "n", "s1": "s", "s2": "s", "w1": "w", "w2": "w"}
 PRICES = {"n1": 1.0, "n2": 0.9, "s1": 1.1, "s2": 1.0, "w1": 0.85, "w2": 1.1}
@@ -129,7 +129,7 @@
 
 def test_with_one_region_the_plan_is_the_one_that_spreads_evenly():
     one_region = region_demand.RegionView(dict.fromkeys(PRICES, "n"), {"n": 1.0}, way=0.0)
-    ready = {engine_places.Place(name, True): 3 for name in PRICES}
+    ready = {engine_pools.Place(name, True): 3 for name in PRICES}
     for demand in (1.0, 7.0, 30.0):
         plans = [
             plan_of(clock.ManualClock(), demand, regions)
--- a/plumarch/gateway/callers/slow_callers_test.py
+++ b/plumarch/gateway/callers/slow_callers_test.py
@@ -10,7 +10,7 @@
 
 from plumarch.gateway import relay_test
 from plumarch.gateway.connections import exchange, keepalive, outgoing
-from plumarch.gateway.sends import attempts, whole_answers
+from plumarch.gateway.dispatch import attempts, whole_answers
 from plumarch.limits import memory_account
 from plumarch.standins import scripted_endpoint as scripted
 
--- a/plumarch/gateway/sends/announced_rate_test.py
+++ b/plumarch/gateway/dispatch/announced_rate_test.py
@@ -24,7 +24,7 @@
 from plumarch.config import routing_table
 from plumarch.core import rollouts, traffic
 from plumarch.gateway import relay, relay_test
-from plumarch.gateway.sends import announced_rates, attempts
+from plumarch.gateway.dispatch import announced_rates, attempts
 from plumarch.standins import gossip_fleet
 from plumarch.standins import scripted_endpoint as scripted
 
--- a/plumarch/gateway/sends/announced_rates.py
+++ b/plumarch/gateway/dispatch/announced_rates.py
@@ -6,7 +6,7 @@
 
 from plumarch.core import request_rate, traffic
 from plumarch.gateway import fleet_state
-from plumarch.gateway.sends import endpoint_signals
+from plumarch.gateway.dispatch import endpoint_signals
 from plumarch.limits import rate_allocator
 
 ANSWER_MS = 150.0
--- a/plumarch/gateway/sends/attempts.py
+++ b/plumarch/gateway/dispatch/attempts.py
@@ -9,7 +9,7 @@
 from plumarch.gateway import dialect, errors, fleet_state
 from plumarch.gateway.callers import admission
 from plumarch.gateway.connections import exchange
-from plumarch.gateway.sends import announced_rates, endpoint_outcomes
+from plumarch.gateway.dispatch import announced_rates, endpoint_outcomes
 from plumarch.routing import endpoint_choice, locality_choice, return_times
 
 CONNECT_TIMEOUT_MS = 250.0
--- a/plumarch/gateway/sends/endpoint_outcomes.py
+++ b/plumarch/gateway/dispatch/endpoint_outcomes.py
@@ -12,12 +12,12 @@
 from plumarch.core import traffic
 from plumarch.gateway import fleet_state
 from plumarch.gateway.callers import admission
-from plumarch.gateway.sends import announced_rates, endpoint_signals
+from plumarch.gateway.dispatch import announced_rates, endpoint_signals
 from plumarch.routing import (
     answer_times,
+    crash_guard,
     endpoint_choice,
     endpoint_limits,
-    fall_guard,
     locality_choice,
 )
 
@@ -100,7 +100,7 @@
     if fall is None:
         return 0.0
     left = [one for one in endpoints if one.id != fall.endpoint]
-    if len(left) >= fall_guard.MANY_OTHERS:
+    if len(left) >= crash_guard.MANY_OTHERS:
         return 0.0
     running = state.chooser.total_running(left)
     slots = sum(max(1, one.slots) for one in left)
@@ -264,7 +264,7 @@
 
 
 def _note_fall(
-    state: fleet_state.FleetState, endpoint: traffic.Endpoint, fall: fall_guard.Fall | None
+    state: fleet_state.FleetState, endpoint: traffic.Endpoint, fall: crash_guard.Fall | None
 ) -> None:
     if fall is None:
         return
--- a/plumarch/gateway/sends/endpoint_signals_test.py
+++ b/plumarch/gateway/dispatch/endpoint_signals_test.py
@@ -5,7 +5,7 @@
 from hypothesis import given, strategies
 
 from plumarch.gateway import dialect
-from plumarch.gateway.sends import endpoint_signals
+from plumarch.gateway.dispatch import endpoint_signals
 
 NAMES = dialect.Dialect()
 
--- a/plumarch/gateway/sends/event_stream_test.py
+++ b/plumarch/gateway/dispatch/event_stream_test.py
@@ -2,7 +2,7 @@
 
 import random
 
-from plumarch.gateway.sends import event_stream
+from plumarch.gateway.dispatch import event_stream
 
 TEXT = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: no id\n\nid: 3\ndata: cut"
 
--- a/plumarch/gateway/sends/lost_runs.py
+++ b/plumarch/gateway/dispatch/lost_runs.py
@@ -13,8 +13,8 @@
 from plumarch.gateway import fleet_state
 from plumarch.gateway.callers import admission
 from plumarch.gateway.connections import exchange
-from plumarch.gateway.news import suspect_news
-from plumarch.gateway.sends import attempts
+from plumarch.gateway.dispatch import attempts
+from plumarch.gateway.gossip import suspect_updates
 from plumarch.limits import quarantine
 
 KNOWN_MS = 1_000
@@ -152,7 +152,7 @@
         for run in runs:
             was_held = state.quarantine.hold(run.fingerprint) is not None
             state.quarantine.ended(run.fingerprint, endpoint.id, run.points)
-            suspect_news.log_change(state, run.fingerprint, was_held, state.node)
+            suspect_updates.log_change(state, run.fingerprint, was_held, state.node)
             if state.tell_suspect is not None:
                 state.tell_suspect(run.fingerprint)
 
--- a/plumarch/gateway/sends/platform_retries_test.py
+++ b/plumarch/gateway/dispatch/platform_retries_test.py
@@ -6,7 +6,7 @@
 from plumarch.core import clock, errors, records
 from plumarch.fleet import duty_lease
 from plumarch.gateway.duties import duty_holder
-from plumarch.gateway.news import heartbeats
+from plumarch.gateway.gossip import heartbeats
 from plumarch.membership import fleet_view
 from plumarch.standins import gateway_parts
 
--- a/plumarch/gateway/sends/request_run.py
+++ b/plumarch/gateway/dispatch/request_run.py
@@ -13,8 +13,7 @@
 from plumarch.core import traffic
 from plumarch.gateway import dialect, errors, fleet_state
 from plumarch.gateway.callers import admission, caller_requests
-from plumarch.gateway.news import suspect_news
-from plumarch.gateway.sends import (
+from plumarch.gateway.dispatch import (
     announced_rates,
     attempts,
     endpoint_outcomes,
@@ -23,6 +22,7 @@
     version_outcomes,
     whole_answers,
 )
+from plumarch.gateway.gossip import suspect_updates
 from plumarch.limits import memory_account, quarantine
 from plumarch.routing import endpoint_choice, return_times
 
@@ -287,7 +287,7 @@
         state, fingerprint = self.state, self.admitted.fingerprint
         was_held = state.quarantine.hold(fingerprint) is not None
         if state.quarantine.answered(fingerprint):
-            suspect_news.log_change(state, fingerprint, was_held, state.node)
+            suspect_updates.log_change(state, fingerprint, was_held, state.node)
             if state.tell_suspect is not None:
                 state.tell_suspect(fingerprint)
 
--- a/plumarch/gateway/sends/slow_streams_test.py
+++ b/plumarch/gateway/dispatch/slow_streams_test.py
@@ -9,7 +9,7 @@
 from plumarch.gateway import relay_test
 from plumarch.gateway.callers import slow_callers_test
 from plumarch.gateway.connections import exchange
-from plumarch.gateway.sends import request_run, stream_relay
+from plumarch.gateway.dispatch import request_run, stream_relay
 from plumarch.standins import scripted_endpoint as scripted
 
 CHAT_ATTEMPTS = 3
--- a/plumarch/gateway/sends/stream_relay.py
+++ b/plumarch/gateway/dispatch/stream_relay.py
@@ -12,7 +12,7 @@
 
 from plumarch.gateway import errors, fleet_state
 from plumarch.gateway.callers import admission, caller_requests
-from plumarch.gateway.sends import attempts, endpoint_outcomes, event_stream, version_outcomes
+from plumarch.gateway.dispatch import attempts, endpoint_outcomes, event_stream, version_outcomes
 from plumarch.limits import memory_account
 
 PAUSE_LIMIT_MS = 5_000.0
--- a/plumarch/gateway/sends/version_outcomes.py
+++ b/plumarch/gateway/dispatch/version_outcomes.py
@@ -4,7 +4,7 @@
 from plumarch.fleet import version_tally
 from plumarch.gateway import fleet_state
 from plumarch.gateway.callers import admission
-from plumarch.gateway.sends import attempts
+from plumarch.gateway.dispatch import attempts
 from plumarch.routing import answer_times
 
 
--- a/plumarch/gateway/sends/whole_answers.py
+++ b/plumarch/gateway/dispatch/whole_answers.py
@@ -7,7 +7,7 @@
 from plumarch.gateway import dialect, errors
 from plumarch.gateway.callers import admission
 from plumarch.gateway.connections import exchange
-from plumarch.gateway.sends import attempts
+from plumarch.gateway.dispatch import attempts
 from plumarch.limits import memory_account
 
 ANSWER_BYTES_LIMIT = 16 * 1024 * 1024
--- a/plumarch/gateway/duties/duty_holder.py
+++ b/plumarch/gateway/duties/duty_holder.py
@@ -10,7 +10,7 @@
 from plumarch.fleet import duty_lease, rollout
 from plumarch.gateway import fleet_state, ports
 from plumarch.gateway.duties import engine_orders, rollout_duty
-from plumarch.gateway.news import gossiper, heartbeats
+from plumarch.gateway.gossip import gossiper, heartbeats
 from plumarch.gateway.store import follower
 from plumarch.membership import fleet_view, tiers
 
--- a/plumarch/gateway/duties/duty_holder_test.py
+++ b/plumarch/gateway/duties/duty_holder_test.py
@@ -16,7 +16,7 @@
 from plumarch.config import routing_table
 from plumarch.core import clock, errors, records, traffic
 from plumarch.gateway.duties import duty_holder
-from plumarch.gateway.news import gossiper, heartbeats
+from plumarch.gateway.gossip import gossiper, heartbeats
 from plumarch.limits import quota_records
 from plumarch.membership import fleet_view, tiers
 from plumarch.peers import gossip
--- a/plumarch/gateway/duties/engine_gauges.py
+++ b/plumarch/gateway/duties/engine_gauges.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from plumarch.core import traffic
-from plumarch.fleet import engine_places, engine_plan
+from plumarch.fleet import engine_plan, engine_pools
 from plumarch.gateway import fleet_state
 
 
@@ -16,7 +16,7 @@
     for region, share in regions.shares_of(scaling.prices).items():
         measures.engine_demand.set(plan.demand * share, plan.service, region)
     counts: collections.Counter[tuple[str, bool]] = collections.Counter()
-    ready = engine_places.ready(plan.service, state.registry.endpoints.values())
+    ready = engine_pools.ready(plan.service, state.registry.endpoints.values())
     for place, count in ready.items():
         counts[regions.of(place.data_centre), place.spot] += count
     for region in {regions.of(name) for name in scaling.prices}:
--- a/plumarch/gateway/duties/engine_orders.py
+++ b/plumarch/gateway/duties/engine_orders.py
@@ -7,7 +7,7 @@
 from plumarch.fleet import engine_demand, engine_plan, region_demand
 from plumarch.gateway import fleet_state, ports
 from plumarch.gateway.duties import engine_gauges, rollout_duty
-from plumarch.gateway.news import region_sums
+from plumarch.gateway.gossip import region_sums
 from plumarch.membership import fleet_view
 from plumarch.routing import engine_speed
 
--- a/plumarch/gateway/duties/rollout_duty_test.py
+++ b/plumarch/gateway/duties/rollout_duty_test.py
@@ -13,7 +13,7 @@
 from plumarch.fleet import rollout, version_tally
 from plumarch.gateway import ports
 from plumarch.gateway.duties import duty_holder
-from plumarch.gateway.news import gossiper, heartbeats
+from plumarch.gateway.gossip import gossiper, heartbeats
 from plumarch.membership import fleet_view
 from plumarch.standins import gateway_parts
 
--- a/plumarch/gateway/news/introductions.py
+++ b/plumarch/gateway/gossip/bootstrap.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 
 from plumarch.gateway import fleet_state
-from plumarch.gateway.news import elders, heartbeats
+from plumarch.gateway.gossip import heartbeats, seniors
 from plumarch.membership import fleet_view, peer_node, tiers
 from plumarch.peers import gossip
 
@@ -93,7 +93,7 @@
 
     def _directories(self) -> list[gossip.CentreDirectory]:
         known = [
-            gossip.KnownCentre(name, elders.as_told(centre.elders[: tiers.COORDINATORS]))
+            gossip.KnownCentre(name, seniors.as_told(centre.seniors[: tiers.COORDINATORS]))
             for name, centre in sorted(self.view.live_centres().items())
         ]
         return [
@@ -114,11 +114,11 @@
         news: set[str] = set()
         for one in told.centres:
             if one.data_centre == self.state.data_centre:
-                self.view.hear_say(elders.taken(one.elders))
+                self.view.hear_say(seniors.taken(one.seniors))
             elif one.data_centre not in live and self.view.all_centres.told(
-                one.data_centre, elders.taken(one.elders), now
+                one.data_centre, seniors.taken(one.seniors), now
             ):
-                news |= {elder.address for elder in one.elders}
+                news |= {elder.address for elder in one.seniors}
         if news and self.view.role is not tiers.Role.MEMBER:
             self.send(self.composer.question(leaving), news)
 
@@ -134,8 +134,8 @@
 
     def take_elders(self, beat: gossip.Heartbeat) -> None:
         """Take in whom a node of another data centre calls the elders of it."""
-        if beat.elders and beat.data_centre not in self.view.centres_heard():
-            told = elders.taken(beat.elders)
+        if beat.seniors and beat.data_centre not in self.view.centres_heard():
+            told = seniors.taken(beat.seniors)
             self.view.all_centres.told(beat.data_centre, told, self.state.clock.now())
 
     def remember(self, peer: peer_node.Peer) -> None:
@@ -160,7 +160,7 @@
                     urgent=True,
                     centre=name,
                     ever_heard=known[name].heard,
-                    elders=[elder.address for elder in known[name].elders],
+                    elders=[elder.address for elder in known[name].seniors],
                 )
         contact = self.state.contact
         if self.view.role is tiers.Role.MEMBER:
--- a/plumarch/gateway/news/coordination.py
+++ b/plumarch/gateway/gossip/coordination.py
@@ -4,10 +4,10 @@
 import dataclasses
 
 from plumarch.gateway import fleet_state
-from plumarch.gateway.news import (
-    elders,
+from plumarch.gateway.gossip import (
     heartbeats,
     load_reports,
+    seniors,
     speed_reports,
     spending_ledger,
     version_reports,
@@ -97,17 +97,17 @@
         if told.sequence and (told.incarnation, told.sequence) <= newest:
             return False
         self.newest[told.node] = (told.incarnation, told.sequence)
-        candidates = elders.taken(told.candidate)
+        candidates = seniors.taken(told.candidate)
         now = self.state.clock.now()
         if told.data_centre not in self.view.live_centres():
             # Windows that ended while it was not heard are told in whole summaries only.
             self.whole_summaries = WHOLE_AT_RETURN
             self.anew_until_ms[told.data_centre] = now + ANEW_MS
-        self.view.all_centres.heard(told.data_centre, elders.taken(told.elders), now)
+        self.view.all_centres.heard(told.data_centre, seniors.taken(told.seniors), now)
         self.view.centres[told.data_centre] = tiers.CentreView(
             nodes=told.nodes,
             heard=told.heard,
-            elders=elders.taken(told.elders),
+            seniors=seniors.taken(told.seniors),
             token=told.token,
             candidate=candidates[0].age if candidates else None,
             reported=told.reported,
@@ -229,7 +229,7 @@
             registry_revision=state.registry.changed_revision,
             nodes=view.centre_size(),
             heard=1 + len(neighbours),
-            elders=elders.told(view),
+            seniors=seniors.told(view),
             token=max([self.duty.token, *tokens]),
             candidate=self._candidate(neighbours),
             reported=self.duty.reported,
@@ -356,7 +356,7 @@
             nodes=view.size(),
             centre_nodes=view.centre_size(),
             fraction=fraction,
-            elders=elders.told(view),
+            seniors=seniors.told(view),
             followers=view.followers(state.reaches_store),
             levels=levels,
             loads=self._fleet_loads(whole),
@@ -384,4 +384,4 @@
 
 def _leads(told: gossip.CentreSummary) -> bool:
     """Return whether a summary's author believes to be the oldest of its data centre."""
-    return bool(told.elders) and told.elders[0].name == told.node
+    return bool(told.seniors) and told.seniors[0].name == told.node
--- a/plumarch/gateway/news/coordinators_test.py
+++ b/plumarch/gateway/gossip/coordinators_test.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from plumarch.gateway.news import followed_news, rounds
+from plumarch.gateway.gossip import member_updates, rounds
 from plumarch.membership import tiers
 from plumarch.peers import gossip
 from plumarch.routing import endpoint_choice
@@ -28,7 +28,7 @@
         nodes=36,
         centre_nodes=12,
         fraction=fraction,
-        elders=[],
+        seniors=[],
         followers=[],
         levels=[],
         loads=[],
@@ -62,7 +62,7 @@
     older = news_of("dc-a-99", 1, 0.5)
     assert not member.gossip.member.take_in(older)
     assert member.view.news == followed
-    fleet.time.advance_to(fleet.time.now() + followed_news.FRESH_MS + 100)
+    fleet.time.advance_to(fleet.time.now() + member_updates.FRESH_MS + 100)
     assert member.gossip.member.take_in(older)
     assert not member.gossip.member.take_in(news_of("dc-a-98", 2, 0.5))
     assert member.gossip.member.take_in(news_of("dc-a-98", 2, 0.9))
--- a/plumarch/gateway/news/flat_fleet_quota_test.py
+++ b/plumarch/gateway/gossip/flat_fleet_quota_test.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from plumarch.gateway.news import large_fleet_quota_test
+from plumarch.gateway.gossip import large_fleet_quota_test
 from plumarch.standins import gossip_fleet
 
 RATE = 77_000.0
--- a/plumarch/gateway/news/gossiper.py
+++ b/plumarch/gateway/gossip/gossiper.py
@@ -8,20 +8,20 @@
 
 from plumarch.core import addresses
 from plumarch.gateway import fleet_state
-from plumarch.gateway.news import (
+from plumarch.gateway.gossip import (
+    bootstrap,
     coordination,
-    elders,
-    followed_news,
     heartbeats,
-    introductions,
     load_reports,
+    member_updates,
     permit_exchange,
     rounds,
+    seniors,
     snapshots,
     speed_reports,
     spending_ledger,
-    suspect_news,
-    told_figures,
+    stale_figures,
+    suspect_updates,
     unreadable_messages,
     version_reports,
 )
@@ -67,9 +67,9 @@
         elsewhere = centre_spending.CentreSpending(state.clock)
         self.coordination = coordination.Coordination(state, view, duty, elsewhere)
         self.rounds = rounds.Rounds(state, view, self.coordination, self._send)
-        self.introductions = introductions.Introductions(state, view, self.composer, self._send)
-        self.member = followed_news.FollowedNews(state, view)
-        self.suspects = suspect_news.SuspectTeller(
+        self.bootstrap = bootstrap.Introductions(state, view, self.composer, self._send)
+        self.member = member_updates.FollowedNews(state, view)
+        self.suspects = suspect_updates.SuspectTeller(
             state,
             view.node,
             self._send,
@@ -161,7 +161,7 @@
         self.state.quota.sharers = 1 if is_flat else self.view.size()
         for peer in self.view.tick():
             self._forget(peer)
-        told_figures.drop_old_loads(self.state, self.view)
+        stale_figures.drop_old_loads(self.state, self.view)
         self._hear_fraction()
         self.state.budget.nodes = max(8, 2 * self.view.size())
         if self.transport is None:
@@ -175,9 +175,9 @@
         self.member.sent(beat)
         self._send(beat, told)
         if beat.usage and self.view.role is tiers.Role.COORDINATOR:
-            successors = self.view.elders()[tiers.COORDINATORS : tiers.ELDERS]
+            successors = self.view.seniors()[tiers.COORDINATORS : tiers.ELDERS]
             self._send(heartbeats.usage_only(beat), [one.address for one in successors])
-        self.introductions.step(self.leaving)
+        self.bootstrap.step(self.leaving)
         self.suspects.step()
 
     def _counted(self) -> Mapping[str, float] | None:
@@ -206,7 +206,7 @@
             return self._flat_addresses()
         told = {elder.address for elder in self.view.coordinators()}
         if self.view.role is tiers.Role.MEMBER and not self.view.hears_news():
-            told |= {elder.address for elder in self.view.elders()} - {self.view.address}
+            told |= {elder.address for elder in self.view.seniors()} - {self.view.address}
         if self.view.role is tiers.Role.COORDINATOR:
             unknown = [peer.address for peer in self.view.peers.values() if not peer.incarnation]
             told |= set(self.state.rng.sample(unknown, min(GREETED, len(unknown))))
@@ -244,7 +244,7 @@
             self.state.log.write("peer_forgotten", peer=peer.name, address=peer.address)
         self.state.quota.forget(f"{peer.name}#{peer.incarnation}")
         self.coordination.forget(peer.name)
-        self.introductions.remember(peer)
+        self.bootstrap.remember(peer)
         self.answered_ms.pop(peer.name, None)
 
     def _decide_role(self) -> None:
@@ -258,14 +258,14 @@
             role=role.value,
             before=before.value,
             nodes=self.view.size(),
-            elders=[elder.age.name for elder in self.view.elders()[: tiers.ELDERS]],
+            elders=[elder.age.name for elder in self.view.seniors()[: tiers.ELDERS]],
             news_age_ms=self.view.news_age_ms(),
         )
         if role is tiers.Role.COORDINATOR:
             self.coordination.count_on(self.member.ledger)
         elif before is tiers.Role.COORDINATOR:
             self.member.ledger = self.coordination.followed()
-        told_figures.forget_for_role(self.state, self.view, self.coordination)
+        stale_figures.forget_for_role(self.state, self.view, self.coordination)
         self.coordination.tell_all = True
         self._beat_for_role()
 
@@ -320,7 +320,7 @@
             case gossip.CentreSummary():
                 self.take_summary(told, f"{addr[0]}:{addr[1]}")
             case gossip.CentreDirectory():
-                self.introductions.take_directory(told, self.leaving)
+                self.bootstrap.take_directory(told, self.leaving)
             case gossip.MemberNews():
                 self._take_member_news(told, str(addr[0]))
             case gossip.SuspectNews():
@@ -350,10 +350,10 @@
             return
         if self.view.role is tiers.Role.COORDINATOR:
             if told.data_centre not in self.view.centres:
-                told_figures.forget_nodes_of(self.state, self.view, told.data_centre)
+                stale_figures.forget_nodes_of(self.state, self.view, told.data_centre)
             if not self.coordination.take_summary(told):
                 return
-            self.introductions.compare(told, self.leaving)
+            self.bootstrap.compare(told, self.leaving)
             if sender == told.address:
                 self.rounds.pass_on(told)
             if self._knows_more(told):
@@ -426,10 +426,10 @@
         for other in beat.peers:
             self.view.learn(other.name, other.address)
         near = beat.data_centre == self.state.data_centre
-        if near and beat.elders and self.view.hear_say(elders.taken(beat.elders)):
+        if near and beat.seniors and self.view.hear_say(seniors.taken(beat.seniors)):
             self._beat_for_role()
         if not near:
-            self.introductions.take_elders(beat)
+            self.bootstrap.take_elders(beat)
         self._take_figures(beat, heard_again=not was_heard and before == beat.incarnation)
         if version_reports.take_shares(self.state, beat.versions):
             self.beat_soon()
@@ -455,7 +455,7 @@
         self._hear_fraction()
         self.composer.tell_all()
         self.coordination.tell_all = True
-        self.introductions.meet(peer)
+        self.bootstrap.meet(peer)
         self.suspects.meet(peer.address)
 
     def _seeks(self, near: bool) -> bool:
--- a/plumarch/gateway/news/gossiper_test.py
+++ b/plumarch/gateway/gossip/gossiper_test.py
@@ -8,7 +8,7 @@
 from plumarch.config import routing_table
 from plumarch.core import clock, errors, traffic
 from plumarch.gateway import fleet_state
-from plumarch.gateway.news import gossiper, heartbeats
+from plumarch.gateway.gossip import gossiper, heartbeats
 from plumarch.membership import fleet_view
 from plumarch.peers import frames, gossip, recent_changes
 from plumarch.routing import endpoint_choice
--- a/plumarch/gateway/news/heartbeats.py
+++ b/plumarch/gateway/gossip/heartbeats.py
@@ -9,7 +9,7 @@
 from plumarch.core import build
 from plumarch.fleet import usage
 from plumarch.gateway import fleet_state
-from plumarch.gateway.news import elders, load_reports, speed_reports, version_reports
+from plumarch.gateway.gossip import load_reports, seniors, speed_reports, version_reports
 from plumarch.membership import fleet_view, tiers
 from plumarch.peers import gossip, recent_changes
 
@@ -140,13 +140,13 @@
         """Return the oldest known nodes of a data centre, or else those who may know them."""
         view = self.view
         centre = view.centres.get(data_centre)
-        found = list(centre.elders) if centre is not None else []
+        found = list(centre.seniors) if centre is not None else []
         if not found:
             ages = {one.age(): one.address for one in view.live() if one.data_centre == data_centre}
             found = [tiers.Elder(age, ages[age]) for age in sorted(ages)[: tiers.ELDERS]]
         return [
             gossip.KnownPeer(one.age.name, one.address)
-            for one in found or view.elders()[: tiers.ELDERS]
+            for one in found or view.seniors()[: tiers.ELDERS]
         ]
 
     def _without_figures(self, leaving: bool, with_elders: bool) -> gossip.Heartbeat:
@@ -163,7 +163,7 @@
             candidate=self.duty.candidate,
             reported=self.duty.reported,
             reaches_store=state.reaches_store,
-            elders=self._elders() if with_elders else [],
+            seniors=self._elders() if with_elders else [],
             nodes=self.view.counted_size(),
         )
 
@@ -171,7 +171,7 @@
         """Return the oldest live nodes of the own data centre, where the fleet is a large one."""
         if self.view.size() <= tiers.FLAT_FLEET:
             return []
-        return elders.told(self.view)
+        return seniors.told(self.view)
 
     def _usage(self, whole: bool) -> list[gossip.WindowUsage]:
         counter = self.state.usage
--- a/plumarch/gateway/news/hot_workspace_quota_test.py
+++ b/plumarch/gateway/gossip/hot_workspace_quota_test.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from plumarch.gateway.news import large_fleet_quota_test
+from plumarch.gateway.gossip import large_fleet_quota_test
 from plumarch.limits import quota_tolerance
 from plumarch.standins import gossip_fleet
 
--- a/plumarch/gateway/news/large_fleet_test.py
+++ b/plumarch/gateway/gossip/large_fleet_test.py
@@ -8,7 +8,7 @@
 
 from plumarch.gateway import fleet_state
 from plumarch.gateway.duties import duty_holder
-from plumarch.gateway.news import gossiper, rounds
+from plumarch.gateway.gossip import gossiper, rounds
 from plumarch.membership import fleet_view, store_followers, tiers
 from plumarch.peers import gossip
 from plumarch.routing import endpoint_choice
--- a/plumarch/gateway/news/followed_news.py
+++ b/plumarch/gateway/gossip/member_updates.py
@@ -4,7 +4,7 @@
 import dataclasses
 
 from plumarch.gateway import fleet_state
-from plumarch.gateway.news import elders, load_reports, spending_ledger
+from plumarch.gateway.gossip import load_reports, seniors, spending_ledger
 from plumarch.limits import quota_records
 from plumarch.membership import fleet_view, tiers
 from plumarch.peers import gossip
@@ -83,7 +83,7 @@
             nodes=news.nodes,
             centre_nodes=news.centre_nodes,
             fraction=news.fraction,
-            elders=elders.taken(news.elders),
+            seniors=seniors.taken(news.seniors),
             followers=tuple(news.followers),
             told_ms=now,
         )
--- a/plumarch/gateway/news/mixed_builds_test.py
+++ b/plumarch/gateway/gossip/mixed_builds_test.py
@@ -5,7 +5,13 @@
 import msgspec
 
 from plumarch.core import build, clock, traffic
-from plumarch.gateway.news import gossiper, heartbeats, load_reports, snapshots, unreadable_messages
+from plumarch.gateway.gossip import (
+    gossiper,
+    heartbeats,
+    load_reports,
+    snapshots,
+    unreadable_messages,
+)
 from plumarch.gateway.relay_test import TABLE
 from plumarch.membership import fleet_view
 from plumarch.peers import frames, gossip
--- a/plumarch/gateway/news/permit_exchange.py
+++ b/plumarch/gateway/gossip/permit_exchange.py
@@ -161,7 +161,7 @@
         """
         view = self.view
         if view.role is tiers.Role.MEMBER:
-            return view.elders()[0].address
+            return view.seniors()[0].address
         if view.role is tiers.Role.COORDINATOR:
             return self._coordinator_address(data_centre)
         if view.size() > tiers.FLAT_FLEET:
@@ -182,12 +182,12 @@
         known = sorted({self.view.data_centre, *centres})
         home = data_centre if data_centre in known else known[0]
         if home != self.view.data_centre:
-            elders = centres[home].elders
-            return elders[0].address if elders else None
-        seniors = self.view.elders()
+            seniors = centres[home].seniors
+            return seniors[0].address if seniors else None
+        own_seniors = self.view.seniors()
         if self.is_leaving():
-            seniors = [one for one in seniors if one.age.name != self.view.node]
-        return seniors[0].address if seniors else None
+            own_seniors = [one for one in own_seniors if one.age.name != self.view.node]
+        return own_seniors[0].address if own_seniors else None
 
 
 def _passed_on(message: gossip.PermitRequest, node: str) -> gossip.PermitRequest:
--- a/plumarch/gateway/news/permit_exchange_test.py
+++ b/plumarch/gateway/gossip/permit_exchange_test.py
@@ -12,8 +12,8 @@
 import pytest
 
 from plumarch.core import traffic
-from plumarch.gateway.news import permit_exchange
-from plumarch.gateway.sends import announced_rates, endpoint_signals
+from plumarch.gateway.dispatch import announced_rates, endpoint_signals
+from plumarch.gateway.gossip import permit_exchange
 from plumarch.membership import tiers
 from plumarch.peers import gossip
 from plumarch.standins import gossip_fleet
--- a/plumarch/gateway/news/region_news_test.py
+++ b/plumarch/gateway/gossip/region_gossip_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from plumarch.gateway.news import rounds
+from plumarch.gateway.gossip import rounds
 from plumarch.membership import fleet_view, tiers
 from plumarch.standins import gossip_fleet
 
@@ -83,7 +83,7 @@
     fleet.lose = 0.03
     coordinators = fleet.with_role(tiers.Role.COORDINATOR)
     region = coordinators_of(fleet, REGION)
-    frozen = [one for one in region if one.view.elders()[0].age.name == one.name]
+    frozen = [one for one in region if one.view.seniors()[0].age.name == one.name]
     assert len(frozen) == 2
     for node in frozen:
         node.frozen = True
--- a/plumarch/gateway/news/region_quota_test.py
+++ b/plumarch/gateway/gossip/region_quota_test.py
@@ -15,7 +15,7 @@
 import pytest
 from hypothesis import strategies
 
-from plumarch.gateway.news import large_fleet_quota_test
+from plumarch.gateway.gossip import large_fleet_quota_test
 from plumarch.membership import tiers
 from plumarch.standins import gossip_fleet
 
--- a/plumarch/gateway/news/region_sums.py
+++ b/plumarch/gateway/gossip/region_sums.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from plumarch.gateway import fleet_state
-from plumarch.gateway.news import coordination
+from plumarch.gateway.gossip import coordination
 from plumarch.membership import fleet_view
 from plumarch.routing import distance
 
--- a/plumarch/gateway/news/region_sums_test.py
+++ b/plumarch/gateway/gossip/region_sums_test.py
@@ -5,7 +5,7 @@
 from plumarch.config import routing_table
 from plumarch.core import clock, traffic
 from plumarch.gateway import fleet_state
-from plumarch.gateway.news import coordination, region_sums
+from plumarch.gateway.gossip import coordination, region_sums
 from plumarch.limits import quota_records
 from plumarch.membership import fleet_view, tiers
 from plumarch.routing import distance
--- a/plumarch/gateway/news/rounds.py
+++ b/plumarch/gateway/gossip/rounds.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from plumarch.gateway import fleet_state
-from plumarch.gateway.news import coordination, told_figures
+from plumarch.gateway.gossip import coordination, stale_figures
 from plumarch.membership import fleet_view, peer_node, tiers
 from plumarch.peers import gossip
 
@@ -74,14 +74,14 @@
             return
         if self._stands_by():
             return
-        told_figures.drop_old_loads(self.state, self.view)
+        stale_figures.drop_old_loads(self.state, self.view)
         self._tell_summary(now)
         self._tell_news()
 
     def _stands_by(self) -> bool:
         """Return whether this round is left to an older coordinator."""
         self.skipped += 1
-        oldest = self.view.elders()[0]
+        oldest = self.view.seniors()[0]
         if oldest.age.name != self.view.node and self.skipped < STANDBY_ROUNDS:
             return True
         self.skipped = 0
@@ -108,7 +108,7 @@
             elder.address
             for name, centre in self.view.live_centres().items()
             if self._is_far(name) and centre.oldest_ms >= oldest
-            for elder in centre.elders[1 : tiers.COORDINATORS]
+            for elder in centre.seniors[1 : tiers.COORDINATORS]
         }
 
     def _is_far(self, data_centre: str) -> bool:
@@ -124,7 +124,7 @@
         view = self.view
         if self.summary_ms >= FAR_SECOND_MS:
             return
-        if self._is_far(told.data_centre) and view.elders()[0].age.name == view.node:
+        if self._is_far(told.data_centre) and view.seniors()[0].age.name == view.node:
             self.send(told, [elder.address for elder in view.coordinators()])
 
     def _tell_news(self) -> None:
@@ -139,7 +139,7 @@
         told: set[str] = set()
         live = view.live_centres()
         for name, centre in view.centres.items():
-            wanted = centre.elders[: tiers.COORDINATORS] if name in live else centre.elders
+            wanted = centre.seniors[: tiers.COORDINATORS] if name in live else centre.seniors
             told |= {elder.address for elder in wanted}
         heard: dict[str, list[peer_node.Peer]] = {}
         for peer in view.peers.values():
--- a/plumarch/gateway/news/elders.py
+++ b/plumarch/gateway/gossip/seniors.py
@@ -8,7 +8,7 @@
 
 def told(view: fleet_view.FleetView) -> list[gossip.KnownElder]:
     """Return the elders of a node's own data centre as it tells them."""
-    return as_told(view.elders()[: tiers.ELDERS])
+    return as_told(view.seniors()[: tiers.ELDERS])
 
 
 def as_told(known: Iterable[tiers.Elder]) -> list[gossip.KnownElder]:
--- a/plumarch/gateway/news/snapshots_test.py
+++ b/plumarch/gateway/gossip/snapshots_test.py
@@ -9,7 +9,7 @@
 
 from plumarch.config import routing_table
 from plumarch.core import addresses, clock, errors, traffic
-from plumarch.gateway.news import gossiper, heartbeats, snapshots
+from plumarch.gateway.gossip import gossiper, heartbeats, snapshots
 from plumarch.membership import fleet_view
 from plumarch.peers import gossip
 from plumarch.standins import gateway_parts
--- a/plumarch/gateway/news/told_figures.py
+++ b/plumarch/gateway/gossip/stale_figures.py
@@ -1,7 +1,7 @@
 """When figures that others told stop counting: with age, with a role, with a better teller."""
 
 from plumarch.gateway import fleet_state
-from plumarch.gateway.news import coordination, followed_news
+from plumarch.gateway.gossip import coordination, member_updates
 from plumarch.membership import fleet_view, tiers
 
 LOADS_KEPT_MS = 2_500
@@ -20,7 +20,7 @@
 
 def _told_ms(view: fleet_view.FleetView, source: str) -> int | None:
     """Return when the loads of a source were told, or None for one that is gone."""
-    if source == followed_news.FLEET:
+    if source == member_updates.FLEET:
         return view.news.told_ms if view.news is not None else None
     if source.startswith(coordination.CENTRE):
         centre = view.centres.get(source.removeprefix(coordination.CENTRE))
@@ -37,7 +37,7 @@
     """Forget what a node is no longer told in the role that it has now."""
     chooser = state.chooser
     if view.role is not tiers.Role.MEMBER:
-        chooser.forget(followed_news.FLEET)
+        chooser.forget(member_updates.FLEET)
     if view.role is not tiers.Role.COORDINATOR:
         sums.anew_until_ms.clear()
         for name in list(view.centres):
@@ -45,7 +45,7 @@
         view.centres.clear()
         sums.elsewhere.forget()
     if view.role is tiers.Role.MEMBER:
-        for name in [name for name in chooser.told if name != followed_news.FLEET]:
+        for name in [name for name in chooser.told if name != member_updates.FLEET]:
             chooser.forget(name)
         # Levels come from news now, with all that the others admitted in them; counting on from
         # these sums later would charge it twice.
--- a/plumarch/gateway/news/usage_told_test.py
+++ b/plumarch/gateway/gossip/usage_report_test.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from plumarch.gateway.news import heartbeats
+from plumarch.gateway.gossip import heartbeats
 from plumarch.membership import tiers
 from plumarch.peers import gossip
 from plumarch.standins import gossip_fleet
--- a/plumarch/gateway/node_peak_test.py
+++ b/plumarch/gateway/node_peak_test.py
@@ -10,7 +10,7 @@
 from plumarch.core import clock, traffic
 from plumarch.gateway import relay, relay_test
 from plumarch.gateway.callers import slow_callers_test
-from plumarch.gateway.sends import attempts
+from plumarch.gateway.dispatch import attempts
 from plumarch.standins import gateway_parts
 from plumarch.standins import scripted_endpoint as scripted
 
--- a/plumarch/gateway/pressure_test.py
+++ b/plumarch/gateway/pressure_test.py
@@ -8,8 +8,8 @@
 from plumarch.core import clock, traffic
 from plumarch.gateway import relay, relay_test
 from plumarch.gateway.callers import admission, caller_connection, caller_requests
-from plumarch.gateway.sends import attempts, endpoint_outcomes
-from plumarch.routing import endpoint_choice, endpoint_limits, fall_guard
+from plumarch.gateway.dispatch import attempts, endpoint_outcomes
+from plumarch.routing import crash_guard, endpoint_choice, endpoint_limits
 from plumarch.standins import gateway_parts
 from plumarch.standins import scripted_endpoint as scripted
 
@@ -120,7 +120,7 @@
     assert attempts.choose(state, admitted(0), tried) is not None
     assert attempts.choose(state, admitted(2), tried) is None
     back_in_ms = attempts.when_room(state, admitted(2))
-    assert 0 < back_in_ms < fall_guard.GROWS_MS
+    assert 0 < back_in_ms < crash_guard.GROWS_MS
     time.advance_to(math.ceil(back_in_ms))
     assert attempts.choose(state, admitted(2), tried) is not None
 
@@ -151,7 +151,7 @@
 
 def after_losses_of_one_that_changed(
     *changes: Callable[[traffic.Endpoint], list[traffic.Endpoint]],
-) -> fall_guard.Fall | None:
+) -> crash_guard.Fall | None:
     """Return the fall by two losses of an endpoint that was told of anew after it was chosen."""
     state = gateway_parts.new_state(clock.ManualClock())
     one = traffic.Endpoint("e0", "s", "1:1", "a", 8, traffic.EndpointState.READY)
--- a/plumarch/gateway/relay.py
+++ b/plumarch/gateway/relay.py
@@ -4,7 +4,7 @@
 
 from plumarch.gateway import fleet_state
 from plumarch.gateway.callers import admission, caller_connection, caller_requests
-from plumarch.gateway.sends import lost_runs, request_run
+from plumarch.gateway.dispatch import lost_runs, request_run
 from plumarch.routing import return_times
 
 
--- a/plumarch/gateway/relay_test.py
+++ b/plumarch/gateway/relay_test.py
@@ -12,7 +12,7 @@
 from plumarch.core import clock, traffic
 from plumarch.gateway import relay
 from plumarch.gateway.connections import exchange
-from plumarch.gateway.sends import attempts
+from plumarch.gateway.dispatch import attempts
 from plumarch.routing import endpoint_choice
 from plumarch.standins import gateway_parts
 from plumarch.standins import scripted_endpoint as scripted
--- a/plumarch/gateway/store/quarantine_record.py
+++ b/plumarch/gateway/store/quarantine_record.py
@@ -14,7 +14,7 @@
 
 from plumarch.core import errors, records
 from plumarch.gateway import fleet_state, ports
-from plumarch.gateway.news import suspect_news
+from plumarch.gateway.gossip import suspect_updates
 from plumarch.gateway.store import follower
 from plumarch.limits import quarantine
 from plumarch.peers import suspect_entries
@@ -131,7 +131,7 @@
             suspects = []
         self.revision = record.revision
         self.recorded = {one.fingerprint: one for one in suspects}
-        for name in suspect_news.adopt(self.state, suspects, follower.STORE):
+        for name in suspect_updates.adopt(self.state, suspects, follower.STORE):
             self._tell(name)
 
     def _lift(self) -> None:
--- a/plumarch/gateway/store/registration.py
+++ b/plumarch/gateway/store/registration.py
@@ -9,7 +9,7 @@
 
 from plumarch.core import errors, records
 from plumarch.gateway import fleet_state, ports
-from plumarch.gateway.news import gossiper
+from plumarch.gateway.gossip import gossiper
 from plumarch.gateway.store import follower
 from plumarch.membership import fleet_view, node_record, tiers
 
@@ -109,12 +109,12 @@
         if view.role is tiers.Role.FLAT and view.known_size() <= tiers.FLAT_FLEET:
             mine = node_record.NodeRecord(view.address, view.data_centre)
             return WantedRecord(view.node, [mine])
-        elders = view.elders()[: tiers.ELDERS]
-        if view.role is not tiers.Role.COORDINATOR or elders[0].age != view.age():
+        seniors = view.seniors()[: tiers.ELDERS]
+        if view.role is not tiers.Role.COORDINATOR or seniors[0].age != view.age():
             return None
         return WantedRecord(
             node_record.CENTRE_PREFIX + view.data_centre,
-            [node_record.NodeRecord(one.address, view.data_centre) for one in elders],
+            [node_record.NodeRecord(one.address, view.data_centre) for one in seniors],
         )
 
     def _is_written(self, wanted: WantedRecord) -> bool:
--- a/plumarch/membership/fleet_view.py
+++ b/plumarch/membership/fleet_view.py
@@ -323,7 +323,7 @@
         """Return this node's own age."""
         return tiers.Age(self.incarnation, self.node)
 
-    def elders(self) -> list[tiers.Elder]:
+    def seniors(self) -> list[tiers.Elder]:
         """Return the oldest live nodes of the own data centre that are known, this one included.
 
         They are those that are heard, and those that a coordinator told of. Where no coordinator
@@ -336,14 +336,14 @@
         }
         age = self.news_age_ms()
         if self.news is not None and age is not None and age <= 2 * self.silence_ms():
-            for elder in self.news.elders:
+            for elder in self.news.seniors:
                 is_gone = not self.hears_news() and self._fell_silent(elder)
                 if elder.age.name not in found and not is_gone:
                     found[elder.age.name] = elder
         found[self.node] = tiers.Elder(self.age(), self.address)
         return sorted(found.values(), key=lambda elder: elder.age)
 
-    def hear_say(self, elders: Iterable[tiers.Elder]) -> bool:
+    def hear_say(self, seniors: Iterable[tiers.Elder]) -> bool:
         """Note whom a node of the own data centre calls its elders.
 
         Returns:
@@ -352,7 +352,7 @@
         known = {elder.age.name for elder in self.supposed_elders()}
         now = self.clock.now()
         news = False
-        for elder in elders:
+        for elder in seniors:
             self.hearsay[elder] = now
             news = news or (elder.age.name not in known and not self._fell_silent(elder))
         return news
@@ -362,7 +362,7 @@
         now, limit = self.clock.now(), self.silence_ms()
         for elder in [elder for elder, at in self.hearsay.items() if now - at > limit]:
             del self.hearsay[elder]
-        found = {elder.age.name: elder for elder in self.elders()}
+        found = {elder.age.name: elder for elder in self.seniors()}
         for elder in self.hearsay:
             if elder.age.name not in found and not self._fell_silent(elder):
                 found[elder.age.name] = elder
--- a/plumarch/membership/known_centres.py
+++ b/plumarch/membership/known_centres.py
@@ -36,7 +36,7 @@
       heard: whether it was ever heard.
     """
 
-    elders: tuple[tiers.Elder, ...]
+    seniors: tuple[tiers.Elder, ...]
     since_ms: int
     asked_ms: int = 0
     heard: bool = False
@@ -59,10 +59,10 @@
     centres: dict[str, KnownCentre] = dataclasses.field(default_factory=dict)
     seeds: dict[str, KnownCentre] = dataclasses.field(default_factory=dict)
 
-    def heard(self, name: str, elders: tuple[tiers.Elder, ...], now: int) -> None:
+    def heard(self, name: str, seniors: tuple[tiers.Elder, ...], now: int) -> None:
         """Note that a data centre told of itself."""
         asked_ms = self.centres[name].asked_ms if name in self.centres else 0
-        self.centres[name] = KnownCentre(elders, now, asked_ms, heard=True)
+        self.centres[name] = KnownCentre(seniors, now, asked_ms, heard=True)
 
     def still_heard(self, names: Iterable[str], now: int) -> None:
         """Note data centres that are heard by their nodes, and not by sums that they tell."""
@@ -70,7 +70,7 @@
             if name in self.centres:
                 self.centres[name].since_ms = now
 
-    def told(self, name: str, elders: tuple[tiers.Elder, ...], now: int) -> bool:
+    def told(self, name: str, seniors: tuple[tiers.Elder, ...], now: int) -> bool:
         """Note what another one tells of a data centre that is not heard.
 
         Returns:
@@ -78,17 +78,17 @@
         """
         known = self.centres.get(name)
         if known is None:
-            self.centres[name] = KnownCentre(elders, now)
+            self.centres[name] = KnownCentre(seniors, now)
             return True
-        is_news = not set(elders) <= set(known.elders)
-        known.elders = elders
+        is_news = not set(seniors) <= set(known.seniors)
+        known.seniors = seniors
         return is_news
 
     def remember(self, name: str, elder: tiers.Elder, heard_ms: int) -> None:
         """Note a node that was heard itself, at some time, and is counted no more."""
         known = self.centres.setdefault(name, KnownCentre((), heard_ms, heard=True))
-        if elder not in known.elders and len(known.elders) < tiers.ELDERS:
-            known.elders = (*known.elders, elder)
+        if elder not in known.seniors and len(known.seniors) < tiers.ELDERS:
+            known.seniors = (*known.seniors, elder)
 
     def keep_seeds(self, addresses: Collection[str], now: int) -> None:
         """Note the addresses that this node is given now, in place of those before."""
@@ -116,7 +116,7 @@
         due = [one for one in silent if one.is_due(now)]
         for one in due:
             one.asked_ms = now
-        return {elder.address for one in due for elder in one.elders}
+        return {elder.address for one in due for elder in one.seniors}
 
     def unheard(self, live: Collection[str]) -> list[str]:
         """Return the names of the data centres that are known and not heard."""
--- a/plumarch/membership/tiers.py
+++ b/plumarch/membership/tiers.py
@@ -71,7 +71,7 @@
 
     nodes: int
     heard: int
-    elders: tuple[Elder, ...]
+    seniors: tuple[Elder, ...]
     token: int
     candidate: Age | None
     reported: int
@@ -99,7 +99,7 @@
     nodes: int
     centre_nodes: int
     fraction: float
-    elders: tuple[Elder, ...]
+    seniors: tuple[Elder, ...]
     followers: tuple[str, ...]
     told_ms: int
 
--- a/plumarch/peers/gossip.py
+++ b/plumarch/peers/gossip.py
@@ -156,7 +156,7 @@
     peers: list[KnownPeer] = []
     reaches_store: bool = True
     sequence: int = 0
-    elders: list[KnownElder] = []
+    seniors: list[KnownElder] = []
     nodes: int = 0
     speeds: list[EngineSpeed] = []
     versions: list[VersionShare] = []
@@ -211,7 +211,7 @@
     registry_revision: int
     nodes: int
     heard: int
-    elders: list[KnownElder]
+    seniors: list[KnownElder]
     token: int
     candidate: list[KnownElder]
     reported: int
@@ -231,7 +231,7 @@
     """A data centre that the sender hears, and some of its oldest live nodes."""
 
     data_centre: str
-    elders: list[KnownElder]
+    seniors: list[KnownElder]
 
 
 class CentreDirectory(msgspec.Struct, array_like=True, frozen=True, tag=5):
@@ -288,7 +288,7 @@
     nodes: int
     centre_nodes: int
     fraction: float
-    elders: list[KnownElder]
+    seniors: list[KnownElder]
     followers: list[str]
     levels: list[ToldLevel]
     loads: list[EndpointLoad]
--- a/plumarch/routing/fall_guard_test.py
+++ b/plumarch/routing/crash_guard_test.py
@@ -3,18 +3,18 @@
 import random
 
 from plumarch.core import clock
-from plumarch.routing import concurrency_limit, fall_guard
+from plumarch.routing import concurrency_limit, crash_guard
 
 SLOTS = 8
 
 
-def guard() -> tuple[fall_guard.FallGuard, clock.ManualClock]:
+def guard() -> tuple[crash_guard.FallGuard, clock.ManualClock]:
     time = clock.ManualClock()
-    return fall_guard.FallGuard(time), time
+    return crash_guard.FallGuard(time), time
 
 
-def fall(held: int, weight: float = 0.0, elsewhere: int = 0, at_ms: int = 0) -> fall_guard.Fall:
-    return fall_guard.Fall("e0", at_ms, held, weight, SLOTS, elsewhere)
+def fall(held: int, weight: float = 0.0, elsewhere: int = 0, at_ms: int = 0) -> crash_guard.Fall:
+    return crash_guard.Fall("e0", at_ms, held, weight, SLOTS, elsewhere)
 
 
 def test_one_lost_connection_is_no_fall_and_two_together_are_one():
@@ -31,7 +31,7 @@
     found.lost("e0", 12, 0.0)
     found.lives("e0")
     assert found.lost("e0", 12, 0.0) is None
-    time.advance_to(fall_guard.LOST_TOGETHER_MS + 1)
+    time.advance_to(crash_guard.LOST_TOGETHER_MS + 1)
     assert found.lost("e0", 12, 0.0) is None
 
 
@@ -42,7 +42,7 @@
     assert found.unreached("e0") is not None
     assert found.unreached("e0") is None
     found.lost("e1", 12, 0.0)
-    time.advance_to(fall_guard.LOST_TOGETHER_MS + 1)
+    time.advance_to(crash_guard.LOST_TOGETHER_MS + 1)
     assert found.unreached("e1") is None
 
 
@@ -85,7 +85,7 @@
     wait_ms = found.wait_ms("s", 50, 16, 0)
     time.advance_to(round(wait_ms) + 1)
     assert found.wait_ms("s", 50, 16, 0) == 0.0
-    time.advance_to(fall_guard.GROWS_MS)
+    time.advance_to(crash_guard.GROWS_MS)
     assert found.wait_ms("s", 1_000, 16, 9) == 0.0
 
 
@@ -108,7 +108,7 @@
     for _ in range(200):
         found, time = guard()
         found.fell("s", fall(rng.randrange(SLOTS + 1, 60), elsewhere=rng.randrange(100)))
-        time.advance_to(rng.randrange(fall_guard.GROWS_MS))
+        time.advance_to(rng.randrange(crash_guard.GROWS_MS))
         running, rank = rng.randrange(200), rng.randrange(10)
         wait_ms = found.wait_ms("s", running, 16, rank)
         time.advance_to(time.now() + round(wait_ms) + 1)
--- a/plumarch/routing/endpoint_health.py
+++ b/plumarch/routing/endpoint_health.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Sequence
 
 from plumarch.core import clock, suspension, traffic
-from plumarch.routing import endpoint_pace
+from plumarch.routing import relative_latency
 
 FAILURES_IN_ROW = 2
 DECAY = 0.75
@@ -89,10 +89,10 @@
     suspensions: suspension.Suspensions
     known: dict[str, Health] = dataclasses.field(default_factory=dict)
     absences: dict[str, Absence] = dataclasses.field(default_factory=dict)
-    paces: endpoint_pace.EndpointPaces = dataclasses.field(init=False)
+    paces: relative_latency.EndpointPaces = dataclasses.field(init=False)
 
     def __post_init__(self) -> None:
-        self.paces = endpoint_pace.EndpointPaces(self.clock, self.suspensions)
+        self.paces = relative_latency.EndpointPaces(self.clock, self.suspensions)
 
     def success(self, endpoint: str) -> None:
         """Count a sound answer."""
--- a/plumarch/routing/endpoint_limits.py
+++ b/plumarch/routing/endpoint_limits.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping, Sequence
 
 from plumarch.core import clock, traffic
-from plumarch.routing import concurrency_limit, fall_guard
+from plumarch.routing import concurrency_limit, crash_guard
 
 QUEUE_FACTOR = 3.0
 """Requests at a plain endpoint, in multiples of its slots, before it counts as full."""
@@ -124,7 +124,7 @@
     """
 
     clock: clock.Clock
-    falls: fall_guard.FallGuard = dataclasses.field(init=False)
+    falls: crash_guard.FallGuard = dataclasses.field(init=False)
     build: Callable[[float, float], concurrency_limit.ConcurrencyLimit] = (
         concurrency_limit.AdditiveIncrease
     )
@@ -135,7 +135,7 @@
     told: dict[str, ToldLimit] = dataclasses.field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.falls = fall_guard.FallGuard(self.clock)
+        self.falls = crash_guard.FallGuard(self.clock)
 
     def with_room(
         self,
@@ -280,7 +280,7 @@
 
     def lost(
         self, endpoint: traffic.Endpoint, running: int, elsewhere: int
-    ) -> fall_guard.Fall | None:
+    ) -> crash_guard.Fall | None:
         """Take in that a connection ended while its request ran.
 
         Args:
@@ -292,17 +292,17 @@
         losses = self.falls.lost(endpoint.id, running, self.weight_at(endpoint, running))
         return self._fell(endpoint, losses, elsewhere)
 
-    def unreached(self, endpoint: traffic.Endpoint, elsewhere: int) -> fall_guard.Fall | None:
+    def unreached(self, endpoint: traffic.Endpoint, elsewhere: int) -> crash_guard.Fall | None:
         """Take in that an endpoint can't be connected to; like `lost`."""
         return self._fell(endpoint, self.falls.unreached(endpoint.id), elsewhere)
 
     def _fell(
-        self, endpoint: traffic.Endpoint, losses: fall_guard.Losses | None, elsewhere: int
-    ) -> fall_guard.Fall | None:
+        self, endpoint: traffic.Endpoint, losses: crash_guard.Losses | None, elsewhere: int
+    ) -> crash_guard.Fall | None:
         if losses is None or endpoint.state is traffic.EndpointState.DRAINING:
             return None
         now = self.clock.now()
-        fall = fall_guard.Fall(
+        fall = crash_guard.Fall(
             endpoint.id, now, losses.held, losses.weight, endpoint.slots, elsewhere
         )
         learned = self.learned.get(endpoint.id)
--- a/plumarch/routing/endpoint_limits_test.py
+++ b/plumarch/routing/endpoint_limits_test.py
@@ -3,7 +3,7 @@
 import random
 
 from plumarch.core import clock, traffic
-from plumarch.routing import concurrency_limit, endpoint_limits, fall_guard
+from plumarch.routing import concurrency_limit, crash_guard, endpoint_limits
 
 SLOTS = 8
 PROMPT = endpoint_limits.demand(2_000, 200, 0)
@@ -113,7 +113,7 @@
     found = limits()
     assert found.lost(endpoint(), 15, 30) is None
     fall = found.lost(endpoint(), 14, 30)
-    assert fall == fall_guard.Fall("e0", 0, 15, 0.0, SLOTS, 30)
+    assert fall == crash_guard.Fall("e0", 0, 15, 0.0, SLOTS, 30)
     assert found.lost(endpoint(), 13, 30) is None
     assert has_room(found, 11, name="e1")
     assert not has_room(found, 12, name="e1")
--- a/plumarch/routing/endpoint_pace_test.py
+++ b/plumarch/routing/relative_latency_test.py
@@ -1,7 +1,7 @@
 """Endpoints that answer, but slowly."""
 
 from plumarch.core import clock, suspension, traffic
-from plumarch.routing import endpoint_pace
+from plumarch.routing import relative_latency
 
 EXPECTED_MS = 100.0
 
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         self.time = clock.ManualClock()
-        self.paces = endpoint_pace.EndpointPaces(self.time, suspension.Suspensions(self.time))
+        self.paces = relative_latency.EndpointPaces(self.time, suspension.Suspensions(self.time))
 
     def answer(self, endpoint: str, times: float) -> None:
         number = self.paces.sent(endpoint, EXPECTED_MS)
@@ -66,7 +66,7 @@
 def test_an_endpoint_that_hangs_is_noticed_before_its_request_is_given_up():
     service = Service()
     number = service.paces.sent("e0", EXPECTED_MS)
-    service.time.advance_to(round(endpoint_pace.HANGS * EXPECTED_MS) + 1)
+    service.time.advance_to(round(relative_latency.HANGS * EXPECTED_MS) + 1)
     assert service.ids({}) == ["e1", "e2"]
     service.paces.ended("e0", number)
     service.time.advance_to(60_000)
--- a/plumarch/standins/gossip_fleet.py
+++ b/plumarch/standins/gossip_fleet.py
@@ -8,7 +8,7 @@
 
 from plumarch.config import routing_table
 from plumarch.core import addresses, clock, traffic
-from plumarch.gateway.news import gossiper, heartbeats, rounds
+from plumarch.gateway.gossip import gossiper, heartbeats, rounds
 from plumarch.membership import fleet_view, tiers
 from plumarch.routing import distance
 from plumarch.standins import gateway_parts
--- a/plumarch/standins/store_replay.py
+++ b/plumarch/standins/store_replay.py
@@ -13,7 +13,7 @@
 from plumarch.config import routing_table
 from plumarch.core import errors, records, traffic
 from plumarch.gateway import ports
-from plumarch.gateway.news import snapshots
+from plumarch.gateway.gossip import snapshots
 from plumarch.gateway.store import follower, quarantine_record, registration
 from plumarch.membership import registry
 from plumarch.standins import gossip_fleet
--- a/tests/gateway_layout_test.py
+++ b/tests/gateway_layout_test.py
@@ -10,10 +10,10 @@
 KNOWS = {
     "connections": set(),
     "callers": {"connections"},
-    "news": set(),
-    "store": {"news"},
-    "sends": {"callers", "connections", "news"},
-    "duties": {"news", "store"},
+    "gossip": set(),
+    "store": {"gossip"},
+    "dispatch": {"callers", "connections", "gossip"},
+    "duties": {"gossip", "store"},
 }
 """Which other packages each may import; all may import what the gateway's parts share."""
 
