--- a/bench/choices.py
+++ b/bench/choices.py
@@ -40,7 +40,7 @@
     )
     for node in range(size.nodes - 1):
         told = rng.sample(engines, min(REPORTED, len(engines)))
-        chooser.tell(
+        chooser.report_loads(
             f"n{node}",
             {one.id: endpoint_choice.Load(1, rng.uniform(0, 5_000)) for one in told},
         )
--- a/bench/large_fleets.py
+++ b/bench/large_fleets.py
@@ -71,7 +71,7 @@
     def watch(self, fleet: gossip_fleet.GossipFleet) -> None:
         """Measure what all nodes of a fleet do from now on."""
         for node in fleet.live():
-            for name in ("datagram_received", "tick", "tell_prompt"):
+            for name in ("datagram_received", "tick", "announce_prompt"):
                 setattr(node.gossip, name, self.timed(node.name, getattr(node.gossip, name)))
             node.tell_round = self.timed(node.name, node.tell_round)
 
@@ -91,7 +91,7 @@
             node.state.quota.admit(space, UNITS)
             own = node.state.chooser.own.setdefault(engine, endpoint_choice.Load())
             own.running += 1
-            node.gossip.tell_prompt(fleet_state.SentPrompt(engine, UNITS, space.name, UNITS))
+            node.gossip.announce_prompt(fleet_state.SentPrompt(engine, UNITS, space.name, UNITS))
             ends.append((fleet.time.now() + round(RUNNING_S * 1000), node, engine))
         while ends and ends[0][0] <= fleet.time.now():
             _, node, engine = ends.popleft()
--- a/bench/rollout_trials.py
+++ b/bench/rollout_trials.py
@@ -146,7 +146,7 @@
     if scenario.kind == "one route":
         is_bad = route == "r0"
     if scenario.kind == "under load":
-        is_bad = share > rollout.MOST_CANARY
+        is_bad = share > rollout.MAX_CANARY
     new = old + (scenario.new_bad if is_bad else 0.0)
     return min(1.0, old), min(1.0, new)
 
--- a/plumarch/core/backoff.py
+++ b/plumarch/core/backoff.py
@@ -8,11 +8,11 @@
 
 from plumarch.core import clock
 
-MOST_DOUBLINGS = 8
+MAX_DOUBLINGS = 8
 """Bounds the power of two after thousands of failures; by then the pauses in use have
 grown to their longest."""
 
-LEAST_PART = 0.5
+MIN_PART = 0.5
 """Each pause is drawn from this part of its length up, so that nodes that failed together don't
 call again together."""
 
@@ -35,9 +35,9 @@
         Args:
           failures: how many calls in a row failed, the last one included.
         """
-        doublings = min(failures - 1, MOST_DOUBLINGS)
+        doublings = min(failures - 1, MAX_DOUBLINGS)
         pause = min(self.longest_ms, self.first_ms * (1 << doublings))
-        return pause * rng.uniform(LEAST_PART, 1.0)
+        return pause * rng.uniform(MIN_PART, 1.0)
 
 
 @dataclasses.dataclass(slots=True)
--- a/plumarch/core/errors.py
+++ b/plumarch/core/errors.py
@@ -29,7 +29,7 @@
     """No object has this name."""
 
 
-class PlatformTooOld(PlatformError):
+class PlatformRevisionExpired(PlatformError):
     """The platform no longer holds the changes since that revision. List, then watch."""
 
 
--- a/plumarch/core/request_rate.py
+++ b/plumarch/core/request_rate.py
@@ -8,12 +8,12 @@
 DECIMAL = re.compile(r"\d{1,12}(\.\d{0,12})?|\.\d{1,12}", re.ASCII)
 
 
-MOST_PER_S = 1e12
+MAX_PER_S = 1e12
 
 
 def is_rate(per_s: float) -> bool:
     """Return whether a number that another node sent can be a rate."""
-    return 0.0 <= per_s <= MOST_PER_S
+    return 0.0 <= per_s <= MAX_PER_S
 
 
 def per_second(text: str) -> float | None:
--- a/plumarch/core/suspension.py
+++ b/plumarch/core/suspension.py
@@ -11,7 +11,7 @@
 LOOK_MS = 100
 """Time between two looks: a timer that was set before a suspension may be late by this."""
 
-LEAST_MS = 400
+MIN_MS = 400
 """Looks that are further apart tell of a suspension: a busy process is late by less. Half of what
 an endpoint in the same data centre is given to accept a connection."""
 
@@ -36,7 +36,7 @@
     def look(self) -> None:
         """Note that the process runs."""
         now = self.clock.now()
-        if self.looked_ms is not None and now - self.looked_ms >= LEAST_MS:
+        if self.looked_ms is not None and now - self.looked_ms >= MIN_MS:
             self.woke_ms = now
             self.count += 1
             self.total_ms += now - self.looked_ms
--- a/plumarch/daemon/gateway.py
+++ b/plumarch/daemon/gateway.py
@@ -104,7 +104,7 @@
             rollout.Exposure(settings.rollouts.exposure_share, settings.rollouts.exposure_slack),
             self.gossiper.beat_soon,
         )
-        self.wakes = wakes.Wakes(self.state, self.gossiper.begin_contact)
+        self.wakes = wakes.Wakes(self.state, self.gossiper.start_bootstrap)
         self.callers = relay.new_server(self.state)
         pages = status_pages.StatusPages(self.state, self.ready, self.view)
         self.pages = caller_connection.CallerServer(self.clock, pages, memory=self.state.memory)
--- a/plumarch/daemon/shell.py
+++ b/plumarch/daemon/shell.py
@@ -356,7 +356,7 @@
                 since = change.revision
                 if change.names:
                     await self._read_config()
-            except errors.PlatformTooOld:
+            except errors.PlatformRevisionExpired:
                 since = -1
             except (errors.PlatformError, msgspec.MsgspecError) as error:
                 if isinstance(error, errors.PlatformError):
--- a/plumarch/fleet/engine_firm.py
+++ b/plumarch/fleet/engine_firm.py
@@ -11,7 +11,7 @@
     regions: region_demand.RegionView,
     needed: int,
     total: int,
-    ready: Mapping[engine_pools.Place, int],
+    ready: Mapping[engine_pools.Pool, int],
     spot: Mapping[str, int],
 ) -> dict[str, int]:
     """Return a number of firm endpoints by data centre, as far as there is room.
@@ -33,7 +33,7 @@
     scaling: traffic.Scaling,
     regions: region_demand.RegionView,
     needed: int,
-    ready: Mapping[engine_pools.Place, int],
+    ready: Mapping[engine_pools.Pool, int],
     spot: Mapping[str, int],
     counts: Mapping[str, int],
 ) -> str | None:
@@ -44,8 +44,8 @@
     for name, price in scaling.prices.items():
         # The limit holds for both kinds together, and the platform doesn't say what it holds
         # back: what is ordered beyond the room would be waited for in vain.
-        running = ready.get(engine_pools.Place(name, False), 0)
-        room = max(running, scaling.maximum - ready.get(engine_pools.Place(name, True), 0))
+        running = ready.get(engine_pools.Pool(name, False), 0)
+        room = max(running, scaling.maximum - ready.get(engine_pools.Pool(name, True), 0))
         if counts[name] >= room:
             continue
         runs_already = running > counts[name]
--- a/plumarch/fleet/engine_plan.py
+++ b/plumarch/fleet/engine_plan.py
@@ -97,7 +97,7 @@
     sized_for: int = 0
     began_ms: int | None = None
     last_new_ms: int = 0
-    given: dict[engine_pools.Place, engine_pools.Given] = dataclasses.field(default_factory=dict)
+    given: dict[engine_pools.Pool, engine_pools.LastOrder] = dataclasses.field(default_factory=dict)
     regions: region_demand.RegionView = region_demand.ONE_REGION
     placed: dict[str, int] = dataclasses.field(default_factory=dict)
 
@@ -174,25 +174,25 @@
             self.sized_for = math.ceil(self.demand / SHRINK_MARGIN)
 
     def wanted(
-        self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Place, int]
-    ) -> dict[engine_pools.Place, int]:
+        self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
+    ) -> dict[engine_pools.Pool, int]:
         """Return the wanted counts by place, given those that are ready."""
         spot = self._spot_counts(scaling, ready)
         if self._refused_lately() or self._holds_what_runs():
             # One that is let go now could not be had back, or may be needed.
             spot = {
-                name: max(spot[name], ready.get(engine_pools.Place(name, True), 0)) for name in spot
+                name: max(spot[name], ready.get(engine_pools.Pool(name, True), 0)) for name in spot
             }
         self.placed = spot
-        wanted = {engine_pools.Place(name, True): count for name, count in spot.items()}
+        wanted = {engine_pools.Pool(name, True): count for name, count in spot.items()}
         firm = self._firm_wanted(scaling, ready)
         firm = engine_regions.holds(self.regions, firm, False, ready, self.given)
         for name, count in firm.items():
-            wanted[engine_pools.Place(name, False)] = count
+            wanted[engine_pools.Pool(name, False)] = count
         return wanted
 
     def _spot_counts(
-        self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Place, int]
+        self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> dict[str, int]:
         """Return reclaimable counts by data centre, spread evenly or by region."""
         if not self._over_regions(scaling):
@@ -213,7 +213,7 @@
         return not self.first_seen and self.samples < HELD_SAMPLES
 
     def _firm_wanted(
-        self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Place, int]
+        self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> dict[str, int]:
         """Return firm counts: what lacks of the floor, in the cheapest places with room.
 
@@ -234,7 +234,7 @@
         return engine_firm.spread(scaling, self.regions, needed, lacking, ready, spot)
 
     def _lacking_after_next_losses(
-        self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Place, int]
+        self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> int:
         """Return how many firm endpoints are lacking once further data centres are reclaimed."""
         spot = [count for place, count in ready.items() if place.spot]
@@ -245,7 +245,7 @@
         return math.ceil(FLOOR * self.needed(scaling)) - left
 
     def _firm_at_first(
-        self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Place, int]
+        self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> dict[str, int]:
         """Return firm counts while nothing runs: the least, then none.
 
@@ -254,16 +254,16 @@
         """
         counts = {}
         for name in scaling.prices:
-            replaced = engine_pools.Place(name, True) in self.given
+            replaced = engine_pools.Pool(name, True) in self.given
             counts[name] = (
                 0
                 if replaced
-                else min(scaling.minimum, ready.get(engine_pools.Place(name, False), 0))
+                else min(scaling.minimum, ready.get(engine_pools.Pool(name, False), 0))
             )
         return counts
 
     def _spot_by_centre(
-        self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Place, int]
+        self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> dict[str, int]:
         """Return the reclaimable endpoints that are ready, or ordered and not yet overdue."""
         coming = {
@@ -273,12 +273,12 @@
         }
         found = {}
         for name in scaling.prices:
-            count = ready.get(engine_pools.Place(name, True), 0)
+            count = ready.get(engine_pools.Pool(name, True), 0)
             found[name] = max(count, coming.get(name, 0))
         return found
 
     def _spot_in_time(
-        self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Place, int]
+        self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> dict[str, int]:
         """Return the reclaimable endpoints that are there as soon as firm ones could be."""
         found = self._spot_by_centre(scaling, ready)
@@ -295,7 +295,7 @@
             if given.refused and place.spot and now - given.at_ms < 2 * REPEAT_MS
         )
 
-    def _overdue(self, given: engine_pools.Given, scaling: traffic.Scaling) -> bool:
+    def _overdue(self, given: engine_pools.LastOrder, scaling: traffic.Scaling) -> bool:
         return self.clock.now() - given.at_ms >= scaling.boot_ms + BOOT_MARGIN_MS
 
     def orders(
@@ -318,7 +318,7 @@
             if self._is_due(place, count, ready.get(place, 0), scaling):
                 due.append(records.EngineOrder(self.service, place.data_centre, count, place.spot))
         fewer = {
-            one: one.count < ready.get(engine_pools.Place(one.data_centre, one.spot), 0)
+            one: one.count < ready.get(engine_pools.Pool(one.data_centre, one.spot), 0)
             for one in due
         }
         due = [one for one in due if may_shrink or not fewer[one]]
@@ -363,7 +363,7 @@
             return False
         return now - self.began_ms >= SETTLE_MS
 
-    def _nothing_runs_yet(self, ready: Mapping[engine_pools.Place, int]) -> bool:
+    def _nothing_runs_yet(self, ready: Mapping[engine_pools.Pool, int]) -> bool:
         """Return whether firm endpoints may go at once: first start, no demand, none refused."""
         if not self.first_start or self.demand > 0:
             return False
@@ -372,7 +372,7 @@
         return not any(place.spot for place in ready)
 
     def _is_due(
-        self, place: engine_pools.Place, wanted: int, ready: int, scaling: traffic.Scaling
+        self, place: engine_pools.Pool, wanted: int, ready: int, scaling: traffic.Scaling
     ) -> bool:
         given = self.given.get(place)
         if given is None:
@@ -394,5 +394,5 @@
 
     def ordered(self, order: records.EngineOrder, refused: bool) -> None:
         """Note an order that was given, and whether the platform had none."""
-        place = engine_pools.Place(order.data_centre, order.spot)
-        self.given[place] = engine_pools.Given(order.count, self.clock.now(), refused)
+        place = engine_pools.Pool(order.data_centre, order.spot)
+        self.given[place] = engine_pools.LastOrder(order.count, self.clock.now(), refused)
--- a/plumarch/fleet/engine_plan_test.py
+++ b/plumarch/fleet/engine_plan_test.py
@@ -256,12 +256,12 @@
     plan = settled(time)
     for _ in range(60):
         plan.sample_demand(2.0)
-    ready = {engine_pools.Place("b", True): 3, engine_pools.Place("c", True): 3}
+    ready = {engine_pools.Pool("b", True): 3, engine_pools.Pool("c", True): 3}
     plan.ordered(records.EngineOrder("s", "a", 2, True), refused=True)
     wanted = plan.wanted(SCALING, ready)
-    assert wanted[engine_pools.Place("b", True)] == 3
+    assert wanted[engine_pools.Pool("b", True)] == 3
     time.advance_to(time.now() + 2 * engine_plan.REPEAT_MS)
-    assert plan.wanted(SCALING, ready)[engine_pools.Place("b", True)] == 2
+    assert plan.wanted(SCALING, ready)[engine_pools.Pool("b", True)] == 2
 
 
 def test_the_limits_hold():
@@ -400,7 +400,7 @@
     time = clock.ManualClock()
     plan = later_start(time, MANY_RUN)
     plan.ordered(records.EngineOrder("s", "c", 17, True), refused=True)
-    place = engine_pools.Place("c", True)
+    place = engine_pools.Pool("c", True)
     assert not plan._is_due(place, 19, 0, MANY)
     assert plan._is_due(place, 15, 17, MANY)
     time.advance_to(time.now() + engine_plan.REPEAT_MS)
--- a/plumarch/fleet/engine_pools.py
+++ b/plumarch/fleet/engine_pools.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class Pool:
     """A kind of endpoint in a data centre."""
 
     data_centre: str
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Given:
+class LastOrder:
     """The last order for a place.
 
     Attributes:
@@ -41,11 +41,11 @@
     return counts
 
 
-def ready(service: str, endpoints: Iterable[traffic.Endpoint]) -> dict[Place, int]:
+def ready(service: str, endpoints: Iterable[traffic.Endpoint]) -> dict[Pool, int]:
     """Return how many endpoints of a service take new work, by place."""
-    found: dict[Place, int] = {}
+    found: dict[Pool, int] = {}
     for endpoint in endpoints:
         if endpoint.service == service and endpoint.state is traffic.EndpointState.READY:
-            place = Place(endpoint.data_centre, endpoint.spot)
+            place = Pool(endpoint.data_centre, endpoint.spot)
             found[place] = found.get(place, 0) + 1
     return found
--- a/plumarch/fleet/engine_regions.py
+++ b/plumarch/fleet/engine_regions.py
@@ -81,8 +81,8 @@
     regions: region_demand.RegionView,
     counts: Mapping[str, int],
     spot: bool,
-    ready: Mapping[engine_pools.Place, int],
-    given: Mapping[engine_pools.Place, engine_pools.Given],
+    ready: Mapping[engine_pools.Pool, int],
+    given: Mapping[engine_pools.Pool, engine_pools.LastOrder],
 ) -> dict[str, int]:
     """Return counts that let nothing go in regions that are heard in part.
 
@@ -93,9 +93,9 @@
     """
     held = dict(counts)
     for name in counts:
-        if regions.of(name) not in regions.in_part:
+        if regions.of(name) not in regions.partially_reachable:
             continue
-        place = engine_pools.Place(name, spot)
+        place = engine_pools.Pool(name, spot)
         ordered = given[place].count if spot and place in given else 0
         held[name] = max(counts[name], ready.get(place, 0), ordered)
     return held
@@ -103,7 +103,7 @@
 
 def let_go_last(
     counts: Mapping[str, int],
-    ready: Mapping[engine_pools.Place, int],
+    ready: Mapping[engine_pools.Pool, int],
     coming: Mapping[str, int],
 ) -> dict[str, int]:
     """Return reclaimable counts that let only those go in whose place as many run elsewhere.
@@ -111,7 +111,7 @@
     Args:
       coming: those that run or boot, by data centre.
     """
-    run = sum(ready.get(engine_pools.Place(name, True), 0) for name in counts)
+    run = sum(ready.get(engine_pools.Pool(name, True), 0) for name in counts)
     spare = max(0, run - sum(counts.values()))
     kept = dict(counts)
     for name in sorted(counts, key=lambda name: (counts[name] - coming[name], name)):
@@ -124,7 +124,7 @@
 def with_ordered_now(
     coming: Mapping[str, int],
     wanted: Mapping[str, int],
-    given: Mapping[engine_pools.Place, engine_pools.Given],
+    given: Mapping[engine_pools.Pool, engine_pools.LastOrder],
 ) -> dict[str, int]:
     """Return reclaimable endpoints with those that are ordered in this moment.
 
@@ -137,7 +137,7 @@
     """
     found = dict(coming)
     for name, count in wanted.items():
-        last = given.get(engine_pools.Place(name, True))
+        last = given.get(engine_pools.Pool(name, True))
         if last is None or (last.count < count and not last.refused):
             found[name] = max(found[name], count)
     return found
--- a/plumarch/fleet/engine_regions_test.py
+++ b/plumarch/fleet/engine_regions_test.py
@@ -46,12 +46,12 @@
     return {one.data_centre: one.count for one in plan.orders(SCALING, run) if one.spot}
 
 
-def in_part(*regions: str) -> region_demand.RegionView:
-    return dataclasses.replace(REGIONS, in_part=frozenset(regions))
+def partially_reachable(*regions: str) -> region_demand.RegionView:
+    return dataclasses.replace(REGIONS, partially_reachable=frozenset(regions))
 
 
 def test_a_region_heard_in_part_keeps_what_runs_and_the_others_shrink():
-    plan = plan_of(clock.ManualClock(), 3.0, in_part("s"))
+    plan = plan_of(clock.ManualClock(), 3.0, partially_reachable("s"))
     run = engines(dict.fromkeys(PRICES, 8), {"s1": 2})
     orders = plan.orders(SCALING, run)
     assert {one.data_centre for one in orders} == {"n1", "n2", "w1", "w2"}
@@ -62,7 +62,7 @@
 
 def test_a_region_heard_in_part_gets_back_what_was_reclaimed_there():
     time = clock.ManualClock()
-    plan = plan_of(time, 3.0, in_part("s"))
+    plan = plan_of(time, 3.0, partially_reachable("s"))
     plan.ordered(records.EngineOrder("s", "s1", 8, True), refused=False)
     time.advance_to(time.now() + 60_000)
     run = engines({"n1": 2, "n2": 2, "s2": 8, "w1": 2, "w2": 2})
@@ -129,7 +129,7 @@
 
 def test_with_one_region_the_plan_is_the_one_that_spreads_evenly():
     one_region = region_demand.RegionView(dict.fromkeys(PRICES, "n"), {"n": 1.0}, way=0.0)
-    ready = {engine_pools.Place(name, True): 3 for name in PRICES}
+    ready = {engine_pools.Pool(name, True): 3 for name in PRICES}
     for demand in (1.0, 7.0, 30.0):
         plans = [
             plan_of(clock.ManualClock(), demand, regions)
--- a/plumarch/fleet/region_demand.py
+++ b/plumarch/fleet/region_demand.py
@@ -27,13 +27,13 @@
     Attributes:
       region_of: by data centre; empty where all are of one region.
       shares: part of the demand that arises in each region; they add up to 1.
-      in_part: regions of which too few nodes are heard to let anything go there.
+      partially_reachable: regions of which too few nodes are heard to let anything go there.
       way: what a request to another region costs, as a part of the tightest target.
     """
 
     region_of: Mapping[str, str] = dataclasses.field(default_factory=dict)
     shares: Mapping[str, float] = dataclasses.field(default_factory=dict)
-    in_part: frozenset[str] = frozenset()
+    partially_reachable: frozenset[str] = frozenset()
     way: float = 0.0
 
     def of(self, data_centre: str) -> str:
@@ -71,19 +71,21 @@
     Attributes:
       rates: units a second by region, smoothed; one that is heard in part does not fall.
       shares: those that are planned by.
-      in_part: regions that were heard in part at the last sample.
+      partially_reachable: regions that were heard in part at the last sample.
     """
 
     rates: dict[str, float] = dataclasses.field(default_factory=dict)
     shares: dict[str, float] = dataclasses.field(default_factory=dict)
-    in_part: frozenset[str] = frozenset()
+    partially_reachable: frozenset[str] = frozenset()
 
-    def sample(self, units_per_s: Mapping[str, float], in_part: frozenset[str]) -> float:
+    def sample(
+        self, units_per_s: Mapping[str, float], partially_reachable: frozenset[str]
+    ) -> float:
         """Take in what the last second asked for.
 
         Args:
           units_per_s: by region.
-          in_part: regions of which too few nodes are heard to take a fall for one.
+          partially_reachable: regions of which too few nodes are heard to take a fall for one.
         Returns:
           What the whole fleet is asked for, in units a second.
         """
@@ -91,12 +93,12 @@
         for region in {*units_per_s, *self.rates}:
             now = units_per_s.get(region, 0.0)
             known = self.rates.get(region)
-            if known is not None and region in in_part:
+            if known is not None and region in partially_reachable:
                 now = max(now, known)
             total += now
             smoothed = now if known is None else SHARE_PAST * known + (1.0 - SHARE_PAST) * now
             self.rates[region] = smoothed
-        self.in_part = in_part
+        self.partially_reachable = partially_reachable
         self._adopt()
         return total
 
@@ -112,8 +114,8 @@
         """Begin anew, since this node does not hear of the fleet's requests any more."""
         self.rates.clear()
         self.shares.clear()
-        self.in_part = frozenset()
+        self.partially_reachable = frozenset()
 
     def view(self, region_of: Mapping[str, str], way: float) -> RegionView:
         """Return the regions as they are planned by now."""
-        return RegionView(region_of, dict(self.shares), self.in_part, way)
+        return RegionView(region_of, dict(self.shares), self.partially_reachable, way)
--- a/plumarch/fleet/region_demand_test.py
+++ b/plumarch/fleet/region_demand_test.py
@@ -58,4 +58,4 @@
     demand = region_demand.RegionDemand()
     demand.sample({"n": 500.0, "s": 100.0}, frozenset({"s"}))
     demand.forget()
-    assert not demand.rates and not demand.shares and not demand.in_part
+    assert not demand.rates and not demand.shares and not demand.partially_reachable
--- a/plumarch/fleet/rollout.py
+++ b/plumarch/fleet/rollout.py
@@ -21,7 +21,7 @@
 SLACK_USED = 0.5
 """Part of the tolerated number of requests besides that is given to services with few requests."""
 
-MOST_CANARY = 0.3
+MAX_CANARY = 0.3
 """A version that was not judged yet gets no more than this part, whatever is tolerated."""
 
 ENOUGH_ANSWERS = 250.0
@@ -39,7 +39,7 @@
 COMPLETED_BY = 0.92
 """By this part of the time it is completed though requests still run on old endpoints."""
 
-LEAST_CAPACITY = 0.8
+MIN_CAPACITY = 0.8
 """Part of the old endpoints' number from which on the new ones can carry the load: fleets are
 sized with a reserve of a third or more."""
 
@@ -152,7 +152,7 @@
         if self.stage is Stage.WAITING:
             self._enter(Stage.FEW, self._canary_share(sight), "endpoints of the version came")
         good = verdict is version_verdict.Verdict.GOOD
-        carries = sight.ready_new >= LEAST_CAPACITY * sight.ready_old
+        carries = sight.ready_new >= MIN_CAPACITY * sight.ready_old
         if self.stage in (Stage.FEW, Stage.MORE):
             self._go_on(good, carries, figures)
         elif self.stage is Stage.ALL:
@@ -174,7 +174,7 @@
     def _canary_share(self, sight: Sight) -> float:
         expected = max(1.0, sight.requests_per_s * self.order.duration_ms / 1_000.0)
         share = EXPOSURE_USED * self.exposure.share + SLACK_USED * self.exposure.slack / expected
-        return min(MOST_CANARY, share, ENOUGH_ANSWERS / (STEPS[0][0] * expected))
+        return min(MAX_CANARY, share, ENOUGH_ANSWERS / (STEPS[0][0] * expected))
 
     def _enter(self, stage: Stage, share: float, reason: str) -> None:
         self.stage, self.share, self.reason = stage, share, reason
--- a/plumarch/fleet/rollout_test.py
+++ b/plumarch/fleet/rollout_test.py
@@ -52,7 +52,7 @@
         _, share = playing.at(0.05, sight)
         expected = requests_per_s * DURATION_MS / 1_000
         assert 0 < share * expected <= EXPOSURE.share * expected + EXPOSURE.slack
-        assert share <= rollout.MOST_CANARY
+        assert share <= rollout.MAX_CANARY
 
 
 def test_a_good_version_goes_through_all_steps_one_at_a_time():
--- a/plumarch/fleet/usage.py
+++ b/plumarch/fleet/usage.py
@@ -46,7 +46,7 @@
         oldest = self.window_at(wall_ms) - windows
         return {number: dict(counts) for number, counts in self.own.items() if number > oldest}
 
-    def heard_from(self, node: str, counts: WindowCounts) -> None:
+    def apply_node_report(self, node: str, counts: WindowCounts) -> None:
         """Take in what an incarnation counted; later counts of a window replace earlier ones."""
         known = self.heard.setdefault(node, {})
         for number, told in counts.items():
@@ -57,7 +57,7 @@
         if not known:
             del self.heard[node]
 
-    def heard_sums(self, group: str, counts: WindowCounts) -> None:
+    def apply_centre_summary(self, group: str, counts: WindowCounts) -> None:
         """Take in what one of a group of nodes counted of all of them.
 
         Each may have missed some of the others' counts, so that the largest sum counts.
@@ -70,7 +70,7 @@
             }
             for number, told in counts.items()
         }
-        self.heard_from(group, largest)
+        self.apply_node_report(group, largest)
 
     def total(
         self, window: int, counts_in: Callable[[str], bool] = lambda name: True
--- a/plumarch/fleet/usage_test.py
+++ b/plumarch/fleet/usage_test.py
@@ -14,9 +14,9 @@
 def test_a_node_heard_twice_counts_once_and_a_new_process_adds_to_the_old_one():
     counter = usage.UsageCounter(5_000)
     counter.began("w", 100)
-    counter.heard_from("b#1", {0: {"w": 3}})
-    counter.heard_from("b#1", {0: {"w": 4, "x": 1}})
-    counter.heard_from("b#2", {0: {"w": 2}})
+    counter.apply_node_report("b#1", {0: {"w": 3}})
+    counter.apply_node_report("b#1", {0: {"w": 4, "x": 1}})
+    counter.apply_node_report("b#2", {0: {"w": 2}})
     assert counter.total(0) == {"w": 7, "x": 1}
 
 
@@ -24,7 +24,7 @@
     counter = usage.UsageCounter(1_000)
     for window in range(40):
         counter.began("w", window * 1_000)
-        counter.heard_from("b#1", {window: {"w": 1}})
+        counter.apply_node_report("b#1", {window: {"w": 1}})
     assert len(counter.own) <= usage.WINDOWS_KEPT + 1
     assert len(counter.heard["b#1"]) <= usage.WINDOWS_KEPT + 1
 
--- a/plumarch/fleet/version_verdict.py
+++ b/plumarch/fleet/version_verdict.py
@@ -30,8 +30,8 @@
 """Probability of a bad version below which it gets more requests than a bad one may. A lower one
 rolls more good versions back, a higher one lets more bad ones through (docs/design/rollouts.md)."""
 
-LEAST_RATE = 1e-4
-LEAST_LIKELIHOOD = 1e-300
+MIN_RATE = 1e-4
+MIN_LIKELIHOOD = 1e-300
 """What stands for 0 where a logarithm is taken."""
 
 PERIOD_ANSWERS = 30.0
@@ -43,7 +43,7 @@
 
 
 def _logs(rate: float) -> tuple[float, float]:
-    bounded = min(1.0 - LEAST_RATE, rate)
+    bounded = min(1.0 - MIN_RATE, rate)
     return math.log(bounded), math.log(1.0 - bounded)
 
 
@@ -112,7 +112,7 @@
         logs = [bad * log + good * rest for log, rest in row]
         most = max(logs)
         mean = sum(w * math.exp(one - most) for w, one in zip(weights, logs, strict=True))
-        found.append(most + math.log(max(mean / total, LEAST_LIKELIHOOD)))
+        found.append(most + math.log(max(mean / total, MIN_LIKELIHOOD)))
     return found
 
 
--- a/plumarch/gateway/callers/admission.py
+++ b/plumarch/gateway/callers/admission.py
@@ -82,7 +82,7 @@
     return min(LEAST_URGENT, max(0, workspace_rank) * ROUTE_RANKS + max(0, route_rank))
 
 
-def too_much_held(state: fleet_state.FleetState, admitted: Admitted) -> Refusal:
+def over_memory_budget(state: fleet_state.FleetState, admitted: Admitted) -> Refusal:
     """Return the refusal of a request whose workspace may hold no more, and refund it."""
     if admitted.workspace is not None:
         state.quota.refund(admitted.workspace, admitted.units)
@@ -120,7 +120,7 @@
         return Refusal(503, "quarantined", float(hold.back_in_ms), workspace_name)
     rank = _rank(workspace, route)
     held = memory_admission.Held(state.memory.total(), state.memory.budget)
-    back_in_ms = state.pressure.refuse(held, len(request.body), rank, state.memory.given_back)
+    back_in_ms = state.pressure.refuse(held, len(request.body), rank, state.memory.released)
     if back_in_ms is not None:
         back_in_ms = return_times.spread(back_in_ms, state.rng)
         return Refusal(503, "memory", back_in_ms, workspace_name)
--- a/plumarch/gateway/callers/caller_connection.py
+++ b/plumarch/gateway/callers/caller_connection.py
@@ -93,9 +93,9 @@
         self.head: h11.Request | None = None
         self.request: caller_requests.CallerRequest | None = None
         self.body = incoming_body.IncomingBody(server.memory, self)
-        self.ahead = memory_account.Holding(self, "", memory_account.Purpose.REQUEST_BODIES)
+        self.ahead = memory_account.Reservation(self, "", memory_account.Purpose.REQUEST_BODIES)
         self.output: outgoing.Outgoing | None = None
-        self.unread = memory_account.Holding(self, "", memory_account.Purpose.UNREAD_ANSWERS)
+        self.unread = memory_account.Reservation(self, "", memory_account.Purpose.UNREAD_ANSWERS)
         self.began_ms = -1
         self.started = False
         self.lingering = False
@@ -243,7 +243,7 @@
         """Refuse what can't be read as a request, and end the connection."""
         headers = [(b"connection", b"close")]
         if status == incoming_body.NO_ROOM:
-            back_in_ms = self.server.back_in_ms(self.body.holding.size)
+            back_in_ms = self.server.back_in_ms(self.body.reservation.size)
             headers.append((b"retry-after", f"{back_in_ms / 1000.0:.3f}".encode()))
         self.body.end()
         self.send(status, headers, b"")
@@ -310,7 +310,9 @@
     def assign(self, workspace: str) -> bool:
         """Say whose request it is; False if the workspace may not hold as much as it does."""
         memory = self.server.memory
-        return memory.assign(self.unread, workspace) and memory.assign(self.body.holding, workspace)
+        return memory.assign(self.unread, workspace) and memory.assign(
+            self.body.reservation, workspace
+        )
 
     def forget_body(self) -> None:
         """Give back the request's body, which is not sent again."""
--- a/plumarch/gateway/callers/incoming_body.py
+++ b/plumarch/gateway/callers/incoming_body.py
@@ -14,30 +14,32 @@
     """A body that arrives, and is kept until its request is answered.
 
     Attributes:
-      holding: what counts its bytes in the node's account of memory.
+      reservation: what counts its bytes in the node's account of memory.
       data: what has arrived; emptied once the body is whole.
       limits: what the caller may send.
-      heard_ms: when bytes came last.
+      last_seen_ms: when bytes came last.
       ends_ms: when the request is given up.
     """
 
     def __init__(self, memory: memory_account.MemoryAccount, connection: Hashable) -> None:
         self.memory = memory
-        self.holding = memory_account.Holding(connection, "", memory_account.Purpose.REQUEST_BODIES)
+        self.reservation = memory_account.Reservation(
+            connection, "", memory_account.Purpose.REQUEST_BODIES
+        )
         self.data = bytearray()
         self.limits = traffic.CallerLimits()
-        self.heard_ms = 0
+        self.last_seen_ms = 0
         self.ends_ms = 0.0
 
     def begin(self, limits: traffic.CallerLimits, now: int, ends_ms: float) -> None:
         """Expect a body."""
         self.limits = limits
-        self.heard_ms = now
+        self.last_seen_ms = now
         self.ends_ms = ends_ms
 
     def heard(self, now: int) -> None:
         """Note that bytes came."""
-        self.heard_ms = now
+        self.last_seen_ms = now
 
     def take(self, data: bytes) -> int:
         """Take bytes in.
@@ -45,32 +47,32 @@
         Returns:
           0, or the status to refuse the request with.
         """
-        size = self.holding.size + len(data)
+        size = self.reservation.size + len(data)
         if size > self.limits.body_bytes:
             return TOO_LARGE
-        if not self.memory.resize(self.holding, size):
+        if not self.memory.resize(self.reservation, size):
             return NO_ROOM
         self.data += data
         return 0
 
     def too_slow(self, now: int) -> bool:
         """Return whether nothing came for too long, or the request's time is over."""
-        return now >= self.ends_ms or now - self.heard_ms >= self.limits.idle_timeout_ms
+        return now >= self.ends_ms or now - self.last_seen_ms >= self.limits.idle_timeout_ms
 
     def next_look_ms(self, now: int) -> float:
         """Return in which time the body may first be too slow."""
-        return max(1.0, min(self.ends_ms, self.heard_ms + self.limits.idle_timeout_ms) - now)
+        return max(1.0, min(self.ends_ms, self.last_seen_ms + self.limits.idle_timeout_ms) - now)
 
     def whole(self) -> bytes:
         """Return the body, which is counted until the end of its request."""
         found = bytes(self.data)
         self.data.clear()
-        self.memory.turn(self.holding, memory_account.Purpose.KEPT_BODIES)
+        self.memory.turn(self.reservation, memory_account.Purpose.KEPT_BODIES)
         return found
 
     def end(self) -> None:
         """Give back what was held."""
         self.data.clear()
-        self.memory.resize(self.holding, 0)
-        self.memory.assign(self.holding, "")
-        self.memory.turn(self.holding, memory_account.Purpose.REQUEST_BODIES)
+        self.memory.resize(self.reservation, 0)
+        self.memory.assign(self.reservation, "")
+        self.memory.turn(self.reservation, memory_account.Purpose.REQUEST_BODIES)
--- a/plumarch/gateway/callers/slow_callers_test.py
+++ b/plumarch/gateway/callers/slow_callers_test.py
@@ -17,14 +17,14 @@
 CALLERS = 500
 EVENTS = 24
 EVENT_BYTES = 16_384
-LEAST_BUFFER = 4_096
+MIN_BUFFER = 4_096
 """Of callers' sockets, so that what they don't read stays in the gateway, not in the kernel."""
 
 CONNECT_MS = 10_000.0
 """The stand-in endpoint accepts 500 connections on a loop that has more to do: a connection must
 not fail for that, since each caller's run is waited for."""
 
-MOST_HELD = 40 * 2**20
+MAX_HELD = 40 * 2**20
 """Of a node whose process may take 200 MB."""
 
 
@@ -74,7 +74,7 @@
 
 async def connect_silently(port: int, path: str) -> socket.socket:
     sock = socket.socket()
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, LEAST_BUFFER)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, MIN_BUFFER)
     sock.setblocking(False)
     loop = asyncio.get_running_loop()
     await loop.sock_connect(sock, ("127.0.0.1", port))
@@ -88,7 +88,7 @@
 
 
 def little_in_kernel(listening: socket.socket) -> None:
-    listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, LEAST_BUFFER)
+    listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MIN_BUFFER)
 
 
 def bytes_held(gateway: relay_test.Gateway) -> int:
@@ -120,7 +120,7 @@
             held = bytes_held(gateway)
             memory = gateway.state.memory
             assert memory.total() <= memory.budget
-            assert held < MOST_HELD
+            assert held < MAX_HELD
             for sock in callers:
                 sock.close()
 
@@ -165,7 +165,7 @@
     return word in bytes(gateway.state.log.pending)
 
 
-def all_given_back(gateway: relay_test.Gateway) -> bool:
+def all_released(gateway: relay_test.Gateway) -> bool:
     state = gateway.state
     return state.chooser.own == {} and state.memory.total() == 0 and not state.memory.by_connection
 
@@ -182,7 +182,7 @@
             gateway.callers.stall_ms = 30.0
             caller = await slow_caller(gateway, "/chat/")
             await flood.wait_over(1)
-            await until(lambda: all_given_back(gateway) and not gateway.callers.connections)
+            await until(lambda: all_released(gateway) and not gateway.callers.connections)
             assert logged(gateway, b'"reason":"caller_stalled"')
             assert not (await caller.read_answer()).whole
 
@@ -201,7 +201,7 @@
             connection._linger_over()
             found = await caller.read_answer()
             assert (found.whole, found.body) == (True, flood.whole)
-            await until(lambda: all_given_back(gateway))
+            await until(lambda: all_released(gateway))
 
     relay_test.play(test)
 
@@ -226,7 +226,7 @@
             go_on.set()
             found = await answer
             assert (found.status, found.body) == (int(second[:3]), kept)
-            await until(lambda: all_given_back(gateway))
+            await until(lambda: all_released(gateway))
 
     relay_test.play(test)
 
@@ -239,7 +239,7 @@
             memory.budget = LITTLE_BUDGET
             # The workspace has room for the answer, but not for twice as much.
             for number in range(2):
-                other = memory_account.Holding(number, "w", memory_account.Purpose.KEPT_BODIES)
+                other = memory_account.Reservation(number, "w", memory_account.Purpose.KEPT_BODIES)
                 assert memory.resize(other, 270_000)
             caller = await slow_caller(gateway, "/safe/")
             await until(lambda: logged(gateway, b'"answered"'))
--- a/plumarch/gateway/callers/slow_requests_test.py
+++ b/plumarch/gateway/callers/slow_requests_test.py
@@ -144,12 +144,12 @@
     async def test() -> None:
         async with relay_test.Gateway(relay_test.answers()) as gateway:
             memory = gateway.state.memory
-            holdings = [
-                memory_account.Holding(number, "", memory_account.Purpose.KEPT_BODIES)
+            reservations = [
+                memory_account.Reservation(number, "", memory_account.Purpose.KEPT_BODIES)
                 for number in range(10)
             ]
-            for holding in holdings:
-                assert memory.resize(holding, round(memory.budget * 0.08))
+            for reservation in reservations:
+                assert memory.resize(reservation, round(memory.budget * 0.08))
             table = gateway.state.table
             assert table is not None
             routes = {one.name: one for one in table.configuration.routes}
@@ -166,11 +166,11 @@
             found = await gateway.ask("/later/")
             assert (found.status, gateway.sends()) == (503, 1)
             assert float(found.headers["retry-after"]) > 0
-            assert memory.resize(holdings[0], round(memory.budget * 0.16))
-            assert memory.resize(holdings[1], round(memory.budget * 0.16))
+            assert memory.resize(reservations[0], round(memory.budget * 0.16))
+            assert memory.resize(reservations[1], round(memory.budget * 0.16))
             assert (await gateway.ask("/open/")).status == 503
-            for holding in holdings:
-                memory.resize(holding, 0)
+            for reservation in reservations:
+                memory.resize(reservation, 0)
             assert (await gateway.ask("/later/")).status == 200
 
     relay_test.play(test)
@@ -180,12 +180,12 @@
     async def test() -> None:
         async with relay_test.Gateway(relay_test.answers()) as gateway:
             memory = gateway.state.memory
-            holdings = [
-                memory_account.Holding(number, "w", memory_account.Purpose.UNREAD_ANSWERS)
+            reservations = [
+                memory_account.Reservation(number, "w", memory_account.Purpose.UNREAD_ANSWERS)
                 for number in range(4)
             ]
-            for holding in holdings:
-                assert memory.resize(holding, memory.budget // 8)
+            for reservation in reservations:
+                assert memory.resize(reservation, memory.budget // 8)
             found = await gateway.ask("/safe/", body=b"a body")
             assert (found.status, gateway.sends()) == (503, 0)
             assert (await gateway.ask("/open/", key="", body=b"a body")).status == 200
@@ -201,7 +201,9 @@
             memory.budget = 30_000
             # The workspace has room for the body, but not for it on its way as well.
             for number in range(3):
-                other = memory_account.Holding(number, "w", memory_account.Purpose.UNREAD_ANSWERS)
+                other = memory_account.Reservation(
+                    number, "w", memory_account.Purpose.UNREAD_ANSWERS
+                )
                 assert memory.resize(other, 2_600)
             found = await gateway.ask("/safe/", body=b"x" * 4_000)
             assert (found.status, found.body, gateway.sends()) == (503, b"memory\n", 0)
@@ -273,7 +275,7 @@
 
 
 @pytest.mark.parametrize(
-    ("accepted", "expected"), [(0, errors.NotHandedOver), (1, errors.ConnectionBroken)]
+    ("accepted", "expected"), [(0, errors.NotDispatched), (1, errors.ConnectionBroken)]
 )
 def test_only_a_request_of_which_no_byte_was_accepted_has_not_run(
     accepted: int, expected: type[Exception], monkeypatch: pytest.MonkeyPatch
--- a/plumarch/gateway/connections/exchange.py
+++ b/plumarch/gateway/connections/exchange.py
@@ -132,7 +132,7 @@
           workspace: whose request it is.
         Raises:
           ConnectFailed: the connection has ended: no byte is sent.
-          NoRoomToSend: the request can't be held: no byte is sent.
+          SendBufferFull: the request can't be held: no byte is sent.
         """
         if self.transport is None or self.transport.is_closing():
             raise errors.ConnectFailed("The connection ended before the request. Try again.")
@@ -156,17 +156,17 @@
     ) -> None:
         assert self.transport is not None
         purpose = memory_account.Purpose.UNSENT_REQUESTS
-        holding = memory_account.Holding(self, workspace, purpose)
-        if not memory.resize(holding, len(request)):
-            raise errors.NoRoomToSend("The request can't be held. Ask another node.")
+        reservation = memory_account.Reservation(self, workspace, purpose)
+        if not memory.resize(reservation, len(request)):
+            raise errors.SendBufferFull("The request can't be held. Ask another node.")
         if len(request) > outgoing.KERNEL_UNSENT_BYTES:
             outgoing.keep_little_in_kernel(self.transport)
         self.transport.write(request)
         if not self.transport.get_write_buffer_size():
-            memory.resize(holding, 0)
+            memory.resize(reservation, 0)
             return
         self.outgoing = outgoing.Outgoing(
-            self.transport, memory, holding, REQUEST_STALL_MS, self._not_read
+            self.transport, memory, reservation, REQUEST_STALL_MS, self._not_read
         )
         self.outgoing.follow(len(request))
 
@@ -182,7 +182,7 @@
         """Return the next part of the answer; informational answers are skipped.
 
         Raises:
-          NotHandedOver: no byte of the request was accepted.
+          NotDispatched: no byte of the request was accepted.
           ConnectionBroken: the answer broke off or is not HTTP.
         """
         while True:
@@ -210,7 +210,7 @@
 
     def _broken(self) -> errors.ExchangeError:
         if self.taken_nothing:
-            return errors.NotHandedOver(self.fault)
+            return errors.NotDispatched(self.fault)
         return errors.ConnectionBroken(self.fault or "the connection ended")
 
     def _all_parsed(self) -> None:
--- a/plumarch/gateway/connections/outgoing.py
+++ b/plumarch/gateway/connections/outgoing.py
@@ -37,13 +37,13 @@
         self,
         transport: asyncio.Transport,
         memory: memory_account.MemoryAccount,
-        holding: memory_account.Holding,
+        reservation: memory_account.Reservation,
         stall_ms: float,
         stalled: Callable[[], None],
     ) -> None:
         self.transport = transport
         self.memory = memory
-        self.holding = holding
+        self.reservation = reservation
         self.progress = read_progress.ReadProgress(stall_ms, min(CHECK_MS, stall_ms))
         self.stalled = stalled
         self.written = 0
@@ -85,9 +85,9 @@
           False if so much may not be held.
         """
         unread = self.unread()
-        if not unread and not self.holding.size:
+        if not unread and not self.reservation.size:
             return True
-        if not self.memory.resize(self.holding, unread):
+        if not self.memory.resize(self.reservation, unread):
             return False
         if unread:
             self.empty.clear()
@@ -106,7 +106,7 @@
     def end(self) -> None:
         """Stop counting: the connection is over, and its buffers are gone."""
         self._stop_timer()
-        self.memory.resize(self.holding, 0)
+        self.memory.resize(self.reservation, 0)
         self.empty.set()
 
     def _check(self) -> None:
--- a/plumarch/gateway/dispatch/announced_rates.py
+++ b/plumarch/gateway/dispatch/announced_rates.py
@@ -13,7 +13,7 @@
 """How long a request that no other endpoint has room for waits for permits: a round trip to a node
 of another region and back, with a stop at a coordinator."""
 
-MOST_WAITS = 3
+MAX_WAITS = 3
 """How often one request waits for them: others may use what came before it goes on."""
 
 
@@ -72,8 +72,8 @@
     endpoint: traffic.Endpoint,
     request: rate_allocator.PermitRequest,
 ) -> None:
-    if state.ask_permits is not None:
-        state.ask_permits(endpoint, request)
+    if state.request_permits is not None:
+        state.request_permits(endpoint, request)
         return
     answer = state.allocator.allocate(request, 1.0)
     state.permits.answered(endpoint, answer)
--- a/plumarch/gateway/dispatch/attempts.py
+++ b/plumarch/gateway/dispatch/attempts.py
@@ -210,7 +210,7 @@
         return float(permit_ms)
     near = [one for one in all_ready if state.distances.is_in_region(one.data_centre)]
     ready = near or [
-        one for one in all_ready if state.distances.way_ms(one.data_centre) < time_left_ms
+        one for one in all_ready if state.distances.network_ms(one.data_centre) < time_left_ms
     ]
     if ready:
         running = state.chooser.total_running(ready)
@@ -221,7 +221,7 @@
     service = state.table.services.get(admitted.service) if state.table else None
     if service is not None and service.scaling is not None:
         return return_times.when_booted(service.scaling.boot_ms)
-    return return_times.LEAST_MS
+    return return_times.MIN_MS
 
 
 def backoff_left_ms(state: fleet_state.FleetState, admitted: admission.Admitted) -> int:
@@ -316,8 +316,8 @@
     state.chooser.remember(choice, admitted.parts)
     if admitted.prompt_tokens:
         state.work.sent(admitted.service, admitted.units, choice.unread_tokens)
-        if state.tell_prompt is not None:
-            state.tell_prompt(
+        if state.announce_prompt is not None:
+            state.announce_prompt(
                 fleet_state.SentPrompt(
                     choice.endpoint.id,
                     choice.unread_tokens,
@@ -462,7 +462,7 @@
     """
     try:
         head = await attempt.exchange.next_within(wait_ms)
-    except errors.NotHandedOver as error:
+    except errors.NotDispatched as error:
         state.health.failure(attempt.choice.endpoint.id)
         raise NotRun(str(error)) from error
     if not isinstance(head, h11.Response):
--- a/plumarch/gateway/dispatch/endpoint_outcomes.py
+++ b/plumarch/gateway/dispatch/endpoint_outcomes.py
@@ -34,7 +34,7 @@
 """Weight of a refusal by an endpoint with free places as a failure of it: it may be full with
 requests that this node was not told of yet."""
 
-LEAST_COMPARED = 2
+MIN_COMPARED = 2
 """Endpoints of a region from which on they are compared with each other: an only one that hangs
 shows by those elsewhere alone."""
 
@@ -85,7 +85,7 @@
     """
     paces, running = state.health.paces, state.chooser.running
     near, away = locality_choice.near_and_away(endpoints, state.distances)
-    if len(near) < LEAST_COMPARED:
+    if len(near) < MIN_COMPARED:
         return paces.without_slow(endpoints, running)
     return paces.without_slow(near, running) + paces.without_slow(away, running)
 
@@ -96,16 +96,16 @@
     endpoints: Sequence[traffic.Endpoint],
 ) -> float:
     """Return how long a request has to wait because an endpoint of its service fell; 0 mostly."""
-    fall = state.limits.falls.recent(admitted.service)
-    if fall is None:
+    crash = state.limits.crashes.recent(admitted.service)
+    if crash is None:
         return 0.0
-    left = [one for one in endpoints if one.id != fall.endpoint]
+    left = [one for one in endpoints if one.id != crash.endpoint]
     if len(left) >= crash_guard.MANY_OTHERS:
         return 0.0
     running = state.chooser.total_running(left)
     slots = sum(max(1, one.slots) for one in left)
     rank = admission.urgency(admitted)
-    return state.limits.falls.wait_ms(admitted.service, running, slots, rank)
+    return state.limits.crashes.wait_ms(admitted.service, running, slots, rank)
 
 
 def given(
@@ -133,14 +133,14 @@
 
     The way to another region is no fault of an endpoint: a far one isn't slow by it.
     """
-    way_ms = state.distances.beyond_region_ms(choice.endpoint.data_centre)
+    network_ms = state.distances.beyond_region_ms(choice.endpoint.data_centre)
     if admitted.prompt_tokens:
         speed = state.chooser.speed(admitted.service)
-        return way_ms + speed.expect_ms(choice.tokens_to_read(), choice.place_wait_ms)
+        return network_ms + speed.expect_ms(choice.tokens_to_read(), choice.capacity_wait_ms)
     mean = state.answer_times.by_route.get(admitted.route.name)
     if mean is None or mean.seen < answer_times.KNOWN_AFTER:
         return None
-    return way_ms + mean.value
+    return network_ms + mean.value
 
 
 def answered(
@@ -227,14 +227,14 @@
     running = state.chooser.running(one.endpoint.id)
     elsewhere = _elsewhere(state, one.endpoint)
     endpoint = _as_told(state, one.endpoint)
-    _note_fall(state, endpoint, state.limits.lost(endpoint, running, elsewhere))
+    _note_crash(state, endpoint, state.limits.lost(endpoint, running, elsewhere))
 
 
 def unreached(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> None:
     """Note that an endpoint could not be connected to."""
     elsewhere = _elsewhere(state, endpoint)
     endpoint = _as_told(state, endpoint)
-    _note_fall(state, endpoint, state.limits.unreached(endpoint, elsewhere))
+    _note_crash(state, endpoint, state.limits.unreached(endpoint, elsewhere))
 
 
 def ended(state: fleet_state.FleetState, one: Given) -> None:
@@ -263,22 +263,22 @@
     return state.chooser.total_running(one for one in ready if one.id != endpoint.id)
 
 
-def _note_fall(
-    state: fleet_state.FleetState, endpoint: traffic.Endpoint, fall: crash_guard.Fall | None
+def _note_crash(
+    state: fleet_state.FleetState, endpoint: traffic.Endpoint, crash: crash_guard.Crash | None
 ) -> None:
-    if fall is None:
+    if crash is None:
         return
-    state.measures.falls.add(endpoint.service)
+    state.measures.crashes.add(endpoint.service)
     state.log.write(
         "endpoint_fell",
         endpoint=endpoint.id,
         service=endpoint.service,
-        held=fall.held,
-        weight=round(fall.weight),
-        slots=fall.slots,
-        elsewhere=fall.elsewhere,
-        others_bear_per_slot=state.limits.falls.per_slot(endpoint.service),
-        others_bear_weight=state.limits.falls.weight(endpoint.service),
+        held=crash.held,
+        weight=round(crash.weight),
+        slots=crash.slots,
+        elsewhere=crash.elsewhere,
+        others_bear_per_slot=state.limits.crashes.per_slot(endpoint.service),
+        others_bear_weight=state.limits.crashes.weight(endpoint.service),
     )
 
 
--- a/plumarch/gateway/dispatch/lost_runs.py
+++ b/plumarch/gateway/dispatch/lost_runs.py
@@ -24,7 +24,7 @@
 """How long after a loss an endpoint's new start counts as the cause: it is in the store a few
 seconds after its process is up."""
 
-MOST_DOUBTED = 64
+MAX_DOUBTED = 64
 """Lost runs that are kept of an endpoint for that, the last ones: as many as it has places, mostly.
 One that breaks off answers all the time would have them grow."""
 
@@ -128,7 +128,7 @@
         }
         before = self.doubts.get(endpoint.id)
         earlier = before.runs if before is not None else []
-        self.doubts[endpoint.id] = Doubt(endpoint, (earlier + runs)[-MOST_DOUBTED:], now)
+        self.doubts[endpoint.id] = Doubt(endpoint, (earlier + runs)[-MAX_DOUBTED:], now)
 
     def restarted(self, endpoint: str) -> None:
         """Take in that an endpoint's process is no more: what was lost there was lost with it."""
@@ -150,11 +150,11 @@
             runs=[[run.request, run.fingerprint, run.after_ms, run.points] for run in runs],
         )
         for run in runs:
-            was_held = state.quarantine.hold(run.fingerprint) is not None
+            was_quarantined = state.quarantine.hold(run.fingerprint) is not None
             state.quarantine.ended(run.fingerprint, endpoint.id, run.points)
-            suspect_updates.log_change(state, run.fingerprint, was_held, state.node)
-            if state.tell_suspect is not None:
-                state.tell_suspect(run.fingerprint)
+            suspect_updates.log_change(state, run.fingerprint, was_quarantined, state.node)
+            if state.publish_suspect is not None:
+                state.publish_suspect(run.fingerprint)
 
 
 def _points(attempt: attempts.Attempt, now: int) -> int:
--- a/plumarch/gateway/dispatch/region_attempts_test.py
+++ b/plumarch/gateway/dispatch/region_attempts_test.py
@@ -199,7 +199,7 @@
     steady = clock.ManualClock()
     state = state_with(steady, endpoint("e0", "a"), endpoint("e1", "c"))
     state.chooser.speed("s").run_ms.value = 900.0
-    state.chooser.tell("x", {"e0": endpoint_choice.Load(12)})
+    state.chooser.report_loads("x", {"e0": endpoint_choice.Load(12)})
     hurried = admitted(steady, time_left_ms=100.0)
     assert attempts.choose(state, hurried, attempts.Progress()) is None
     assert attempts.when_room(state, hurried) == 900.0 * 9 / 4
@@ -250,10 +250,10 @@
     state = state_with(steady, endpoint("e1", "c"))
     run = new_run(state, admitted(steady, prompt_tokens=100), RecordedReply())
     near = endpoint_choice.Choice(
-        endpoint("e0", "a"), 0.0, 100.0, 1, waiting_tokens=8_000.0, place_wait_ms=0.0
+        endpoint("e0", "a"), 0.0, 100.0, 1, waiting_tokens=8_000.0, capacity_wait_ms=0.0
     )
     assert not run._hopeless(near)
-    assert run._hopeless(dataclasses.replace(near, way_ms=2 * FAR_MS))
+    assert run._hopeless(dataclasses.replace(near, network_ms=2 * FAR_MS))
 
 
 @pytest.mark.parametrize(("data_centre", "added_ms"), [("a", 0.0), ("b", 0.0), ("c", FAR_MS)])
@@ -297,7 +297,7 @@
 
 def test_the_metrics_page_shows_the_way_to_each_data_centre_that_was_connected_to():
     state = state_with(clock.ManualClock())
-    for _ in range(distance.LEAST_CONNECTS):
+    for _ in range(distance.MIN_CONNECTS):
         state.distances.connected("c", 42.0)
     pages = status_pages.StatusPages(state, lambda: True)
     request = caller_requests.CallerRequest(b"GET", b"/metrics", (), b"", 0)
--- a/plumarch/gateway/dispatch/request_run.py
+++ b/plumarch/gateway/dispatch/request_run.py
@@ -109,8 +109,8 @@
             last_event_id=admitted.request.header(state.names.last_event_id)
         )
         self.failed_answer: WholeAnswer | None = None
-        self.failed_holding: memory_account.Holding | None = None
-        self.back_in_ms = return_times.LEAST_MS
+        self.failed_reservation: memory_account.Reservation | None = None
+        self.back_in_ms = return_times.MIN_MS
         self.let_go = False
         self.resumes_until_ms = 0.0
 
@@ -125,11 +125,11 @@
         finally:
             self._keep_failed(None)
 
-    def _keep_failed(self, holding: memory_account.Holding | None) -> None:
+    def _keep_failed(self, reservation: memory_account.Reservation | None) -> None:
         """Count a failed answer that is kept, in place of the one before."""
-        if self.failed_holding is not None:
-            self.state.memory.resize(self.failed_holding, 0)
-        self.failed_holding = holding
+        if self.failed_reservation is not None:
+            self.state.memory.resize(self.failed_reservation, 0)
+        self.failed_reservation = reservation
 
     async def _attempt_all(self) -> Outcome:
         if not await self._may_begin():
@@ -176,7 +176,7 @@
         """Return whether a permit came that was asked for, where only it was missing."""
         progress = self.progress
         endpoint = progress.without_permit
-        if endpoint is None or progress.permit_waits >= announced_rates.MOST_WAITS:
+        if endpoint is None or progress.permit_waits >= announced_rates.MAX_WAITS:
             return False
         progress.permit_waits += 1
         time_left_ms = self.admitted.ends_ms - self.state.clock.now()
@@ -204,11 +204,11 @@
         if self.progress.sends or not self.admitted.prompt_tokens:
             return False
         others = choice.waiting_tokens / max(1.0, choice.tokens_to_read())
-        if others < HOPELESS_WAITING and not choice.place_wait_ms:
+        if others < HOPELESS_WAITING and not choice.capacity_wait_ms:
             return False
         speed = self.state.chooser.speed(self.admitted.service)
-        expected_ms = speed.expect_ms(choice.tokens_to_read(), choice.place_wait_ms)
-        expected_ms += choice.way_ms
+        expected_ms = speed.expect_ms(choice.tokens_to_read(), choice.capacity_wait_ms)
+        expected_ms += choice.network_ms
         target_ms = self.admitted.route.target_ms
         if not expected_ms > HOPELESS_TARGETS * target_ms > 0:
             return False
@@ -224,7 +224,7 @@
         state, progress = self.state, self.progress
         try:
             attempt = await attempts.send(state, self.admitted, progress, choice)
-        except errors.NoRoomToSend:
+        except errors.SendBufferFull:
             self.back_in_ms = state.pressure.back_in_ms(len(self.admitted.request.body))
             return self._give_up("memory", 502)
         except errors.ConnectFailed:
@@ -285,11 +285,11 @@
     def _note_whole_answer(self) -> None:
         """Take in that an endpoint ran the request to its end, and lives."""
         state, fingerprint = self.state, self.admitted.fingerprint
-        was_held = state.quarantine.hold(fingerprint) is not None
+        was_quarantined = state.quarantine.hold(fingerprint) is not None
         if state.quarantine.answered(fingerprint):
-            suspect_updates.log_change(state, fingerprint, was_held, state.node)
-            if state.tell_suspect is not None:
-                state.tell_suspect(fingerprint)
+            suspect_updates.log_change(state, fingerprint, was_quarantined, state.node)
+            if state.publish_suspect is not None:
+                state.publish_suspect(fingerprint)
 
     def _log_broken(self, attempt: attempts.Attempt, why: str) -> None:
         """Log a run that broke off, with what tells an endpoint's end from a bad answer."""
@@ -378,25 +378,25 @@
 
     async def _relay_whole(self, attempt: attempts.Attempt, head: h11.Response) -> Outcome:
         """Relay an answer that is read whole first, so that a broken one is never begun."""
-        holding = whole_answers.new_holding(attempt, self.admitted)
+        reservation = whole_answers.new_reservation(attempt, self.admitted)
         try:
             method = self.admitted.request.method
             body = await whole_answers.read(
-                self.state.memory, attempt.exchange, head, holding, method
+                self.state.memory, attempt.exchange, head, reservation, method
             )
             stream_relay.note_first_token(self.state, self.admitted, attempt, self.reply.started)
             if head.status_code >= SERVER_ERRORS and self._worth_repeating():
                 self.failed_answer = WholeAnswer(head, body)
-                self._keep_failed(holding)
+                self._keep_failed(reservation)
                 raise RepeatElsewhere("the endpoint failed, and another one may answer")
             if self.reply.started:
                 raise errors.ConnectionBroken(f"the stream can't go on: {head.status_code}")
             # From here on it counts as what the caller has to read.
-            self.state.memory.resize(holding, 0)
+            self.state.memory.resize(reservation, 0)
             return self._send_whole(WholeAnswer(head, body))
         finally:
-            if holding is not self.failed_holding:
-                self.state.memory.resize(holding, 0)
+            if reservation is not self.failed_reservation:
+                self.state.memory.resize(reservation, 0)
 
     def _send_whole(self, answer: WholeAnswer) -> Outcome:
         self.progress.first_ms = self.state.clock.now() - self.admitted.request.began_ms
--- a/plumarch/gateway/dispatch/slow_streams_test.py
+++ b/plumarch/gateway/dispatch/slow_streams_test.py
@@ -37,7 +37,7 @@
             assert 1 < len(resumed) <= CHAT_ATTEMPTS
             assert len(gateway.state.budget.services["s"].repeats) == len(resumed) - 1
             assert gateway.began() == 1
-            await slow_callers_test.until(lambda: slow_callers_test.all_given_back(gateway))
+            await slow_callers_test.until(lambda: slow_callers_test.all_released(gateway))
             let_go = gateway.state.measures.streams.counts
             assert let_go[("let_go",)] == let_go[("resumed",)] == len(resumed) - 1
 
@@ -67,7 +67,7 @@
             found = await caller.read_answer()
             assert not found.whole
             assert slow_callers_test.ALL_EVENTS.startswith(found.body)
-            await slow_callers_test.until(lambda: slow_callers_test.all_given_back(gateway))
+            await slow_callers_test.until(lambda: slow_callers_test.all_released(gateway))
 
     relay_test.play(test)
 
@@ -110,7 +110,7 @@
             found = await caller.read_answer()
             assert (found.whole, found.body) == (True, slow_callers_test.ALL_EVENTS)
             assert len(received(gateway)) == 1
-            await slow_callers_test.until(lambda: slow_callers_test.all_given_back(gateway))
+            await slow_callers_test.until(lambda: slow_callers_test.all_released(gateway))
 
     relay_test.play(test)
 
@@ -130,7 +130,7 @@
             gateway.state.memory.budget = slow_callers_test.LITTLE_BUDGET
             caller = await slow_callers_test.slow_caller(gateway, "/diff/")
             await flood.wait_over(1)
-            await slow_callers_test.until(lambda: slow_callers_test.all_given_back(gateway))
+            await slow_callers_test.until(lambda: slow_callers_test.all_released(gateway))
             assert slow_callers_test.logged(gateway, b'"caller_cut"')
             assert slow_callers_test.logged(gateway, b'"reason":"caller_too_slow"')
             assert gateway.state.measures.callers_cut.counts == {("caller_too_slow",): 1.0}
--- a/plumarch/gateway/dispatch/stream_relay.py
+++ b/plumarch/gateway/dispatch/stream_relay.py
@@ -58,7 +58,7 @@
           CallerTooSlow: the caller was ended.
         """
         splitter = event_stream.Splitter()
-        holding = memory_account.Holding(
+        reservation = memory_account.Reservation(
             attempt.exchange,
             self.admitted.workspace_name(),
             memory_account.Purpose.UNREAD_ANSWERS,
@@ -69,9 +69,9 @@
                 if isinstance(part, h11.EndOfMessage):
                     break
                 if isinstance(part, h11.Data):
-                    await self._take(attempt, head, splitter, bytes(part.data), holding)
+                    await self._take(attempt, head, splitter, bytes(part.data), reservation)
         finally:
-            self.state.memory.resize(holding, 0)
+            self.state.memory.resize(reservation, 0)
         if splitter.rest:
             raise errors.ConnectionBroken("the stream ended inside an event")
         self._start(head)
@@ -83,21 +83,21 @@
         head: h11.Response,
         splitter: event_stream.Splitter,
         data: bytes,
-        holding: memory_account.Holding,
+        reservation: memory_account.Reservation,
     ) -> None:
         for event in splitter.feed(data):
             self._check_order(event)
             if not self.reply.has_room(len(event.raw)):
                 if self._may_be_let_go():
                     raise LetGo(f"the caller doesn't read on after {self.progress.last_event_id}")
-                self._count(holding, len(data) + attempt.exchange.unparsed)
+                self._count(reservation, len(data) + attempt.exchange.unparsed)
                 await self._pause(attempt)
             self._pass_on(attempt, head, event)
         rest = len(splitter.rest)
         if rest > EVENT_BYTES_LIMIT:
             raise errors.ConnectionBroken(f"an event is longer than {EVENT_BYTES_LIMIT} bytes")
-        if rest or holding.size:
-            self._count(holding, rest)
+        if rest or reservation.size:
+            self._count(reservation, rest)
 
     def _check_order(self, event: event_stream.Event) -> None:
         last = self.progress.last_event_id
@@ -116,9 +116,9 @@
             return False
         return self.state.budget.take(self.admitted.service)
 
-    def _count(self, holding: memory_account.Holding, size: int) -> None:
+    def _count(self, reservation: memory_account.Reservation, size: int) -> None:
         """Count what waits here for the caller or for the end of an event."""
-        if not self.state.memory.resize(holding, size):
+        if not self.state.memory.resize(reservation, size):
             self.reply.cut("no_memory")
             raise CallerTooSlow(f"no room for {size} bytes of a stream")
 
@@ -176,7 +176,7 @@
     is_measure = is_measure and not attempts.was_suspended(state, attempt)
     if admitted.prompt_tokens and is_measure:
         waited_ms = attempt.first_ms
-        waited_ms -= round(attempt.choice.place_wait_ms + attempt.round_trip_ms)
+        waited_ms -= round(attempt.choice.capacity_wait_ms + attempt.round_trip_ms)
         speed = state.chooser.speed(admitted.service)
         others_waited = attempt.choice.waiting_tokens > 0
         speed.first_token(attempt.choice.tokens_to_read(), waited_ms, others_waited)
--- a/plumarch/gateway/dispatch/version_outcomes.py
+++ b/plumarch/gateway/dispatch/version_outcomes.py
@@ -41,7 +41,7 @@
         if attempt.first_ms is not None:
             first_ms = attempt.first_ms - attempt.round_trip_ms
         is_slow = answer_times.is_slow_first_event(
-            speed, tokens, attempt.choice.place_wait_ms, first_ms
+            speed, tokens, attempt.choice.capacity_wait_ms, first_ms
         )
     elif not failed:
         is_slow = state.answer_times.is_slow(admitted.route.name, took_ms)
--- a/plumarch/gateway/dispatch/whole_answers.py
+++ b/plumarch/gateway/dispatch/whole_answers.py
@@ -22,9 +22,11 @@
 """Room for the head that goes to the caller with the body."""
 
 
-def new_holding(attempt: attempts.Attempt, admitted: admission.Admitted) -> memory_account.Holding:
+def new_reservation(
+    attempt: attempts.Attempt, admitted: admission.Admitted
+) -> memory_account.Reservation:
     """Return what counts the bytes of an answer, none yet."""
-    return memory_account.Holding(
+    return memory_account.Reservation(
         attempt.exchange,
         admitted.workspace_name(),
         memory_account.Purpose.UNREAD_ANSWERS,
@@ -35,7 +37,7 @@
     memory: memory_account.MemoryAccount,
     source: exchange.Exchange,
     head: h11.Response,
-    holding: memory_account.Holding,
+    reservation: memory_account.Reservation,
     method: bytes = b"GET",
 ) -> bytes:
     """Read the rest of an answer's body.
@@ -52,7 +54,7 @@
         told = 0
     if told > ANSWER_BYTES_LIMIT:
         raise errors.ConnectionBroken(f"the answer is longer than {ANSWER_BYTES_LIMIT} bytes")
-    await _hold(memory, source, holding, told + HEAD_BYTES)
+    await _hold(memory, source, reservation, told + HEAD_BYTES)
     body = bytearray()
     while True:
         event = await source.next()
@@ -64,15 +66,15 @@
                     f"the answer is longer than {ANSWER_BYTES_LIMIT} bytes"
                 )
             needed = len(body) + len(event.data) + HEAD_BYTES
-            if needed > holding.size:
-                await _hold(memory, source, holding, needed)
+            if needed > reservation.size:
+                await _hold(memory, source, reservation, needed)
             body += event.data
 
 
 async def _hold(
     memory: memory_account.MemoryAccount,
     source: exchange.Exchange,
-    holding: memory_account.Holding,
+    reservation: memory_account.Reservation,
     size: int,
 ) -> None:
     """Hold so many bytes, if need be after others have given some back.
@@ -80,23 +82,25 @@
     Raises:
       NoMemory: there was no room in time.
     """
-    if _try(memory, holding, size):
+    if _try(memory, reservation, size):
         return
     source.hold_back()
     try:
         # What arrived already stays here while the answer waits, so it counts.
-        if not memory.resize(holding, holding.size + source.unparsed):
+        if not memory.resize(reservation, reservation.size + source.unparsed):
             raise errors.NoMemory(f"no room for {source.unparsed} bytes that arrived")
         async with asyncio.timeout(ROOM_WAIT_MS / 1000.0):
-            while not _try(memory, holding, size):
-                given_back = asyncio.Event()
-                memory.waiting.append(given_back.set)
-                await given_back.wait()
+            while not _try(memory, reservation, size):
+                released = asyncio.Event()
+                memory.waiting.append(released.set)
+                await released.wait()
     except TimeoutError as error:
         raise errors.NoMemory(f"no room for an answer of {size} bytes") from error
     finally:
         source.resume()
 
 
-def _try(memory: memory_account.MemoryAccount, holding: memory_account.Holding, size: int) -> bool:
-    return memory.may_hold_answer(holding, size) and memory.resize(holding, size)
+def _try(
+    memory: memory_account.MemoryAccount, reservation: memory_account.Reservation, size: int
+) -> bool:
+    return memory.may_hold_answer(reservation, size) and memory.resize(reservation, size)
--- a/plumarch/gateway/duties/duty_holder.py
+++ b/plumarch/gateway/duties/duty_holder.py
@@ -303,7 +303,7 @@
 
     def _holder_may_live(self, found: duty_lease.HeldRecord) -> bool:
         """Return whether the holder may live among nodes that are cut off from this one."""
-        fraction = self.view.heard_fraction()
+        fraction = self.view.reachable_fraction()
         now = self.state.clock.now()
         unchanged_ms = self.watch.unchanged_ms(found, now, 2 * TRY_PAUSE_MS)
         if fraction > MAJORITY or self._is_small():
@@ -332,7 +332,7 @@
         return self.view.size() <= tiers.FLAT_FLEET and not self.state.distances.regions
 
     def _renewal_due(self) -> bool:
-        fraction = self.view.heard_fraction()
+        fraction = self.view.reachable_fraction()
         if self.held is None or fraction >= 1.0 or self._is_small():
             return False
         few_left = fraction >= NEARLY_ALL
@@ -412,10 +412,10 @@
             return False
         now = self.state.clock.now()
         two_beats = heartbeats.USAGE_EVERY * max(gossiper.BEAT_MS, self.view.interval_ms)
-        heard_ms = [peer.heard_ms for peer in self.view.known_directly() if peer.incarnation] + [
-            centre.usage_told.get(window) for centre in self.view.centres.values()
-        ]
-        return all(at is not None and now - at < ago_ms - two_beats for at in heard_ms)
+        last_seen_ms = [
+            peer.last_seen_ms for peer in self.view.known_directly() if peer.incarnation
+        ] + [centre.usage_reported_ms.get(window) for centre in self.view.centres.values()]
+        return all(at is not None and now - at < ago_ms - two_beats for at in last_seen_ms)
 
     async def _fixed_counts(self, window: int) -> dict[str, int]:
         """Return a window's counts, fixed in the record so that a successor sends the same."""
--- a/plumarch/gateway/duties/duty_holder_test.py
+++ b/plumarch/gateway/duties/duty_holder_test.py
@@ -412,7 +412,7 @@
 def test_a_member_that_turns_coordinator_and_takes_the_duties_shrinks_no_service():
     time = clock.ManualClock(START_MS)
     node, cloud = ordering_node(time)
-    node.state.chooser.tell("fleet", {"e1": endpoint_choice.Load(140, 0.0)})
+    node.state.chooser.report_loads("fleet", {"e1": endpoint_choice.Load(140, 0.0)})
     speed = node.state.chooser.speed("s")
     for _ in range(2 * engine_speed.KNOWN_AFTER):
         speed.first_token(2_000.0, 400.0)
@@ -440,7 +440,7 @@
         run_step(node)
     for number in range(20):
         told = {"w": quota_records.PeerSpending(500_000.0, 1e6)}
-        node.state.quota.heard_from(f"late-{number}", told)
+        node.state.quota.apply_node_report(f"late-{number}", told)
     for _ in range(8):
         time.advance_to(time.now() + duty_holder.TICK_MS)
         run_step(node)
--- a/plumarch/gateway/duties/engine_gauges.py
+++ b/plumarch/gateway/duties/engine_gauges.py
@@ -23,7 +23,7 @@
         for spot in (False, True):
             kind = "spot" if spot else "firm"
             measures.engines.set(counts[region, spot], plan.service, region, kind)
-        measures.regions_in_part.set(region in regions.in_part, region)
+        measures.regions_in_part.set(region in regions.partially_reachable, region)
 
 
 def clear(state: fleet_state.FleetState) -> None:
@@ -52,6 +52,6 @@
         "region_demand": round(plan.demand * share, 2),
         "region_needed": round(needed, 2),
         "region_reserve": round(placed - needed, 2),
-        "in_part": region in regions.in_part,
+        "in_part": region in regions.partially_reachable,
         "way": round(regions.way, 3),
     }
--- a/plumarch/gateway/duties/engine_orders.py
+++ b/plumarch/gateway/duties/engine_orders.py
@@ -79,7 +79,7 @@
             return
         charged = self.state.quota.total_charged()
         rate = max(0.0, charged - self.sampled_charged) * 1000.0 / (now - self.sampled_ms)
-        hears_all = self.view.heard_fraction() >= HEARD_FOR_DEMAND
+        hears_all = self.view.reachable_fraction() >= HEARD_FOR_DEMAND
         if not self.sampled_ms:
             self.sums.begin()
         else:
@@ -109,11 +109,13 @@
         rates = {
             region: units * 1000.0 / elapsed_ms for region, units in self.sums.admitted().items()
         }
-        before = self.regions.in_part
-        in_part = self.sums.in_part(HEARD_FOR_DEMAND)
-        total = self.regions.sample(rates, in_part)
-        if in_part != before:
-            self.state.log.write("regions_in_part", regions=sorted(in_part), before=sorted(before))
+        before = self.regions.partially_reachable
+        partially_reachable = self.sums.partially_reachable(HEARD_FOR_DEMAND)
+        total = self.regions.sample(rates, partially_reachable)
+        if partially_reachable != before:
+            self.state.log.write(
+                "regions_in_part", regions=sorted(partially_reachable), before=sorted(before)
+            )
         return total
 
     def _regions_of(self, service: str, scaling: traffic.Scaling) -> region_demand.RegionView:
@@ -124,8 +126,12 @@
         region_of = {name: distances.region_of(name) for name in scaling.prices}
         way = region_sums.way_part(self.state, service, scaling.prices)
         # Also between two samples: what is heard in part from now on must not shrink now.
-        in_part = self.regions.in_part | self.sums.in_part(HEARD_FOR_DEMAND)
-        return dataclasses.replace(self.regions.view(region_of, way), in_part=in_part)
+        partially_reachable = self.regions.partially_reachable | self.sums.partially_reachable(
+            HEARD_FOR_DEMAND
+        )
+        return dataclasses.replace(
+            self.regions.view(region_of, way), partially_reachable=partially_reachable
+        )
 
     def _engines_busy(self, service: str, units_per_s: float) -> float:
         """Return how many engines of a service the requests of all nodes ask for now."""
--- a/plumarch/gateway/duties/rollout_duty.py
+++ b/plumarch/gateway/duties/rollout_duty.py
@@ -72,7 +72,7 @@
             try:
                 revision = await self._follow_once(revision)
                 dependency.answered()
-            except errors.PlatformTooOld:
+            except errors.PlatformRevisionExpired:
                 revision = None
             except errors.PlatformError as error:
                 revision = None
@@ -202,7 +202,7 @@
             if order.state is state or self.told.get(service) == (order.version, state):
                 continue
             try:
-                await self.store.tell_rollout(order, state)
+                await self.store.report_rollout(order, state)
             except errors.PlatformConflict as error:
                 # The order changed just now; its watch tells how, and then it is told anew.
                 self.state.log.write("rollout_changed", service=service, why=str(error))
--- a/plumarch/gateway/duties/rollout_duty_test.py
+++ b/plumarch/gateway/duties/rollout_duty_test.py
@@ -57,7 +57,7 @@
         self.record = records.Record(record.name, record.value, self.revision)
         return self.record
 
-    async def tell_rollout(
+    async def report_rollout(
         self, order: rollouts.RolloutOrder, state: rollouts.RolloutState
     ) -> None:
         self._reach()
@@ -66,7 +66,7 @@
             raise errors.PlatformConflict("changed")
         self.states.append(state.value)
 
-    async def list_rollouts(self) -> ports.RolloutNews:
+    async def list_rollouts(self) -> ports.RolloutUpdate:
         raise AssertionError("orders are handed to the nodes here")
 
     def kept_share(self) -> float:
--- a/plumarch/gateway/errors.py
+++ b/plumarch/gateway/errors.py
@@ -11,7 +11,7 @@
     """No connection came up: no byte was sent, so the request did not run."""
 
 
-class NoRoomToSend(ConnectFailed):
+class SendBufferFull(ConnectFailed):
     """The request can't be held on its way to an endpoint, whichever that is: no byte was sent."""
 
 
@@ -23,7 +23,7 @@
     """The endpoint stayed silent for longer than the request can wait."""
 
 
-class NotHandedOver(errors.NotDelivered, ExchangeError):
+class NotDispatched(errors.NotDelivered, ExchangeError):
     """A connection came up, but it took no byte of the request, so the request did not run."""
 
 
--- a/plumarch/gateway/fleet_state.py
+++ b/plumarch/gateway/fleet_state.py
@@ -80,11 +80,11 @@
       suspensions: when this process did not run.
       runs: connections on which requests run, by endpoint.
       contact: how well the other data centres are heard.
-      tell_prompt: tells the other nodes of a prompt sent to an engine.
+      announce_prompt: tells the other nodes of a prompt sent to an engine.
       endpoint_restarted: told of an endpoint whose process has started again.
-      tell_suspect: tells them what was learned of a request, by its fingerprint.
-      ask_permits: sends a request for permits to the endpoint's allocator; None where this node is
-        the only one.
+      publish_suspect: tells them what was learned of a request, by its fingerprint.
+      request_permits: sends a request for permits to the endpoint's allocator; None where this
+        node is the only one.
       claim_trial: asks the store whether this node may try a request that is held back.
       reaches_store: whether the platform's store answered the last call.
       stops_at_ms: when the process will end, once it was told to and balancers know; or None.
@@ -120,10 +120,10 @@
     )
     table: routing_table.RoutingTable | None = None
     table_source: str = ""
-    tell_prompt: Callable[[SentPrompt], None] | None = None
-    tell_suspect: Callable[[str], None] | None = None
+    announce_prompt: Callable[[SentPrompt], None] | None = None
+    publish_suspect: Callable[[str], None] | None = None
     endpoint_restarted: Callable[[str], None] = lambda _: None
-    ask_permits: Callable[[Endpoint, rate_allocator.PermitRequest], None] | None = None
+    request_permits: Callable[[Endpoint, rate_allocator.PermitRequest], None] | None = None
     claim_trial: Callable[[str], Awaitable[bool]] | None = None
     reaches_store: bool = True
     stops_at_ms: int | None = None
@@ -157,7 +157,7 @@
         before = self.table.version if self.table else None
         self.table = table
         self.table_source = source
-        self.quota.keep_only(table.workspaces)
+        self.quota.retain(table.workspaces)
         self.limits.services = table.services
         self.log.write(
             "configuration", urgent=True, version=table.version, before=before, source=source
@@ -231,7 +231,7 @@
 
     def _forget_gone(self) -> None:
         existing = set(self.registry.endpoints)
-        self.chooser.keep_only(existing)
-        self.health.keep_only(existing)
-        self.limits.keep_only(existing)
-        self.permits.forget_old(existing)
+        self.chooser.retain(existing)
+        self.health.retain(existing)
+        self.limits.retain(existing)
+        self.permits.prune(existing)
--- a/plumarch/gateway/gossip/bootstrap.py
+++ b/plumarch/gateway/gossip/bootstrap.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Introductions:
+class Bootstrap:
     """One node's introductions; a member leaves asking to its coordinators.
 
     Attributes:
@@ -56,7 +56,7 @@
         if self.view.role is tiers.Role.MEMBER:
             self._note([])
             return
-        live = self.view.centres_heard()
+        live = self.view.reachable_centres()
         one_by_one = live - self.view.centres.keys()
         self.view.all_centres.still_heard(one_by_one, self.state.clock.now())
         self._note(self.view.all_centres.unheard(live))
@@ -71,7 +71,7 @@
             self.send(self.composer.question(leaving), due)
 
     def _is_reached(self, peer: peer_node.Peer, live: set[str]) -> bool:
-        return self.view.is_heard(peer) or (peer.incarnation > 0 and peer.data_centre in live)
+        return self.view.is_alive(peer) or (peer.incarnation > 0 and peer.data_centre in live)
 
     def compare(self, told: gossip.CentreSummary, leaving: bool) -> None:
         """Tell a coordinator of another data centre whom this node hears, if it hears others.
@@ -80,7 +80,7 @@
           leaving: whether this process is about to end.
         """
         mine = self.view.digest()
-        if not told.centres_heard or told.centres_heard == mine:
+        if not told.centres_digest or told.centres_digest == mine:
             self.told.pop(told.node, None)
             return
         now = self.state.clock.now()
@@ -93,7 +93,7 @@
 
     def _directories(self) -> list[gossip.CentreDirectory]:
         known = [
-            gossip.KnownCentre(name, seniors.as_told(centre.seniors[: tiers.COORDINATORS]))
+            gossip.KnownCentre(name, seniors.to_messages(centre.seniors[: tiers.COORDINATORS]))
             for name, centre in sorted(self.view.live_centres().items())
         ]
         return [
@@ -109,16 +109,16 @@
         """
         for peer in told.peers:
             self.view.learn(peer.name, peer.address)
-        live = self.view.centres_heard()
+        live = self.view.reachable_centres()
         now = self.state.clock.now()
         news: set[str] = set()
         for one in told.centres:
             if one.data_centre == self.state.data_centre:
-                self.view.hear_say(seniors.taken(one.seniors))
+                self.view.note_reported_seniors(seniors.from_messages(one.seniors))
             elif one.data_centre not in live and self.view.all_centres.told(
-                one.data_centre, seniors.taken(one.seniors), now
+                one.data_centre, seniors.from_messages(one.seniors), now
             ):
-                news |= {elder.address for elder in one.seniors}
+                news |= {senior.address for senior in one.seniors}
         if news and self.view.role is not tiers.Role.MEMBER:
             self.send(self.composer.question(leaving), news)
 
@@ -134,15 +134,15 @@
 
     def take_elders(self, beat: gossip.Heartbeat) -> None:
         """Take in whom a node of another data centre calls the elders of it."""
-        if beat.seniors and beat.data_centre not in self.view.centres_heard():
-            told = seniors.taken(beat.seniors)
+        if beat.seniors and beat.data_centre not in self.view.reachable_centres():
+            told = seniors.from_messages(beat.seniors)
             self.view.all_centres.told(beat.data_centre, told, self.state.clock.now())
 
     def remember(self, peer: peer_node.Peer) -> None:
         """Keep in mind a node that is counted no more, for when it is reached again."""
-        if peer.heard_ms is not None and not peer.leaving:
-            elder = tiers.Elder(peer.age(), peer.address)
-            self.view.all_centres.remember(peer.data_centre, elder, peer.heard_ms)
+        if peer.last_seen_ms is not None and not peer.leaving:
+            senior = tiers.Senior(peer.seniority(), peer.address)
+            self.view.all_centres.remember(peer.data_centre, senior, peer.last_seen_ms)
 
     def _note(self, unheard: list[str]) -> None:
         """Log when a data centre begins and ends not to be heard, and keep what gauges show."""
@@ -160,7 +160,7 @@
                     urgent=True,
                     centre=name,
                     ever_heard=known[name].heard,
-                    elders=[elder.address for elder in known[name].seniors],
+                    elders=[senior.address for senior in known[name].seniors],
                 )
         contact = self.state.contact
         if self.view.role is tiers.Role.MEMBER:
--- a/plumarch/gateway/gossip/bootstrap_test.py
+++ b/plumarch/gateway/gossip/bootstrap_test.py
@@ -55,7 +55,7 @@
     node.gossip.bootstrap.send = lambda message, to: sent.append(message)
     other = next(one for one in fleet.live() if one.data_centre == "dc-c")
     summary = other.gossip.coordination.summary()
-    node.gossip.take_summary(summary, other.address)
+    node.gossip.handle_summary(summary, other.address)
     assert not sent
     for _ in range(3):
         node.gossip.bootstrap.compare(with_digest(summary, 7), leaving=False)
@@ -72,14 +72,14 @@
 
 def with_digest(summary: gossip.CentreSummary, digest: int) -> gossip.CentreSummary:
     """Return a summary of one that hears other data centres; 0 is told by older processes."""
-    return msgspec.structs.replace(summary, centres_heard=digest)
+    return msgspec.structs.replace(summary, centres_digest=digest)
 
 
 def test_those_that_stay_silent_are_asked_less_and_less():
     centres = known_centres.KnownCentres()
-    elder = tiers.Elder(tiers.Age(1, "n"), "10.0.0.1:7")
-    assert centres.told("dc-z", (elder,), 1_000)
-    assert not centres.told("dc-z", (elder,), 1_100)
+    senior = tiers.Senior(tiers.Seniority(1, "n"), "10.0.0.1:7")
+    assert centres.told("dc-z", (senior,), 1_000)
+    assert not centres.told("dc-z", (senior,), 1_100)
     asked = [
         now
         for now in range(1_000, 121_000, 250)
@@ -88,9 +88,9 @@
     pauses = [later - earlier for earlier, later in itertools.pairwise(asked)]
     assert pauses[0] == known_centres.ASK_MS
     assert pauses == sorted(pauses)
-    assert pauses[-1] == known_centres.ASK_LONGEST_MS
+    assert pauses[-1] == known_centres.MAX_ASK_MS
     assert not centres.to_ask({"dc-z"}, set(), 130_000)
-    assert not centres.to_ask(set(), set(), 1_001 + known_centres.FORGET_MS)
+    assert not centres.to_ask(set(), set(), 1_001 + known_centres.RETENTION_MS)
     assert not centres.centres
 
 
@@ -108,7 +108,7 @@
     fleet.run(SETTLE_MS)
     for gone in [node for node in fleet.live() if node.number == 2]:
         gone.alive = False
-    fleet.run(fleet_view.FORGET_MS + 5_000)
+    fleet.run(fleet_view.RETENTION_MS + 5_000)
     cut_ms = fleet.time.now()
     for node in fleet.live():
         assert node.state.contact.unheard == 0
--- a/plumarch/gateway/gossip/coordination.py
+++ b/plumarch/gateway/gossip/coordination.py
@@ -23,7 +23,7 @@
 WHOLE_AT_RETURN = 3
 """How many whole summaries are told once a data centre is heard for the first time, or again."""
 
-ANEW_MS = 1_000
+RESYNC_MS = 1_000
 """How long lower levels of a data centre are taken over that is heard for the first time, or again:
 until the coordinators of all have told each other what was admitted meanwhile, over slow links too.
 A coordinator that followed on one that died doesn't know what others told before."""
@@ -46,11 +46,11 @@
       ledger: who began to count what the nodes of the own data centre admitted.
       spent: what was counted in it, by workspace.
       own_counted: the part of this node's own spending that is counted in it.
-      taken_in: sequence of the last heartbeat or notice of each node of it, by name.
+      acknowledged: sequence of the last heartbeat or notice of each node of it, by name.
       rounds: news composed so far.
       summaries: summaries composed so far.
       newest: incarnation and number of the last summary of each coordinator elsewhere.
-      anew_until_ms: until when each data centre counts as heard since just now.
+      resync_until_ms: until when each data centre counts as heard since just now.
       whole_summaries: how many of the next summaries tell all figures.
       tell_all: whether the next news are whole, for a member that was not heard before.
     """
@@ -59,16 +59,16 @@
     view: fleet_view.FleetView
     duty: heartbeats.DutyStatus
     elsewhere: centre_spending.CentreSpending
-    ledger: tiers.Age = dataclasses.field(init=False)
+    ledger: tiers.Seniority = dataclasses.field(init=False)
     spent: collections.defaultdict[str, float] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(float)
     )
     own_counted: dict[str, float] = dataclasses.field(default_factory=dict)
-    taken_in: dict[str, int] = dataclasses.field(default_factory=dict)
+    acknowledged: dict[str, int] = dataclasses.field(default_factory=dict)
     rounds: int = 0
     summaries: int = 0
     newest: dict[str, tuple[int, int]] = dataclasses.field(default_factory=dict)
-    anew_until_ms: dict[str, int] = dataclasses.field(default_factory=dict)
+    resync_until_ms: dict[str, int] = dataclasses.field(default_factory=dict)
     whole_summaries: int = 0
     tell_all: bool = True
     spending_news: recent_changes.RecentChanges[float] = dataclasses.field(
@@ -83,11 +83,11 @@
     told_fraction: float = 0.0
 
     def __post_init__(self) -> None:
-        self.ledger = self.view.age()
+        self.ledger = self.view.seniority()
 
     # Other data centres.
 
-    def take_summary(self, told: gossip.CentreSummary) -> bool:
+    def handle_summary(self, told: gossip.CentreSummary) -> bool:
         """Take in what a coordinator of another data centre tells.
 
         Returns:
@@ -97,35 +97,35 @@
         if told.sequence and (told.incarnation, told.sequence) <= newest:
             return False
         self.newest[told.node] = (told.incarnation, told.sequence)
-        candidates = seniors.taken(told.candidate)
+        candidates = seniors.from_messages(told.candidate)
         now = self.state.clock.now()
         if told.data_centre not in self.view.live_centres():
             # Windows that ended while it was not heard are told in whole summaries only.
             self.whole_summaries = WHOLE_AT_RETURN
-            self.anew_until_ms[told.data_centre] = now + ANEW_MS
-        self.view.all_centres.heard(told.data_centre, seniors.taken(told.seniors), now)
+            self.resync_until_ms[told.data_centre] = now + RESYNC_MS
+        self.view.all_centres.heard(told.data_centre, seniors.from_messages(told.seniors), now)
         self.view.centres[told.data_centre] = tiers.CentreView(
             nodes=told.nodes,
-            heard=told.heard,
-            seniors=seniors.taken(told.seniors),
+            reachable_nodes=told.reachable_nodes,
+            seniors=seniors.from_messages(told.seniors),
             token=told.token,
-            candidate=candidates[0].age if candidates else None,
+            candidate=candidates[0].seniority if candidates else None,
             reported=told.reported,
             usage_age_ms=told.usage_age_ms,
-            told_ms=now,
-            usage_told=self._usage_told(told, now - told.usage_age_ms),
+            received_ms=now,
+            usage_reported_ms=self._usage_told(told, now - told.usage_age_ms),
             oldest_ms=now if _leads(told) else self._oldest_ms(told.data_centre),
         )
         self.duty.reported = max(self.duty.reported, told.reported)
-        self._charge(told, now < self.anew_until_ms[told.data_centre])
-        loads = load_reports.taken_all(told.loads, self.state.registry.by_name)
-        self.state.chooser.tell(CENTRE + told.data_centre, loads)
-        speed_reports.take(self.state, CENTRE + told.data_centre, told.speeds)
+        self._charge(told, now < self.resync_until_ms[told.data_centre])
+        loads = load_reports.from_messages(told.loads, self.state.registry.by_name)
+        self.state.chooser.report_loads(CENTRE + told.data_centre, loads)
+        speed_reports.apply(self.state, CENTRE + told.data_centre, told.speeds)
         version_reports.take_shares(self.state, told.versions)
         version_reports.take_answers(self.state, CENTRE + told.data_centre, told.answers)
         if told.usage:
             counts = {one.window: one.counts for one in told.usage}
-            self.state.usage.heard_sums(CENTRE + told.data_centre, counts)
+            self.state.usage.apply_centre_summary(CENTRE + told.data_centre, counts)
         return True
 
     def _oldest_ms(self, data_centre: str) -> int:
@@ -136,7 +136,7 @@
     def _usage_told(self, told: gossip.CentreSummary, as_of_ms: int) -> dict[int, int]:
         """Return as of when the newest usage windows of a data centre were told."""
         before = self.view.centres.get(told.data_centre)
-        known = dict(before.usage_told) if before is not None else {}
+        known = dict(before.usage_reported_ms) if before is not None else {}
         for one in told.usage:
             known[one.window] = max(as_of_ms, known.get(one.window, as_of_ms))
         newest = sorted(known)[-heartbeats.USAGE_WINDOWS :]
@@ -154,7 +154,7 @@
             told.data_centre,
             author,
             sums,
-            self.view.silence_ms(),
+            self.view.alive_timeout_ms(),
             _leads(told),
             self._ledger_of(told),
         )
@@ -164,13 +164,15 @@
             if one.settled
         }
         share = min(1.0, told.nodes / max(1, self.view.size()))
-        self.state.quota.heard_sums(CENTRE + told.data_centre, charged, levels, anew, share)
+        self.state.quota.apply_centre_summary(
+            CENTRE + told.data_centre, charged, levels, anew, share
+        )
 
     def _ledger_of(self, told: gossip.CentreSummary) -> centre_spending.Ledger:
         """Return the ledger in which a coordinator elsewhere counts."""
         if not told.ledger:
             return centre_spending.UNNAMED
-        begun = tiers.Age(told.ledger[0].incarnation, told.ledger[0].name)
+        begun = tiers.Seniority(told.ledger[0].incarnation, told.ledger[0].name)
         name = f"{begun.name}#{begun.incarnation}"
         return centre_spending.Ledger(name, begun.incarnation > self.view.incarnation)
 
@@ -179,7 +181,7 @@
     def count_on(self, ledger: spending_ledger.FollowedLedger) -> None:
         """Begin to coordinate: count on in the ledger that this node followed, or in a new one."""
         if ledger.begun_by is None:
-            self.ledger = self.view.age()
+            self.ledger = self.view.seniority()
         else:
             self.ledger = ledger.begun_by
         self.spent = collections.defaultdict(float, ledger.spent)
@@ -214,7 +216,7 @@
     def summary(self) -> gossip.CentreSummary:
         """Return what to tell the coordinators of other data centres now."""
         view, state = self.view, self.state
-        neighbours = [one for one in view.neighbours() if view.is_heard(one)]
+        neighbours = [one for one in view.neighbours() if view.is_alive(one)]
         whole = self.whole_summaries > 0 or self.summaries % WHOLE_EVERY == 0
         self.whole_summaries = max(0, self.whole_summaries - 1)
         with_usage = whole or self.summaries % USAGE_EVERY == 1
@@ -228,8 +230,8 @@
             configuration=state.configuration_version(),
             registry_revision=state.registry.changed_revision,
             nodes=view.centre_size(),
-            heard=1 + len(neighbours),
-            seniors=seniors.told(view),
+            reachable_nodes=1 + len(neighbours),
+            seniors=seniors.announced(view),
             token=max([self.duty.token, *tokens]),
             candidate=self._candidate(neighbours),
             reported=self.duty.reported,
@@ -237,27 +239,30 @@
             spending=self._spending(whole),
             loads=self._centre_loads(),
             usage=self._usage(whole) if with_usage else [],
-            speeds=speed_reports.told(state, self._is_near) if with_usage else [],
+            speeds=speed_reports.to_messages(state, self._is_near) if with_usage else [],
             versions=version_reports.shares_told(state),
             answers=version_reports.answers_told(state, self._is_near),
-            centres_heard=view.digest(),
+            centres_digest=view.digest(),
             sequence=self.summaries,
             ledger=[self._ledger_told()],
         )
 
-    def _ledger_told(self) -> gossip.KnownElder:
-        return gossip.KnownElder(self.ledger.name, self.ledger.incarnation, "")
+    def _ledger_told(self) -> gossip.NodeIdentity:
+        return gossip.NodeIdentity(self.ledger.name, self.ledger.incarnation, "")
 
-    def _candidate(self, neighbours: list[peer_node.Peer]) -> list[gossip.KnownElder]:
-        ages = [one.age() for one in neighbours if one.candidate and not one.leaving]
+    def _candidate(self, neighbours: list[peer_node.Peer]) -> list[gossip.NodeIdentity]:
+        ages = [one.seniority() for one in neighbours if one.candidate and not one.leaving]
         if self.duty.candidate:
-            ages.append(self.view.age())
-        return [gossip.KnownElder(age.name, age.incarnation, "") for age in sorted(ages)[:1]]
+            ages.append(self.view.seniority())
+        return [
+            gossip.NodeIdentity(seniority.name, seniority.incarnation, "")
+            for seniority in sorted(ages)[:1]
+        ]
 
     def _usage_age_ms(self) -> int:
         """Return how old the oldest news of a node of the own data centre is."""
         now = self.state.clock.now()
-        heard = [one.heard_ms for one in self.view.neighbours() if one.incarnation]
+        heard = [one.last_seen_ms for one in self.view.neighbours() if one.incarnation]
         return max((now - at for at in heard if at is not None), default=0)
 
     def _spending(self, whole: bool) -> list[gossip.CentreSpending]:
@@ -281,7 +286,7 @@
         """Return what the nodes of the own data centre have at endpoints."""
         chooser = self.state.chooser
         sums: dict[str, endpoint_choice.Load] = {}
-        sources = [loads for name, loads in chooser.told.items() if self._is_near(name)]
+        sources = [loads for name, loads in chooser.reported_loads.items() if self._is_near(name)]
         for loads in [chooser.own, *sources]:
             for endpoint, load in loads.items():
                 total = sums.setdefault(endpoint, endpoint_choice.Load())
@@ -321,9 +326,9 @@
         """
         for name, units in charged.items():
             self.spent[name] += units
-        self.taken_in[node] = max(sequence, self.taken_in.get(node, 0))
+        self.acknowledged[node] = max(sequence, self.acknowledged.get(node, 0))
 
-    def news(self) -> gossip.FleetNews:
+    def fleet_update(self) -> gossip.FleetUpdate:
         """Return what to tell the members of the own data centre now."""
         state, quota, view = self.state, self.state.quota, self.view
         fraction = view.fresh_fraction()
@@ -336,7 +341,7 @@
         charged = {name: bucket.charged for name, bucket in quota.buckets.items()}
         changed = self.level_news.select(charged)
         levels = [
-            gossip.ToldLevel(
+            gossip.ReportedLevel(
                 name,
                 round(bucket.level),
                 round(bucket.part),
@@ -346,7 +351,7 @@
             for name, bucket in quota.buckets.items()
             if whole or name in changed
         ]
-        return gossip.FleetNews(
+        return gossip.FleetUpdate(
             node=view.node,
             incarnation=view.incarnation,
             address=view.address,
@@ -356,11 +361,11 @@
             nodes=view.size(),
             centre_nodes=view.centre_size(),
             fraction=fraction,
-            seniors=seniors.told(view),
+            seniors=seniors.announced(view),
             followers=view.followers(state.reaches_store),
             levels=levels,
             loads=self._fleet_loads(whole),
-            whole=whole,
+            full=whole,
             versions=version_reports.shares_told(state),
             ledger=[self._ledger_told()],
         )
@@ -379,7 +384,7 @@
 
     def forget(self, node: str) -> None:
         """Drop what is kept of a node that is gone."""
-        self.taken_in.pop(node, None)
+        self.acknowledged.pop(node, None)
 
 
 def _leads(told: gossip.CentreSummary) -> bool:
--- a/plumarch/gateway/gossip/coordinators_test.py
+++ b/plumarch/gateway/gossip/coordinators_test.py
@@ -17,8 +17,8 @@
     return fleet
 
 
-def news_of(author: str, incarnation: int, fraction: float) -> gossip.FleetNews:
-    return gossip.FleetNews(
+def news_of(author: str, incarnation: int, fraction: float) -> gossip.FleetUpdate:
+    return gossip.FleetUpdate(
         node=author,
         incarnation=incarnation,
         address="10.97.99.1:7600",
@@ -32,7 +32,7 @@
         followers=[],
         levels=[],
         loads=[],
-        whole=True,
+        full=True,
     )
 
 
@@ -46,7 +46,7 @@
     sent.clear()
     fleet.time.advance_to(fleet.time.now() + rounds.LATE_ROUND_MS + 1)
     coordinator.gossip.rounds.step()
-    fleet.time.advance_to(fleet.time.now() + rounds.NEWS_MS)
+    fleet.time.advance_to(fleet.time.now() + rounds.ROUND_INTERVAL_MS)
     coordinator.gossip.rounds.step()
     assert not sent
     fleet.time.advance_to(fleet.time.now() + round(2 * coordinator.view.interval_ms))
@@ -57,11 +57,11 @@
 def test_a_member_follows_the_coordinator_that_hears_more_of_the_fleet():
     fleet = settled()
     member = fleet.nodes["dc-a-5"]
-    followed = member.view.news
+    followed = member.view.fleet_update
     assert followed is not None
     older = news_of("dc-a-99", 1, 0.5)
     assert not member.gossip.member.take_in(older)
-    assert member.view.news == followed
+    assert member.view.fleet_update == followed
     fleet.time.advance_to(fleet.time.now() + member_updates.FRESH_MS + 100)
     assert member.gossip.member.take_in(older)
     assert not member.gossip.member.take_in(news_of("dc-a-98", 2, 0.5))
@@ -71,8 +71,8 @@
 def test_of_two_that_hear_alike_the_older_one_is_followed():
     fleet = settled()
     member = fleet.nodes["dc-a-5"]
-    assert member.view.news is not None
-    younger = news_of("dc-a-99", member.view.news.author.incarnation + 5, 1.0)
+    assert member.view.fleet_update is not None
+    younger = news_of("dc-a-99", member.view.fleet_update.author.incarnation + 5, 1.0)
     assert not member.gossip.member.take_in(younger)
     assert member.gossip.member.take_in(msgspec.structs.replace(younger, incarnation=1))
 
--- a/plumarch/gateway/gossip/flat_fleet_quota_test.py
+++ b/plumarch/gateway/gossip/flat_fleet_quota_test.py
@@ -83,7 +83,7 @@
     assert max(found) <= 1.0, found
 
 
-MOST_REFUSED_AFTER_CUTS = 0.02
+MAX_REFUSED_AFTER_CUTS = 0.02
 """0.21 to 0.26 while all was charged that the other side had admitted in a cut."""
 
 
@@ -98,7 +98,7 @@
         found.append(session.ask_for(of_rate * RATE, 5_000).refused_part())
         session.kill_three()
         found.append(session.ask_for(of_rate * RATE, 4_000).refused_part())
-        assert max(found) <= MOST_REFUSED_AFTER_CUTS, found
+        assert max(found) <= MAX_REFUSED_AFTER_CUTS, found
 
 
 KINDS = [
--- a/plumarch/gateway/gossip/gossiper.py
+++ b/plumarch/gateway/gossip/gossiper.py
@@ -37,7 +37,7 @@
 ANSWER_AGAIN_MS = BEAT_MS
 """How often a node that looks for the coordinators of its data centre is answered at most."""
 
-GREETED = 4
+CONTACTED = 4
 """Nodes known by name only that a coordinator greets in a round of heartbeats."""
 
 NOTICE_TOKENS = 1_500.0
@@ -67,9 +67,9 @@
         elsewhere = centre_spending.CentreSpending(state.clock)
         self.coordination = coordination.Coordination(state, view, duty, elsewhere)
         self.rounds = rounds.Rounds(state, view, self.coordination, self._send)
-        self.bootstrap = bootstrap.Introductions(state, view, self.composer, self._send)
-        self.member = member_updates.FollowedNews(state, view)
-        self.suspects = suspect_updates.SuspectTeller(
+        self.bootstrap = bootstrap.Bootstrap(state, view, self.composer, self._send)
+        self.member = member_updates.MemberUpdates(state, view)
+        self.suspects = suspect_updates.SuspectPublisher(
             state,
             view.node,
             self._send,
@@ -85,9 +85,9 @@
         self.told: set[str] = set()
         self.answered_ms: dict[str, int] = {}
         self.beat_for_role_ms = 0
-        state.tell_prompt = self.tell_prompt
-        state.tell_suspect = self.suspects.learned
-        state.ask_permits = self.permits.ask
+        state.announce_prompt = self.announce_prompt
+        state.publish_suspect = self.suspects.learned
+        state.request_permits = self.permits.ask
 
     async def start(self) -> None:
         """Listen, and learn the seeds."""
@@ -129,7 +129,7 @@
         """Send the next heartbeat at once, since there is news."""
         self.soon.set()
 
-    def begin_contact(self) -> None:
+    def start_bootstrap(self) -> None:
         """Tell all with the next heartbeat, at once: others may have missed what was told."""
         self.composer.tell_all()
         self.beat_soon()
@@ -149,13 +149,13 @@
         """Tell sums and news as long as this node coordinates."""
         while True:
             self.rounds.step()
-            await asyncio.sleep(rounds.NEWS_MS / 1000.0)
+            await asyncio.sleep(rounds.ROUND_INTERVAL_MS / 1000.0)
 
     def tick(self) -> None:
         """Age what is known of peers, and send one heartbeat to each that it is for."""
         self._decide_role()
         self.view.interval_ms = self.interval_ms()
-        self.state.quota.news_age_ms = self._news_age_ms()
+        self.state.quota.update_age_ms = self._update_age_ms()
         self.state.permits.nodes = self.view.size()
         is_flat = self.view.role is tiers.Role.FLAT
         self.state.quota.sharers = 1 if is_flat else self.view.size()
@@ -175,7 +175,7 @@
         self.member.sent(beat)
         self._send(beat, told)
         if beat.usage and self.view.role is tiers.Role.COORDINATOR:
-            successors = self.view.seniors()[tiers.COORDINATORS : tiers.ELDERS]
+            successors = self.view.seniors()[tiers.COORDINATORS : tiers.SENIORS]
             self._send(heartbeats.usage_only(beat), [one.address for one in successors])
         self.bootstrap.step(self.leaving)
         self.suspects.step()
@@ -191,7 +191,7 @@
             return None
         return self.member.ledger.counted
 
-    def _news_age_ms(self) -> float:
+    def _update_age_ms(self) -> float:
         """Return the age of news of other nodes' spending, as a rule.
 
         Large charges reach the coordinators at once, small ones with the next heartbeat; then
@@ -199,17 +199,17 @@
         """
         if self.view.role is tiers.Role.FLAT:
             return self.view.interval_ms
-        return self.view.interval_ms / 2 + 2 * rounds.NEWS_MS
+        return self.view.interval_ms / 2 + 2 * rounds.ROUND_INTERVAL_MS
 
     def _beat_addresses(self) -> Iterable[str]:
         if self.view.role is tiers.Role.FLAT:
             return self._flat_addresses()
-        told = {elder.address for elder in self.view.coordinators()}
-        if self.view.role is tiers.Role.MEMBER and not self.view.hears_news():
-            told |= {elder.address for elder in self.view.seniors()} - {self.view.address}
+        told = {senior.address for senior in self.view.coordinators()}
+        if self.view.role is tiers.Role.MEMBER and not self.view.has_fresh_update():
+            told |= {senior.address for senior in self.view.seniors()} - {self.view.address}
         if self.view.role is tiers.Role.COORDINATOR:
             unknown = [peer.address for peer in self.view.peers.values() if not peer.incarnation]
-            told |= set(self.state.rng.sample(unknown, min(GREETED, len(unknown))))
+            told |= set(self.state.rng.sample(unknown, min(CONTACTED, len(unknown))))
         return told
 
     def _news_addresses(self) -> Iterable[str]:
@@ -229,7 +229,7 @@
             return self.view.addresses()
         near = [one.address for one in peers if one.data_centre in ("", self.state.data_centre)]
         far = [one.address for one in peers if one.data_centre not in ("", self.state.data_centre)]
-        return near + self.state.rng.sample(far, min(GREETED, len(far)))
+        return near + self.state.rng.sample(far, min(CONTACTED, len(far)))
 
     def _send(self, message: gossip.Datagram, to: Iterable[str]) -> None:
         if self.transport is None:
@@ -258,8 +258,8 @@
             role=role.value,
             before=before.value,
             nodes=self.view.size(),
-            elders=[elder.age.name for elder in self.view.seniors()[: tiers.ELDERS]],
-            news_age_ms=self.view.news_age_ms(),
+            elders=[senior.seniority.name for senior in self.view.seniors()[: tiers.SENIORS]],
+            news_age_ms=self.view.update_age_ms(),
         )
         if role is tiers.Role.COORDINATOR:
             self.coordination.count_on(self.member.ledger)
@@ -272,14 +272,14 @@
     def _beat_for_role(self) -> None:
         """Tell a new role at once, but not each one of a series."""
         now = self.state.clock.now()
-        if now - self.beat_for_role_ms >= rounds.NEWS_MS:
+        if now - self.beat_for_role_ms >= rounds.ROUND_INTERVAL_MS:
             self.beat_for_role_ms = now
             self.beat_soon()
 
     def _hear_fraction(self) -> None:
-        self.state.quota.hear_fraction(self.view.fresh_fraction())
+        self.state.quota.set_reachable_fraction(self.view.fresh_fraction())
 
-    def tell_prompt(self, sent: fleet_state.SentPrompt) -> None:
+    def announce_prompt(self, sent: fleet_state.SentPrompt) -> None:
         """Tell the peers at once of a prompt that was sent to an engine, if it is a long one."""
         load = self.state.chooser.own.get(sent.endpoint)
         if load is None or max(sent.unread_tokens, sent.units) < NOTICE_TOKENS:
@@ -289,7 +289,7 @@
         notice = gossip.LoadNotice(
             self.view.node,
             self.view.incarnation,
-            load_reports.told(sent.endpoint, load),
+            load_reports.to_message(sent.endpoint, load),
             self.composer.sequence,
             sent.workspace if bucket is not None else "",
             round(bucket.spent) if bucket is not None else 0.0,
@@ -298,7 +298,7 @@
         if self.view.role is tiers.Role.FLAT:
             self._send(notice, [peer.address for peer in self.view.live()])
         else:
-            self._send(notice, [elder.address for elder in self.view.coordinators()])
+            self._send(notice, [senior.address for senior in self.view.coordinators()])
 
     # Receiving.
 
@@ -318,40 +318,44 @@
             case gossip.LoadNotice():
                 self.take_notice(told)
             case gossip.CentreSummary():
-                self.take_summary(told, f"{addr[0]}:{addr[1]}")
+                self.handle_summary(told, f"{addr[0]}:{addr[1]}")
             case gossip.CentreDirectory():
                 self.bootstrap.take_directory(told, self.leaving)
-            case gossip.MemberNews():
+            case gossip.MemberUpdate():
                 self._take_member_news(told, str(addr[0]))
-            case gossip.SuspectNews():
-                self.suspects.take(told)
+            case gossip.SuspectUpdate():
+                self.suspects.apply(told)
             case gossip.PermitRequest():
                 self.permits.handle_request(told)
             case gossip.PermitAnswer():
                 self.permits.handle_answer(told)
-            case gossip.RateNews():
+            case gossip.RateUpdate():
                 self.permits.handle_news(told)
 
     def take_notice(self, notice: gossip.LoadNotice) -> None:
         """Take in a peer's load at one endpoint."""
         peer = self.view.peers.get(notice.node)
         chooser = self.state.chooser
-        if peer is None or peer.incarnation != notice.incarnation or peer.name not in chooser.told:
+        if (
+            peer is None
+            or peer.incarnation != notice.incarnation
+            or peer.name not in chooser.reported_loads
+        ):
             return
-        chooser.tell_one(peer.name, notice.load.endpoint, load_reports.taken(notice.load))
+        chooser.report_load(peer.name, notice.load.endpoint, load_reports.from_message(notice.load))
         incarnation = f"{notice.node}#{notice.incarnation}"
         charged = self.state.quota.noticed(incarnation, notice.workspace, notice.spent)
         if peer.data_centre == self.state.data_centre:
             self.coordination.take_told(notice.node, notice.sequence, charged)
 
-    def take_summary(self, told: gossip.CentreSummary, sender: str) -> None:
+    def handle_summary(self, told: gossip.CentreSummary, sender: str) -> None:
         """Take in the sums of another data centre; a member hands them to its coordinators."""
         if told.data_centre == self.state.data_centre:
             return
         if self.view.role is tiers.Role.COORDINATOR:
             if told.data_centre not in self.view.centres:
                 stale_figures.forget_nodes_of(self.state, self.view, told.data_centre)
-            if not self.coordination.take_summary(told):
+            if not self.coordination.handle_summary(told):
                 return
             self.bootstrap.compare(told, self.leaving)
             if sender == told.address:
@@ -359,21 +363,21 @@
             if self._knows_more(told):
                 self.snapshots.fetch_from(told.address)
         elif self.view.role is tiers.Role.MEMBER and sender == told.address:
-            self._send(told, [elder.address for elder in self.view.coordinators()])
+            self._send(told, [senior.address for senior in self.view.coordinators()])
 
-    def _take_member_news(self, told: gossip.MemberNews, sender: str) -> None:
+    def _take_member_news(self, told: gossip.MemberUpdate, sender: str) -> None:
         try:
-            news = gossip.news_decoder.decode(told.news)
+            news = gossip.fleet_update_decoder.decode(told.update)
         except msgspec.DecodeError as error:
-            self.unreadable.note(sender, bytes(told.news), error)
+            self.unreadable.note(sender, bytes(told.update), error)
             return
-        self.take_news(news, told.taken_in)
+        self.take_news(news, told.acknowledged)
 
-    def take_news(self, news: gossip.FleetNews, taken_in: int) -> None:
+    def take_news(self, news: gossip.FleetUpdate, taken_in: int) -> None:
         """Take in what a coordinator tells of the fleet.
 
         Args:
-          taken_in: sequence of the last heartbeat or notice of this node that it had then.
+          acknowledged: sequence of the last heartbeat or notice of this node that it had then.
         """
         if news.data_centre != self.state.data_centre:
             return
@@ -391,10 +395,10 @@
         if self.view.role is tiers.Role.MEMBER:
             self.member.adopt_figures(news, taken_in)
 
-    def _adopt_ledger(self, news: gossip.FleetNews) -> None:
+    def _adopt_ledger(self, news: gossip.FleetUpdate) -> None:
         """Count on in the ledger of an older coordinator, once all of it was told."""
-        is_older = tiers.Age(news.incarnation, news.node) < self.view.age()
-        if self.view.role is tiers.Role.COORDINATOR and news.whole and is_older:
+        is_older = tiers.Seniority(news.incarnation, news.node) < self.view.seniority()
+        if self.view.role is tiers.Role.COORDINATOR and news.full and is_older:
             told = spending_ledger.FollowedLedger()
             told.take_in(news)
             self.coordination.adopt_ledger(told)
@@ -402,7 +406,7 @@
     def take_in(self, beat: gossip.Heartbeat) -> None:
         """Take in a node's heartbeat."""
         known = self.view.peers.get(beat.node)
-        was_heard = known is not None and self.view.is_heard(known)
+        was_heard = known is not None and self.view.is_alive(known)
         was_fresh = known is not None and self.view.is_fresh(known)
         before = known.incarnation if known else 0
         peer = self.view.heard(beat.node, beat.incarnation, beat.address, beat.data_centre)
@@ -426,7 +430,11 @@
         for other in beat.peers:
             self.view.learn(other.name, other.address)
         near = beat.data_centre == self.state.data_centre
-        if near and beat.seniors and self.view.hear_say(seniors.taken(beat.seniors)):
+        if (
+            near
+            and beat.seniors
+            and self.view.note_reported_seniors(seniors.from_messages(beat.seniors))
+        ):
             self._beat_for_role()
         if not near:
             self.bootstrap.take_elders(beat)
@@ -494,7 +502,7 @@
             return
         state = self.state
         incarnation = f"{beat.node}#{beat.incarnation}"
-        charged = state.quota.heard_from(
+        charged = state.quota.apply_node_report(
             incarnation,
             {
                 told.workspace: quota_records.PeerSpending(
@@ -511,8 +519,10 @@
         )
         if near:
             self.coordination.take_told(beat.node, beat.sequence, charged)
-        state.chooser.tell(beat.node, load_reports.taken_all(beat.loads, state.registry.by_name))
-        speed_reports.take(state, beat.node, beat.speeds)
+        state.chooser.report_loads(
+            beat.node, load_reports.from_messages(beat.loads, state.registry.by_name)
+        )
+        speed_reports.apply(state, beat.node, beat.speeds)
         version_reports.take_answers(state, incarnation, beat.answers)
         self._take_usage(beat)
 
@@ -520,7 +530,7 @@
         """Take in a node's usage; a member keeps it for when it coordinates itself."""
         if beat.usage:
             counts = {told.window: told.counts for told in beat.usage}
-            self.state.usage.heard_from(f"{beat.node}#{beat.incarnation}", counts)
+            self.state.usage.apply_node_report(f"{beat.node}#{beat.incarnation}", counts)
 
     def _knows_more(self, told: gossip.Versions) -> bool:
         state = self.state
--- a/plumarch/gateway/gossip/gossiper_test.py
+++ b/plumarch/gateway/gossip/gossiper_test.py
@@ -137,9 +137,9 @@
         other = pair.two.state
         state = pair.one.state
         state.chooser.own["e"] = endpoint_choice.Load(1, 9_000.0)
-        state.tell_prompt(fleet_state.SentPrompt("e", gossiper.NOTICE_TOKENS - 1, "", 0.0))
+        state.announce_prompt(fleet_state.SentPrompt("e", gossiper.NOTICE_TOKENS - 1, "", 0.0))
         state.chooser.own["f"] = endpoint_choice.Load(2, 7_000.0)
-        state.tell_prompt(fleet_state.SentPrompt("f", 7_000.0, "", 0.0))
+        state.announce_prompt(fleet_state.SentPrompt("f", 7_000.0, "", 0.0))
         while other.chooser.load("f").running != 2:
             await asyncio.sleep(0.005)
         assert other.chooser.load("f").prompt_tokens == 7_000.0
@@ -206,7 +206,7 @@
     state.quota.buckets["w"].spent += 3.0
     assert spending_told(node) == ["w"]
     node.composer.beats = 1
-    for _ in range(recent_changes.TOLD_TIMES):
+    for _ in range(recent_changes.SEND_COUNT):
         spending_told(node)
     node.take_in(gossip.Heartbeat("m", 5, "127.0.0.2:1", "a", False, -1, -1, 0, True, 0))
     assert spending_told(node) == ["w"]
--- a/plumarch/gateway/gossip/heartbeats.py
+++ b/plumarch/gateway/gossip/heartbeats.py
@@ -113,7 +113,7 @@
             peers=self._known_peers() if tell_peers else [],
             build=build.NAME if tell_peers else "",
             sequence=self.sequence,
-            speeds=speed_reports.told(state) if tell_speeds else [],
+            speeds=speed_reports.to_messages(state) if tell_speeds else [],
             versions=version_reports.shares_told(state),
             answers=version_reports.answers_told(state),
         )
@@ -126,14 +126,14 @@
         Args:
           data_centre: the other node's.
         """
-        greeting = self._without_figures(leaving, with_elders=True)
+        greeting = self._without_figures(leaving, with_seniors=True)
         return msgspec.structs.replace(
             greeting, peers=self._elders_of(data_centre), build=build.NAME
         )
 
     def question(self, leaving: bool) -> gossip.Heartbeat:
         """Return a heartbeat without figures that is answered with whom its sender should ask."""
-        question = self._without_figures(leaving, with_elders=True)
+        question = self._without_figures(leaving, with_seniors=True)
         return msgspec.structs.replace(question, sequence=max(1, self.sequence), build=build.NAME)
 
     def _elders_of(self, data_centre: str) -> list[gossip.KnownPeer]:
@@ -142,14 +142,21 @@
         centre = view.centres.get(data_centre)
         found = list(centre.seniors) if centre is not None else []
         if not found:
-            ages = {one.age(): one.address for one in view.live() if one.data_centre == data_centre}
-            found = [tiers.Elder(age, ages[age]) for age in sorted(ages)[: tiers.ELDERS]]
+            ages = {
+                one.seniority(): one.address
+                for one in view.live()
+                if one.data_centre == data_centre
+            }
+            found = [
+                tiers.Senior(seniority, ages[seniority])
+                for seniority in sorted(ages)[: tiers.SENIORS]
+            ]
         return [
-            gossip.KnownPeer(one.age.name, one.address)
-            for one in found or view.seniors()[: tiers.ELDERS]
+            gossip.KnownPeer(one.seniority.name, one.address)
+            for one in found or view.seniors()[: tiers.SENIORS]
         ]
 
-    def _without_figures(self, leaving: bool, with_elders: bool) -> gossip.Heartbeat:
+    def _without_figures(self, leaving: bool, with_seniors: bool) -> gossip.Heartbeat:
         state = self.state
         return gossip.Heartbeat(
             node=self.view.node,
@@ -163,15 +170,15 @@
             candidate=self.duty.candidate,
             reported=self.duty.reported,
             reaches_store=state.reaches_store,
-            seniors=self._elders() if with_elders else [],
+            seniors=self._seniors() if with_seniors else [],
             nodes=self.view.counted_size(),
         )
 
-    def _elders(self) -> list[gossip.KnownElder]:
+    def _seniors(self) -> list[gossip.NodeIdentity]:
         """Return the oldest live nodes of the own data centre, where the fleet is a large one."""
         if self.view.size() <= tiers.FLAT_FLEET:
             return []
-        return seniors.told(self.view)
+        return seniors.announced(self.view)
 
     def _usage(self, whole: bool) -> list[gossip.WindowUsage]:
         counter = self.state.usage
@@ -181,7 +188,7 @@
 
     def _known_peers(self) -> list[gossip.KnownPeer]:
         """Return some of the peers, and of each data centre those that may coordinate it."""
-        heard = sorted(self.view.live(), key=lambda peer: peer.age())
+        heard = sorted(self.view.live(), key=lambda peer: peer.seniority())
         if len(heard) <= PEERS_TOLD:
             chosen = heard
         else:
--- a/plumarch/gateway/gossip/hot_workspace_quota_test.py
+++ b/plumarch/gateway/gossip/hot_workspace_quota_test.py
@@ -20,7 +20,7 @@
 SIZE = gossip_fleet.Size(6, 12, workspaces=1, rate=RATE, burst=BURST, regions=3)
 STEP_MS = 10
 MANY_TIMES = 10.0
-LEAST_IN_A_SECOND = 0.5
+MIN_IN_A_SECOND = 0.5
 """Part of the rate that a workspace gets in each second, however much it asks for."""
 
 REFUSED_OF_OWED = 0.01
@@ -42,7 +42,7 @@
         steps = session.ask_for(MANY_TIMES * RATE, 12_000, step_ms=STEP_MS).steps
         assert session.most <= ALLOWED, session.most / ALLOWED
         seconds = [sum(steps[at : at + 100]) / RATE for at in range(300, 1_101, 10)]
-        assert min(seconds) >= LEAST_IN_A_SECOND, seconds
+        assert min(seconds) >= MIN_IN_A_SECOND, seconds
 
 
 @pytest.mark.parametrize("nodes", [0, 5])
--- a/plumarch/gateway/gossip/known_centres_test.py
+++ b/plumarch/gateway/gossip/known_centres_test.py
@@ -49,8 +49,8 @@
         unknown = {other.name for other in fleet.live()} - {node.name, *peers}
         if view.role is tiers.Role.FLAT and unknown:
             found.append(f"{node.name} does not hear {sorted(unknown)}")
-        if view.heard_fraction() < owed:
-            found.append(f"{node.name} ({view.role.value}) hears {view.heard_fraction():.3f}")
+        if view.reachable_fraction() < owed:
+            found.append(f"{node.name} ({view.role.value}) hears {view.reachable_fraction():.3f}")
     return found
 
 
@@ -207,7 +207,7 @@
     fleet = Case(counts, 2, "one data centre", 3).fleet()
     fleet.run(START_MS + CONTACT_MS)
     cut(fleet, kind, 1)
-    fleet.run(2 * fleet_view.FORGET_MS + CONTACT_MS)
+    fleet.run(2 * fleet_view.RETENTION_MS + CONTACT_MS)
     assert strangers(fleet)
     heal(fleet)
     assert_acquainted(fleet)
--- a/plumarch/gateway/gossip/large_fleet_quota_test.py
+++ b/plumarch/gateway/gossip/large_fleet_quota_test.py
@@ -70,7 +70,7 @@
         """Let a process begin as a fresh one does, which knows nothing of what was spent."""
         now = self.fleet.time.now()
         node.state.quota = workspace_quota.WorkspaceQuota(self.fleet.time, now, TOLERANCE)
-        node.state.quota.keep_only(self.fleet.table.workspaces)
+        node.state.quota.retain(self.fleet.table.workspaces)
 
     def serve(self, for_ms: int) -> None:
         """Let callers ask for a while, at nodes chosen at random."""
@@ -124,8 +124,8 @@
         """Send a prompt to an engine, where it is read at once."""
         node.state.chooser.own["e"] = endpoint_choice.Load(1, units)
         prompt = fleet_state.SentPrompt("e", units, self.space.name, units)
-        assert node.state.tell_prompt is not None
-        node.state.tell_prompt(prompt)
+        assert node.state.announce_prompt is not None
+        node.state.announce_prompt(prompt)
         del node.state.chooser.own["e"]
 
     def note(self, units: float) -> None:
--- a/plumarch/gateway/gossip/large_fleet_test.py
+++ b/plumarch/gateway/gossip/large_fleet_test.py
@@ -26,7 +26,7 @@
 
 def oldest(fleet: gossip_fleet.GossipFleet, data_centre: str) -> list[gossip_fleet.Node]:
     found = [node for node in fleet.live() if node.data_centre == data_centre]
-    return sorted(found, key=lambda node: node.view.age())
+    return sorted(found, key=lambda node: node.view.seniority())
 
 
 @pytest.mark.parametrize("nodes_each", [6, 12, 39])
@@ -118,14 +118,14 @@
     fleet = gossip_fleet.GossipFleet(SIZE, knows_all=False)
     fleet.run(2 * SETTLE_MS)
     for centre in ("dc-a", "dc-b", "dc-c"):
-        for node in oldest(fleet, centre)[: 2 * tiers.ELDERS]:
+        for node in oldest(fleet, centre)[: 2 * tiers.SENIORS]:
             node.alive = False
     survivors = fleet.live()
     for at in range(0, 3_000, 100):
         fleet.run(100)
         for node in survivors:
             assert node.view.size() == 36
-            if at > fleet_view.HEARD_MS + gossiper.BEAT_MS:
+            if at > fleet_view.ALIVE_TIMEOUT_MS + gossiper.BEAT_MS:
                 assert node.state.quota.fraction <= 12 / 36
             assert node.view.role is not tiers.Role.FLAT or not node.view.is_oldest_candidate()
 
@@ -247,8 +247,8 @@
     """Near the size at which fleets change, a role must not follow from the role before."""
     fleet = settled()
     for node in (oldest(fleet, "dc-a")[0], oldest(fleet, "dc-a")[-1]):
-        if node.view.news is not None:
-            node.view.news = dataclasses.replace(node.view.news, nodes=told)
+        if node.view.fleet_update is not None:
+            node.view.fleet_update = dataclasses.replace(node.view.fleet_update, nodes=told)
         node.view.centres = {
             name: dataclasses.replace(one, nodes=told // 3)
             for name, one in node.view.centres.items()
@@ -264,8 +264,8 @@
     other = oldest(fleet, "dc-a")[-2]
     assert node.state.quota.admit(space, 1_800.0) == 0
     node.state.chooser.own["e"] = endpoint_choice.Load(1, 1_700.0)
-    node.state.tell_prompt(fleet_state.SentPrompt("e", 1_700.0, "w0", 1_800.0))
-    fleet.run(rounds.NEWS_MS + 10)
+    node.state.announce_prompt(fleet_state.SentPrompt("e", 1_700.0, "w0", 1_800.0))
+    fleet.run(rounds.ROUND_INTERVAL_MS + 10)
     assert other.state.quota._refill(space).level < 400
     assert other.state.chooser.load("e") == endpoint_choice.Load(1, 1_700.0)
     # The node's own charge is not counted twice once the news hold its notice.
@@ -280,17 +280,17 @@
     new = fleet.start(old.number, old.data_centre)
     fleet.run(1_000)
     coordinator = oldest(fleet, "dc-a")[0]
-    taken_in = coordinator.gossip.coordination.taken_in[new.name]
+    taken_in = coordinator.gossip.coordination.acknowledged[new.name]
     assert 0 < taken_in <= new.gossip.composer.sequence
 
 
 def test_news_that_can_not_be_read_are_dropped_and_logged():
     fleet = settled()
     member = fleet.with_role(tiers.Role.MEMBER)[0]
-    before = member.view.news
-    broken = gossip.MemberNews(3, msgspec.Raw(gossip.encoder.encode([1, 2, 3])))
+    before = member.view.fleet_update
+    broken = gossip.MemberUpdate(3, msgspec.Raw(gossip.encoder.encode([1, 2, 3])))
     member.gossip.datagram_received(gossip.encoder.encode(broken), ("10.0.0.9", 1))
-    assert member.view.news is before
+    assert member.view.fleet_update is before
     assert b"bad_heartbeat" in bytes(member.state.log.pending)
 
 
@@ -303,7 +303,7 @@
         oldest_ones = len({node.data_centre for node in fleet.live()})
         sent.append(fleet.datagrams[True] / 2.0 / oldest_ones)
     standby = 1 + 1 / rounds.STANDBY_ROUNDS
-    greetings = 2 * gossiper.GREETED * 1000 / gossiper.BEAT_MS
+    greetings = 2 * gossiper.CONTACTED * 1000 / gossiper.BEAT_MS
     assert sent[0] <= 4 * 10 * standby + greetings
     assert sent[1] <= tiers.COORDINATORS * rounds.SUMMARIES_PER_SECOND + greetings
     assert all(node.state.quota.fraction == 1.0 for node in many.live())
--- a/plumarch/gateway/gossip/load_reports.py
+++ b/plumarch/gateway/gossip/load_reports.py
@@ -6,7 +6,7 @@
 from plumarch.routing import endpoint_choice
 
 
-def told(endpoint: str, load: endpoint_choice.Load) -> gossip.EndpointLoad:
+def to_message(endpoint: str, load: endpoint_choice.Load) -> gossip.EndpointLoad:
     """Return a load as it is told."""
     return gossip.EndpointLoad(endpoint, load.running, round(load.prompt_tokens))
 
@@ -19,15 +19,15 @@
       most: how many one datagram has room for.
     """
     ranked = sorted(loads.items(), key=lambda one: (-one[1].prompt_tokens, one[0]))
-    return [told(endpoint, load) for endpoint, load in ranked[:most]]
+    return [to_message(endpoint, load) for endpoint, load in ranked[:most]]
 
 
-def taken(report: gossip.EndpointLoad) -> endpoint_choice.Load:
+def from_message(report: gossip.EndpointLoad) -> endpoint_choice.Load:
     """Return a load that was told, as it is kept."""
     return endpoint_choice.Load(report.running, float(report.prompt_tokens))
 
 
-def taken_all(
+def from_messages(
     reports: Iterable[gossip.EndpointLoad], by_name: Mapping[str, str]
 ) -> dict[str, endpoint_choice.Load]:
     """Return loads that were told, as they are kept, by endpoint identifier.
@@ -36,4 +36,6 @@
       by_name: the incarnation that each endpoint is now, by what it calls itself: by that builds
         tell them that don't tell incarnations apart.
     """
-    return {by_name.get(report.endpoint, report.endpoint): taken(report) for report in reports}
+    return {
+        by_name.get(report.endpoint, report.endpoint): from_message(report) for report in reports
+    }
--- a/plumarch/gateway/gossip/member_updates.py
+++ b/plumarch/gateway/gossip/member_updates.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToldFigures:
+class SentFigures:
     """What this node had spent, and had at endpoints, when it sent a heartbeat."""
 
     sequence: int
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class FollowedNews:
+class MemberUpdates:
     """Keeps what news tell, put together with what this node did since.
 
     Attributes:
@@ -46,7 +46,7 @@
 
     state: fleet_state.FleetState
     view: fleet_view.FleetView
-    told: collections.deque[ToldFigures] = dataclasses.field(
+    told: collections.deque[SentFigures] = dataclasses.field(
         default_factory=lambda: collections.deque(maxlen=HEARTBEATS_KEPT)
     )
     loads: dict[str, dict[str, endpoint_choice.Load]] = dataclasses.field(default_factory=dict)
@@ -57,47 +57,47 @@
     def sent(self, beat: gossip.Heartbeat) -> None:
         """Remember what a heartbeat told."""
         spent = {name: bucket.spent for name, bucket in self.state.quota.buckets.items()}
-        loads = load_reports.taken_all(beat.loads, self.state.registry.by_name)
-        self.told.append(ToldFigures(beat.sequence, spent, loads))
+        loads = load_reports.from_messages(beat.loads, self.state.registry.by_name)
+        self.told.append(SentFigures(beat.sequence, spent, loads))
 
     def noticed(self, notice: gossip.LoadNotice) -> None:
         """Remember what a notice told besides the heartbeats before it."""
-        before = self.told[-1] if self.told else ToldFigures(0, {}, {})
+        before = self.told[-1] if self.told else SentFigures(0, {}, {})
         spent = {**before.spent, notice.workspace: notice.spent}
-        load = load_reports.taken(notice.load)
+        load = load_reports.from_message(notice.load)
         loads = {**before.loads, notice.load.endpoint: load}
-        self.told.append(ToldFigures(notice.sequence, spent, loads))
+        self.told.append(SentFigures(notice.sequence, spent, loads))
 
-    def take_in(self, news: gossip.FleetNews) -> bool:
+    def take_in(self, news: gossip.FleetUpdate) -> bool:
         """Take news in.
 
         Returns:
           Whether it counts: another coordinator may be followed, or hear more of the fleet.
         """
-        author = tiers.Age(news.incarnation, news.node)
+        author = tiers.Seniority(news.incarnation, news.node)
         now = self.state.clock.now()
         if not self._counts(author, news.fraction, now):
             return False
-        self.view.news = tiers.FleetNewsView(
+        self.view.fleet_update = tiers.ReceivedFleetUpdate(
             author=author,
             nodes=news.nodes,
             centre_nodes=news.centre_nodes,
             fraction=news.fraction,
-            seniors=seniors.taken(news.seniors),
+            seniors=seniors.from_messages(news.seniors),
             followers=tuple(news.followers),
-            told_ms=now,
+            received_ms=now,
         )
         return True
 
-    def _counts(self, author: tiers.Age, fraction: float, now: int) -> bool:
-        last = self.view.news
-        if last is None or last.author == author or now - last.told_ms > FRESH_MS:
+    def _counts(self, author: tiers.Seniority, fraction: float, now: int) -> bool:
+        last = self.view.fleet_update
+        if last is None or last.author == author or now - last.received_ms > FRESH_MS:
             return True
         if abs(fraction - last.fraction) > LESS_HEARD:
             return fraction > last.fraction
         return author < last.author
 
-    def adopt_figures(self, news: gossip.FleetNews, taken_in: int) -> None:
+    def adopt_figures(self, news: gossip.FleetUpdate, taken_in: int) -> None:
         """Take over the levels of allotments and the loads of endpoints.
 
         Args:
@@ -114,19 +114,19 @@
             untold = 0.0
             if bucket is not None and known is not None:
                 untold = bucket.spent - known.spent.get(one.workspace, 0.0)
-            buckets[one.workspace] = quota_records.ToldBucket(
+            buckets[one.workspace] = quota_records.ReportedBucket(
                 one.level - untold, one.part - untold, one.settled
             )
         quota.adopt(buckets, news.fraction)
         self._adopt_loads(news, known.loads if known is not None else {})
 
-    def _adopt_loads(self, news: gossip.FleetNews, mine: dict[str, endpoint_choice.Load]) -> None:
+    def _adopt_loads(self, news: gossip.FleetUpdate, mine: dict[str, endpoint_choice.Load]) -> None:
         """Keep the loads of the others: what is told less what of it is this node's own."""
-        told = load_reports.taken_all(news.loads, self.state.registry.by_name)
+        told = load_reports.from_messages(news.loads, self.state.registry.by_name)
         known = self.loads.get(news.node)
-        if known is None and not news.whole:
+        if known is None and not news.full:
             return
-        loads = told if news.whole else {**(known or {}), **told}
+        loads = told if news.full else {**(known or {}), **told}
         self.loads = {news.node: loads}
         others = {}
         for endpoint, load in loads.items():
@@ -135,4 +135,4 @@
             tokens = max(0.0, load.prompt_tokens - own.prompt_tokens)
             if running or tokens:
                 others[endpoint] = endpoint_choice.Load(running, tokens)
-        self.state.chooser.tell(FLEET, others)
+        self.state.chooser.report_loads(FLEET, others)
--- a/plumarch/gateway/gossip/mixed_builds_test.py
+++ b/plumarch/gateway/gossip/mixed_builds_test.py
@@ -59,7 +59,7 @@
         exchange = new_exchange()
         asked = gossip.SnapshotRequest(-1, -1)
         gossip.snapshot_decoder.decode(await served(exchange, asked))
-        whole = gossip.whole_snapshot_decoder.decode(await served(exchange, asked))
+        whole = gossip.full_snapshot_decoder.decode(await served(exchange, asked))
         assert whole.configuration == TABLE.configuration
         assert whole.endpoints == (ENDPOINT,) and whole.registry_revision == 5
         gossip.snapshot_decoder.decode(await served(exchange, asked))
@@ -91,9 +91,9 @@
 
 
 def test_a_load_told_by_an_endpoints_name_is_its_incarnations():
-    told = [load_reports.told("e", endpoint_choice.Load(3, 100.0))]
-    told.append(load_reports.told("f.0000b", endpoint_choice.Load(1, 0.0)))
-    found = load_reports.taken_all(told, {"e": ENDPOINT.id})
+    told = [load_reports.to_message("e", endpoint_choice.Load(3, 100.0))]
+    told.append(load_reports.to_message("f.0000b", endpoint_choice.Load(1, 0.0)))
+    found = load_reports.from_messages(told, {"e": ENDPOINT.id})
     assert {name: one.running for name, one in found.items()} == {"e.0000a": 3, "f.0000b": 1}
 
 
@@ -112,7 +112,7 @@
     assert len(lines) == 2 and all(len(line) < 500 for line in lines)
     for number in range(1_000):
         unreadable.note(f"10.0.1.{number}", b"", msgspec.DecodeError("no"))
-    assert len(unreadable.told) == unreadable_messages.MOST_TOLD
+    assert len(unreadable.told) == unreadable_messages.MAX_TOLD
 
 
 def test_a_nodes_build_is_told_in_some_heartbeats_and_ends_with_its_process():
--- a/plumarch/gateway/gossip/permit_exchange.py
+++ b/plumarch/gateway/gossip/permit_exchange.py
@@ -20,11 +20,11 @@
 from plumarch.membership import fleet_view, tiers
 from plumarch.peers import gossip
 
-MOST_HOPS = 3
+MAX_HOPS = 3
 """Nodes that pass a request on: the own coordinator, one of the endpoint's data centre, and its
 senior one."""
 
-MOST_PERMITS = 64
+MAX_PERMITS = 64
 """Permits in one answer, whatever is asked for."""
 
 NEWS_GAP_MS = 1_000
@@ -67,11 +67,11 @@
         if not request.count:
             observed = request.announcement
             per_s = rate_list(observed)
-            self._broadcast(gossip.RateNews(self.view.node, endpoint.id, per_s, observed.age_ms))
+            self._broadcast(gossip.RateUpdate(self.view.node, endpoint.id, per_s, observed.age_ms))
 
     def handle_request(self, message: gossip.PermitRequest) -> None:
         """Answer a request, or pass it on to who may."""
-        if message.hops < MOST_HOPS and self._is_sound(message):
+        if message.hops < MAX_HOPS and self._is_sound(message):
             self._route(message)
 
     def _route(self, message: gossip.PermitRequest) -> None:
@@ -86,7 +86,7 @@
             message.node,
             message.endpoint,
             message.sequence,
-            max(0, min(MOST_PERMITS, message.count)),
+            max(0, min(MAX_PERMITS, message.count)),
             announcement(message.per_s, message.age_ms),
         )
         answer = self.state.allocator.allocate(request, self.view.fresh_fraction())
@@ -112,7 +112,7 @@
             answer = rate_allocator.PermitAnswer(
                 message.endpoint,
                 message.sequence,
-                min(MOST_PERMITS, message.permits),
+                min(MAX_PERMITS, message.permits),
                 announcement(message.per_s, message.age_ms),
                 message.next_ms,
                 message.wait_ms,
@@ -122,7 +122,7 @@
                 self.state.rate_changed(endpoint, "allocator")
         self.state.permit_answers.answered(message.endpoint)
 
-    def _broadcast(self, news: gossip.RateNews) -> None:
+    def _broadcast(self, news: gossip.RateUpdate) -> None:
         now = self.state.clock.now()
         if now - self.news_ms.get(news.endpoint, -NEWS_GAP_MS) < NEWS_GAP_MS:
             return
@@ -130,7 +130,7 @@
         self.news_ms = {**recent, news.endpoint: now}
         self.send(news, self.recipients())
 
-    def handle_news(self, message: gossip.RateNews) -> None:
+    def handle_news(self, message: gossip.RateUpdate) -> None:
         """Apply what another node's answer announced; a coordinator passes on what was new."""
         endpoint = self.state.registry.endpoints.get(message.endpoint)
         if endpoint is None or not self._is_sound(message):
@@ -143,7 +143,7 @@
             self._broadcast(message)
 
     def _is_sound(
-        self, message: gossip.PermitRequest | gossip.PermitAnswer | gossip.RateNews
+        self, message: gossip.PermitRequest | gossip.PermitAnswer | gossip.RateUpdate
     ) -> bool:
         """Return whether a message's rate can be one."""
         if all(request_rate.is_rate(per_s) for per_s in message.per_s):
@@ -170,9 +170,9 @@
 
     def _senior_address(self, data_centre: str) -> str | None:
         """Return the address of the senior node in a small fleet."""
-        nodes = [(one.age(), one.address, one.data_centre) for one in self.view.live()]
+        nodes = [(one.seniority(), one.address, one.data_centre) for one in self.view.live()]
         if not self.is_leaving():
-            nodes.append((self.view.age(), self.view.address, self.view.data_centre))
+            nodes.append((self.view.seniority(), self.view.address, self.view.data_centre))
         near = [one for one in nodes if one[2] == data_centre]
         return min(near or nodes)[1] if nodes else None
 
@@ -186,7 +186,7 @@
             return seniors[0].address if seniors else None
         own_seniors = self.view.seniors()
         if self.is_leaving():
-            own_seniors = [one for one in own_seniors if one.age.name != self.view.node]
+            own_seniors = [one for one in own_seniors if one.seniority.name != self.view.node]
         return own_seniors[0].address if own_seniors else None
 
 
--- a/plumarch/gateway/gossip/permit_exchange_test.py
+++ b/plumarch/gateway/gossip/permit_exchange_test.py
@@ -207,7 +207,7 @@
     def counting(send: permit_exchange.Send) -> permit_exchange.Send:
         def counted(message: gossip.Datagram, to: Iterable[str]) -> None:
             addresses = list(to)
-            if isinstance(message, gossip.RateNews):
+            if isinstance(message, gossip.RateUpdate):
                 found.extend(addresses)
             send(message, addresses)
 
@@ -233,7 +233,7 @@
     session = Session(SMALL, 1, "1")
     [node, *_] = session.fleet.live()
     permits = node.gossip.permits
-    permits.handle_news(gossip.RateNews("m", "e", [per_s], 0))
+    permits.handle_news(gossip.RateUpdate("m", "e", [per_s], 0))
     asked = gossip.PermitRequest("m", "10.0.0.2:1", "e", "dc-a", 1, 1, [per_s], 0)
     permits.handle_request(asked)
     permits.handle_answer(gossip.PermitAnswer("e", 1, 1, [per_s], 0))
--- a/plumarch/gateway/gossip/region_gossip_test.py
+++ b/plumarch/gateway/gossip/region_gossip_test.py
@@ -9,7 +9,7 @@
 SETTLE_MS = 4_000
 SIZE = gossip_fleet.Size(4, 7, regions=2)
 REGION = "region-0"
-STANDBY_MS = rounds.STANDBY_ROUNDS * rounds.NEWS_MS
+STANDBY_MS = rounds.STANDBY_ROUNDS * rounds.ROUND_INTERVAL_MS
 """How often a second coordinator tells while the oldest one of its data centre counts as live."""
 
 
@@ -32,7 +32,7 @@
     for _ in range(for_ms // 100):
         fleet.run(100)
         nodes = by if by is not None else fleet.live()
-        least = min([least, *(one.view.heard_fraction() for one in nodes)])
+        least = min([least, *(one.view.reachable_fraction() for one in nodes)])
     return least
 
 
@@ -48,7 +48,7 @@
     for _ in range(for_ms // 50):
         fleet.run(50)
         for one in by:
-            hears_less = one.view.heard_fraction() < part
+            hears_less = one.view.reachable_fraction() < part
             since[one.name] = since[one.name] + 50 if hears_less else 0
         longest = max(longest, *since.values())
     return longest
@@ -64,7 +64,10 @@
     assert sent[1] < 0.8 * sent[0]
     for node in far.with_role(tiers.Role.COORDINATOR):
         for centre in node.view.centres.values():
-            assert far.time.now() - centre.told_ms <= 2 * rounds.NEWS_MS + gossip_fleet.REGION_MS
+            assert (
+                far.time.now() - centre.received_ms
+                <= 2 * rounds.ROUND_INTERVAL_MS + gossip_fleet.REGION_MS
+            )
 
 
 def test_in_one_region_all_coordinators_are_told_in_each_round():
@@ -83,7 +86,7 @@
     fleet.lose = 0.03
     coordinators = fleet.with_role(tiers.Role.COORDINATOR)
     region = coordinators_of(fleet, REGION)
-    frozen = [one for one in region if one.view.seniors()[0].age.name == one.name]
+    frozen = [one for one in region if one.view.seniors()[0].seniority.name == one.name]
     assert len(frozen) == 2
     for node in frozen:
         node.frozen = True
@@ -110,8 +113,8 @@
 def test_a_region_cut_from_the_others_keeps_its_part_and_they_theirs():
     fleet = settled()
     fleet.cut = lambda one, two: fleet.region_of(one) != fleet.region_of(two)
-    fleet.run(fleet_view.HEARD_MS + 1_000)
-    assert all(node.view.heard_fraction() == pytest.approx(0.5) for node in fleet.live())
+    fleet.run(fleet_view.ALIVE_TIMEOUT_MS + 1_000)
+    assert all(node.view.reachable_fraction() == pytest.approx(0.5) for node in fleet.live())
     fleet.cut = lambda one, two: False
     fleet.run(3_000)
     assert least_heard(fleet, 500) == 1.0
@@ -126,6 +129,6 @@
     first = other.gossip.coordination.summary()
     second = other.gossip.coordination.summary()
     sums = node.gossip.coordination
-    assert sums.take_summary(second)
-    assert not sums.take_summary(first)
-    assert not sums.take_summary(second)
+    assert sums.handle_summary(second)
+    assert not sums.handle_summary(first)
+    assert not sums.handle_summary(second)
--- a/plumarch/gateway/gossip/region_quota_test.py
+++ b/plumarch/gateway/gossip/region_quota_test.py
@@ -278,7 +278,7 @@
     assert found <= 1.0, found
 
 
-MOST_REFUSED_AFTER_CUTS = 0.04
+MAX_REFUSED_AFTER_CUTS = 0.04
 """0.189 while what others had admitted in a cut was charged as if at one moment; 0.020 since."""
 
 
@@ -294,7 +294,7 @@
         asked(session, 6_000, 0.8, 3_000.0)
         harm(session, "heal", 0)
         refused.append(asked(session, 5_000, 0.8, 3_000.0))
-    assert sum(refused) / len(refused) <= MOST_REFUSED_AFTER_CUTS, refused
+    assert sum(refused) / len(refused) <= MAX_REFUSED_AFTER_CUTS, refused
 
 
 def harm(session: large_fleet_quota_test.Session, kind: str, pick: int) -> None:
--- a/plumarch/gateway/gossip/region_sums.py
+++ b/plumarch/gateway/gossip/region_sums.py
@@ -48,7 +48,7 @@
         peer = self.view.peers.get(source)
         return peer.data_centre if peer is not None else None
 
-    def in_part(self, least: float) -> frozenset[str]:
+    def partially_reachable(self, least: float) -> frozenset[str]:
         """Return the regions of which less than a part of the nodes is heard.
 
         A region of which a named data centre is not known at all is one of them.
@@ -77,14 +77,14 @@
         live = view.live_centres()
         found = {self.state.data_centre: (1, 1)}
         for name, centre in view.centres.items():
-            found[name] = (centre.nodes, centre.heard if name in live else 0)
+            found[name] = (centre.nodes, centre.reachable_nodes if name in live else 0)
         for peer in view.peers.values():
             if not peer.data_centre or peer.data_centre in view.centres:
                 continue
-            if peer.leaving and not view.is_heard(peer):
+            if peer.leaving and not view.is_alive(peer):
                 continue
             there, heard = found.get(peer.data_centre, (0, 0))
-            found[peer.data_centre] = (there + 1, heard + view.is_heard(peer))
+            found[peer.data_centre] = (there + 1, heard + view.is_alive(peer))
         return found
 
 
--- a/plumarch/gateway/gossip/region_sums_test.py
+++ b/plumarch/gateway/gossip/region_sums_test.py
@@ -21,14 +21,14 @@
 ) -> tuple[region_sums.RegionSums, fleet_state.FleetState]:
     state = gateway_parts.new_state(time)
     state.distances = distance.Distances(time, "a", regions)
-    state.quota.keep_only({"w": SPACE})
+    state.quota.retain({"w": SPACE})
     view = fleet_view.FleetView(time, "n", time.now(), "10.0.0.1:7", "a")
     view.role = tiers.Role.COORDINATOR
     return region_sums.RegionSums(state, view), state
 
 
-def centre(nodes: int, heard: int, told_ms: int) -> tiers.CentreView:
-    return tiers.CentreView(nodes, heard, (), 0, None, 0, 0, told_ms)
+def centre(nodes: int, heard: int, received_ms: int) -> tiers.CentreView:
+    return tiers.CentreView(nodes, heard, (), 0, None, 0, 0, received_ms)
 
 
 def test_what_nodes_admit_counts_for_their_region():
@@ -36,15 +36,15 @@
     sums, state = new_sums(time)
     quota = state.quota
     sums.view.heard("m", 5, "10.0.0.2:7", "b")
-    quota.heard_from("m#5", {"w": quota_records.PeerSpending(9_000.0, 1e6)})
+    quota.apply_node_report("m#5", {"w": quota_records.PeerSpending(9_000.0, 1e6)})
     sums.begin()
     quota.admit(SPACE, 100.0)
-    quota.heard_from("m#5", {"w": quota_records.PeerSpending(9_050.0, 1e6)})
-    quota.heard_sums(coordination.CENTRE + "c", {"w": 30.0}, {})
-    quota.heard_sums(coordination.CENTRE + "d", {"w": 4.0}, {})
+    quota.apply_node_report("m#5", {"w": quota_records.PeerSpending(9_050.0, 1e6)})
+    quota.apply_centre_summary(coordination.CENTRE + "c", {"w": 30.0}, {})
+    quota.apply_centre_summary(coordination.CENTRE + "d", {"w": 4.0}, {})
     assert sums.admitted() == {"north": 150.0, "south": 34.0}
     quota.refund(SPACE, 100.0)
-    quota.heard_sums(coordination.CENTRE + "d", {"w": 1.0}, {})
+    quota.apply_centre_summary(coordination.CENTRE + "d", {"w": 1.0}, {})
     assert sums.admitted() == {"north": 0.0, "south": 1.0}
 
 
@@ -52,8 +52,8 @@
     time = clock.ManualClock(START_MS)
     sums, state = new_sums(time)
     sums.begin()
-    state.quota.heard_from("x#1", {"w": quota_records.PeerSpending(0.0, 1e6)})
-    state.quota.heard_from("x#1", {"w": quota_records.PeerSpending(70.0, 1e6)})
+    state.quota.apply_node_report("x#1", {"w": quota_records.PeerSpending(0.0, 1e6)})
+    state.quota.apply_node_report("x#1", {"w": quota_records.PeerSpending(70.0, 1e6)})
     assert sums.admitted() == {}
     state.quota.forget("x#1")
     assert "x" not in state.quota.charged_by
@@ -62,22 +62,22 @@
 def test_regions_are_heard_in_part_while_a_data_centre_of_them_is_not_heard_or_not_known():
     time = clock.ManualClock(START_MS)
     sums, _ = new_sums(time)
-    assert sums.in_part(0.9) == {"north", "south"}
+    assert sums.partially_reachable(0.9) == {"north", "south"}
     for name in "bcd":
         sums.view.centres[name] = centre(10, 10, time.now())
-    assert sums.in_part(0.9) == frozenset()
+    assert sums.partially_reachable(0.9) == frozenset()
     sums.view.centres["d"] = centre(10, 7, time.now())
-    assert sums.in_part(0.9) == {"south"}
+    assert sums.partially_reachable(0.9) == {"south"}
     time.advance_to(time.now() + 3_000)
     for name in "cd":
         sums.view.centres[name] = centre(10, 10, time.now())
-    assert sums.in_part(0.9) == {"north"}
+    assert sums.partially_reachable(0.9) == {"north"}
 
 
 def test_without_named_regions_only_what_is_known_counts():
     time = clock.ManualClock(START_MS)
     sums, _ = new_sums(time, {})
-    assert sums.in_part(0.9) == frozenset()
+    assert sums.partially_reachable(0.9) == frozenset()
 
 
 @pytest.mark.parametrize(("targets", "expected"), [((1_200.0, 1_000.0), 0.12), ((), 0.0)])
--- a/plumarch/gateway/gossip/rounds.py
+++ b/plumarch/gateway/gossip/rounds.py
@@ -10,7 +10,7 @@
 from plumarch.membership import fleet_view, peer_node, tiers
 from plumarch.peers import gossip
 
-NEWS_MS = 100
+ROUND_INTERVAL_MS = 100
 """Time between two rounds. A large charge is known to a whole data centre within one, and to the
 others within two."""
 
@@ -82,7 +82,7 @@
         """Return whether this round is left to an older coordinator."""
         self.skipped += 1
         oldest = self.view.seniors()[0]
-        if oldest.age.name != self.view.node and self.skipped < STANDBY_ROUNDS:
+        if oldest.seniority.name != self.view.node and self.skipped < STANDBY_ROUNDS:
             return True
         self.skipped = 0
         return False
@@ -102,13 +102,13 @@
 
     def _far_seconds(self) -> set[str]:
         """Return where the coordinators are to which the oldest of their data centre passes on."""
-        rounds_ms = OLDEST_SILENT_ROUNDS * max(NEWS_MS, self.summary_ms)
+        rounds_ms = OLDEST_SILENT_ROUNDS * max(ROUND_INTERVAL_MS, self.summary_ms)
         oldest = self.state.clock.now() - rounds_ms
         return {
-            elder.address
+            senior.address
             for name, centre in self.view.live_centres().items()
             if self._is_far(name) and centre.oldest_ms >= oldest
-            for elder in centre.seniors[1 : tiers.COORDINATORS]
+            for senior in centre.seniors[1 : tiers.COORDINATORS]
         }
 
     def _is_far(self, data_centre: str) -> bool:
@@ -124,14 +124,14 @@
         view = self.view
         if self.summary_ms >= FAR_SECOND_MS:
             return
-        if self._is_far(told.data_centre) and view.seniors()[0].age.name == view.node:
-            self.send(told, [elder.address for elder in view.coordinators()])
+        if self._is_far(told.data_centre) and view.seniors()[0].seniority.name == view.node:
+            self.send(told, [senior.address for senior in view.coordinators()])
 
     def _tell_news(self) -> None:
-        news = msgspec.Raw(gossip.encoder.encode(self.sums.news()))
+        news = msgspec.Raw(gossip.encoder.encode(self.sums.fleet_update()))
         for peer in self.view.neighbours():
-            taken_in = self.sums.taken_in.get(peer.name, 0)
-            self.send(gossip.MemberNews(taken_in, news), [peer.address])
+            taken_in = self.sums.acknowledged.get(peer.name, 0)
+            self.send(gossip.MemberUpdate(taken_in, news), [peer.address])
 
     def other_coordinators(self) -> set[str]:
         """Return where the coordinators of other data centres are, as far as known."""
@@ -140,12 +140,12 @@
         live = view.live_centres()
         for name, centre in view.centres.items():
             wanted = centre.seniors[: tiers.COORDINATORS] if name in live else centre.seniors
-            told |= {elder.address for elder in wanted}
+            told |= {senior.address for senior in wanted}
         heard: dict[str, list[peer_node.Peer]] = {}
         for peer in view.peers.values():
             if peer.incarnation and peer.data_centre not in (self.state.data_centre, *live):
                 heard.setdefault(peer.data_centre, []).append(peer)
         for peers in heard.values():
-            oldest = sorted(peers, key=lambda peer: peer.age())[: tiers.ELDERS]
+            oldest = sorted(peers, key=lambda peer: peer.seniority())[: tiers.SENIORS]
             told |= {peer.address for peer in oldest}
         return told
--- a/plumarch/gateway/gossip/seniors.py
+++ b/plumarch/gateway/gossip/seniors.py
@@ -6,16 +6,21 @@
 from plumarch.peers import gossip
 
 
-def told(view: fleet_view.FleetView) -> list[gossip.KnownElder]:
+def announced(view: fleet_view.FleetView) -> list[gossip.NodeIdentity]:
     """Return the elders of a node's own data centre as it tells them."""
-    return as_told(view.seniors()[: tiers.ELDERS])
+    return to_messages(view.seniors()[: tiers.SENIORS])
 
 
-def as_told(known: Iterable[tiers.Elder]) -> list[gossip.KnownElder]:
+def to_messages(known: Iterable[tiers.Senior]) -> list[gossip.NodeIdentity]:
     """Return elders as they are told."""
-    return [gossip.KnownElder(one.age.name, one.age.incarnation, one.address) for one in known]
+    return [
+        gossip.NodeIdentity(one.seniority.name, one.seniority.incarnation, one.address)
+        for one in known
+    ]
 
 
-def taken(reports: Iterable[gossip.KnownElder]) -> tuple[tiers.Elder, ...]:
+def from_messages(reports: Iterable[gossip.NodeIdentity]) -> tuple[tiers.Senior, ...]:
     """Return elders that were told, as a node keeps them."""
-    return tuple(tiers.Elder(tiers.Age(one.incarnation, one.name), one.address) for one in reports)
+    return tuple(
+        tiers.Senior(tiers.Seniority(one.incarnation, one.name), one.address) for one in reports
+    )
--- a/plumarch/gateway/gossip/snapshots.py
+++ b/plumarch/gateway/gossip/snapshots.py
@@ -18,7 +18,7 @@
 FETCH_TIMEOUT_MS = 1_500
 
 
-LEAST_COMPRESSED = 4_096
+MIN_COMPRESSED = 4_096
 """Bytes from which on a snapshot is compressed: one of 1,400 routes shrinks to a twentieth, and
 some forty nodes fetch it from one coordinator over a link of 20 Mbit/s at the same moment."""
 
@@ -27,7 +27,7 @@
 most over regions, and the pause and a round trip after it. A process that starts again at its IP
 asks the same as the one before, but later."""
 
-MOST_UNTOLD = 512
+MAX_UNTOLD = 512
 """Peers of earlier builds whose last question is kept; more than the largest fleet has nodes."""
 
 ZLIB_LEVEL = 1
@@ -171,7 +171,7 @@
             or not before.in_parts
         )
         self.untold[peer] = Untold(asked, in_parts, now)
-        while len(self.untold) > MOST_UNTOLD:
+        while len(self.untold) > MAX_UNTOLD:
             del self.untold[next(iter(self.untold))]
         return in_parts
 
@@ -188,14 +188,14 @@
         )
         if self.packed is None or self.packed.contents != contents:
             encoded = gossip.encoder.encode(self._told(asked, in_parts))
-            if len(encoded) >= LEAST_COMPRESSED:
+            if len(encoded) >= MIN_COMPRESSED:
                 encoded = zlib.compress(encoded, ZLIB_LEVEL)
             self.packed = PackedAnswer(contents, encoded)
         return self.packed.encoded
 
     def _told(
         self, asked: gossip.SnapshotRequest, in_parts: bool
-    ) -> gossip.Snapshot | gossip.WholeSnapshot:
+    ) -> gossip.Snapshot | gossip.FullSnapshot:
         return self._snapshot(asked) if in_parts else self._whole(asked)
 
     def _is_configuration_newer(self, asked: gossip.SnapshotRequest) -> bool:
@@ -204,11 +204,11 @@
     def _are_endpoints_newer(self, asked: gossip.SnapshotRequest) -> bool:
         return self.state.registry.changed_revision > asked.registry_revision
 
-    def _whole(self, asked: gossip.SnapshotRequest) -> gossip.WholeSnapshot:
+    def _whole(self, asked: gossip.SnapshotRequest) -> gossip.FullSnapshot:
         """Return a snapshot as earlier builds take it."""
         table, registry = self.state.table, self.state.registry
         newer = self._is_configuration_newer(asked)
-        return gossip.WholeSnapshot(
+        return gossip.FullSnapshot(
             self.state.node,
             table.configuration if table is not None and newer else None,
             tuple(registry.endpoints.values()) if self._are_endpoints_newer(asked) else None,
--- a/plumarch/gateway/gossip/speed_reports.py
+++ b/plumarch/gateway/gossip/speed_reports.py
@@ -9,7 +9,7 @@
 US_PER_MS = 1_000.0
 
 
-def told(
+def to_messages(
     state: fleet_state.FleetState, counts_in: Callable[[str], bool] = lambda source: False
 ) -> list[gossip.EngineSpeed]:
     """Return what is known of all services' engines as it is told.
@@ -30,7 +30,9 @@
     return found
 
 
-def take(state: fleet_state.FleetState, source: str, reports: Iterable[gossip.EngineSpeed]) -> None:
+def apply(
+    state: fleet_state.FleetState, source: str, reports: Iterable[gossip.EngineSpeed]
+) -> None:
     """Keep what a source told."""
     now = state.clock.now()
     for one in reports:
--- a/plumarch/gateway/gossip/spending_ledger.py
+++ b/plumarch/gateway/gossip/spending_ledger.py
@@ -22,15 +22,15 @@
       counted: the part of this node's own spending that is in it.
     """
 
-    begun_by: tiers.Age | None = None
+    begun_by: tiers.Seniority | None = None
     spent: dict[str, float] = dataclasses.field(default_factory=dict)
     counted: dict[str, float] = dataclasses.field(default_factory=dict)
 
-    def take_in(self, news: gossip.FleetNews) -> None:
+    def take_in(self, news: gossip.FleetUpdate) -> None:
         """Take in how far a coordinator has counted."""
         if not news.ledger:
             return
-        begun_by = tiers.Age(news.ledger[0].incarnation, news.ledger[0].name)
+        begun_by = tiers.Seniority(news.ledger[0].incarnation, news.ledger[0].name)
         if begun_by != self.begun_by:
             self.begun_by = begun_by
             self.spent.clear()
--- a/plumarch/gateway/gossip/stale_figures.py
+++ b/plumarch/gateway/gossip/stale_figures.py
@@ -4,7 +4,7 @@
 from plumarch.gateway.gossip import coordination, member_updates
 from plumarch.membership import fleet_view, tiers
 
-LOADS_KEPT_MS = 2_500
+LOADS_RETENTION_MS = 2_500
 """Loads that were told longer ago count no more: most of what they tell has ended. A judgement:
 two runs of a typical request."""
 
@@ -12,21 +12,21 @@
 def drop_old_loads(state: fleet_state.FleetState, view: fleet_view.FleetView) -> None:
     """Forget loads that were told long ago, or by whom nobody knows any more."""
     now = state.clock.now()
-    for name in list(state.chooser.told):
-        told_ms = _told_ms(view, name)
-        if told_ms is None or now - told_ms > LOADS_KEPT_MS:
+    for name in list(state.chooser.reported_loads):
+        received_ms = _told_ms(view, name)
+        if received_ms is None or now - received_ms > LOADS_RETENTION_MS:
             state.chooser.forget(name)
 
 
 def _told_ms(view: fleet_view.FleetView, source: str) -> int | None:
     """Return when the loads of a source were told, or None for one that is gone."""
     if source == member_updates.FLEET:
-        return view.news.told_ms if view.news is not None else None
+        return view.fleet_update.received_ms if view.fleet_update is not None else None
     if source.startswith(coordination.CENTRE):
         centre = view.centres.get(source.removeprefix(coordination.CENTRE))
-        return centre.told_ms if centre is not None else None
+        return centre.received_ms if centre is not None else None
     peer = view.peers.get(source)
-    return peer.heard_ms if peer is not None else None
+    return peer.last_seen_ms if peer is not None else None
 
 
 def forget_for_role(
@@ -39,13 +39,13 @@
     if view.role is not tiers.Role.MEMBER:
         chooser.forget(member_updates.FLEET)
     if view.role is not tiers.Role.COORDINATOR:
-        sums.anew_until_ms.clear()
+        sums.resync_until_ms.clear()
         for name in list(view.centres):
             chooser.forget(coordination.CENTRE + name)
         view.centres.clear()
         sums.elsewhere.forget()
     if view.role is tiers.Role.MEMBER:
-        for name in [name for name in chooser.told if name != member_updates.FLEET]:
+        for name in [name for name in chooser.reported_loads if name != member_updates.FLEET]:
             chooser.forget(name)
         # Levels come from news now, with all that the others admitted in them; counting on from
         # these sums later would charge it twice.
--- a/plumarch/gateway/gossip/suspect_updates.py
+++ b/plumarch/gateway/gossip/suspect_updates.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class SuspectTeller:
+class SuspectPublisher:
     """One node's news of suspect requests.
 
     Attributes:
@@ -77,22 +77,22 @@
                 del self.due[name]
             suspect = self.state.quarantine.suspects.get(name)
             if suspect is not None:
-                found.append(suspect_entries.told(suspect))
+                found.append(suspect_entries.to_message(suspect))
         recipients = list(self.recipients()) if found else []
         for first in range(0, len(found), SUSPECTS_EACH):
-            news = gossip.SuspectNews(self.node, found[first : first + SUSPECTS_EACH])
+            news = gossip.SuspectUpdate(self.node, found[first : first + SUSPECTS_EACH])
             self.send(news, recipients)
 
     def meet(self, address: str) -> None:
         """Tell a node that is heard for the first time, or again, what is held back."""
         held = self.state.quarantine.held()[:SUSPECTS_EACH]
         if held:
-            told = [suspect_entries.told(one) for one in held]
-            self.send(gossip.SuspectNews(self.node, told), [address])
+            told = [suspect_entries.to_message(one) for one in held]
+            self.send(gossip.SuspectUpdate(self.node, told), [address])
 
-    def take(self, told: gossip.SuspectNews) -> None:
+    def apply(self, told: gossip.SuspectUpdate) -> None:
         """Take in what another node tells."""
-        suspects = [suspect_entries.taken(one) for one in told.suspects]
+        suspects = [suspect_entries.from_message(one) for one in told.suspects]
         news = adopt(self.state, suspects, told.node)
         for name in news:
             self.due[name] = max(TELLINGS_ON, self.due.get(name, 0))
@@ -120,11 +120,11 @@
 
 
 def log_change(
-    state: fleet_state.FleetState, fingerprint: str, was_held: bool, source: str
+    state: fleet_state.FleetState, fingerprint: str, was_quarantined: bool, source: str
 ) -> None:
     """Log that a request is held back from now on, or no longer."""
     hold = state.quarantine.hold(fingerprint)
-    if hold is not None and not was_held:
+    if hold is not None and not was_quarantined:
         state.measures.quarantined.add("held")
         state.log.write(
             "quarantined",
@@ -136,6 +136,6 @@
             trial_in_ms=hold.back_in_ms,
             source=source,
         )
-    elif hold is None and was_held:
+    elif hold is None and was_quarantined:
         state.measures.quarantined.add("cleared")
         state.log.write("quarantine_cleared", urgent=True, fingerprint=fingerprint, source=source)
--- a/plumarch/gateway/gossip/suspect_updates_test.py
+++ b/plumarch/gateway/gossip/suspect_updates_test.py
@@ -23,12 +23,14 @@
     return fleet
 
 
-def see_ends(node: gossip_fleet.Node, fingerprint: str = "f", first: int = 0, count: int = 3):
+def observe_crashes(
+    node: gossip_fleet.Node, fingerprint: str = "f", first: int = 0, count: int = 3
+):
     """Let a node see that endpoints ended under a request."""
     for number in range(first, first + count):
         node.state.quarantine.ended(fingerprint, f"e{number}", quarantine.EARLY_POINTS)
-        assert node.state.tell_suspect is not None
-        node.state.tell_suspect(fingerprint)
+        assert node.state.publish_suspect is not None
+        node.state.publish_suspect(fingerprint)
 
 
 def without_hold(fleet: gossip_fleet.GossipFleet, fingerprint: str = "f") -> list[str]:
@@ -50,7 +52,7 @@
 )
 def test_all_nodes_hold_a_request_back_as_soon_as_one_saw_it(size, role):
     fleet = settled(size)
-    see_ends(some_node(fleet, role))
+    observe_crashes(some_node(fleet, role))
     fleet.run(AT_ONCE_MS)
     assert without_hold(fleet) == []
 
@@ -59,7 +61,7 @@
     fleet = settled(LARGE)
     members = sorted(fleet.with_role(tiers.Role.MEMBER), key=lambda node: node.name)
     for number, node in enumerate((members[0], members[-1], members[len(members) // 2])):
-        see_ends(node, first=number, count=1)
+        observe_crashes(node, first=number, count=1)
         assert len(without_hold(fleet)) == len(fleet.live())
     fleet.run(AT_ONCE_MS)
     assert without_hold(fleet) == []
@@ -70,7 +72,7 @@
 def test_lost_late_and_doubled_datagrams_keep_it_from_nobody(size, seed):
     fleet = settled(size, seed)
     fleet.lose, fleet.double, fleet.late_ms = 0.2, 0.1, 100
-    see_ends(fleet.rng.choice(fleet.live()))
+    observe_crashes(fleet.rng.choice(fleet.live()))
     fleet.run(WITH_LOSSES_MS)
     assert without_hold(fleet) == []
 
@@ -84,7 +86,7 @@
         if node.data_centre == member.data_centre
     ]
     coordinators[0].alive = False
-    see_ends(member)
+    observe_crashes(member)
     fleet.run(AT_ONCE_MS)
     assert without_hold(fleet) == []
 
@@ -93,7 +95,7 @@
 def test_nodes_that_were_cut_off_or_started_since_hear_of_it_later(size):
     fleet = settled(size)
     fleet.cut = lambda one, other: (one.data_centre == "dc-c") != (other.data_centre == "dc-c")
-    see_ends(next(node for node in fleet.live() if node.data_centre == "dc-a"))
+    observe_crashes(next(node for node in fleet.live() if node.data_centre == "dc-a"))
     fleet.run(3_000)
     assert {name.rpartition("-")[0] for name in without_hold(fleet)} == {"dc-c"}
     fleet.cut = lambda one, other: False
@@ -104,11 +106,11 @@
 
 def test_an_answer_after_all_clears_it_on_all_nodes():
     fleet = settled(LARGE)
-    see_ends(some_node(fleet, tiers.Role.MEMBER))
+    observe_crashes(some_node(fleet, tiers.Role.MEMBER))
     fleet.run(1_000)
     other = some_node(fleet, tiers.Role.COORDINATOR)
-    assert other.state.quarantine.answered("f") and other.state.tell_suspect is not None
-    other.state.tell_suspect("f")
+    assert other.state.quarantine.answered("f") and other.state.publish_suspect is not None
+    other.state.publish_suspect("f")
     fleet.run(AT_ONCE_MS)
     assert len(without_hold(fleet)) == len(fleet.live())
 
@@ -118,7 +120,7 @@
     told: list[int] = []
 
     def carry(sender: gossip_fleet.Node, datagram: bytes, address: str) -> None:
-        if isinstance(gossip.datagram_decoder.decode(datagram), gossip.SuspectNews):
+        if isinstance(gossip.datagram_decoder.decode(datagram), gossip.SuspectUpdate):
             told.append(len(datagram))
 
     fleet.carry = carry
--- a/plumarch/gateway/gossip/unreadable_messages.py
+++ b/plumarch/gateway/gossip/unreadable_messages.py
@@ -12,7 +12,7 @@
 from plumarch.membership import fleet_view
 from plumarch.peers import gossip, tolerant
 
-MOST_TOLD = 64
+MAX_TOLD = 64
 """Senders and kinds that are logged; of more, the count says enough."""
 
 WHY_LIMIT = 200
@@ -40,7 +40,7 @@
         """
         kind, build = _kind(data), self._build_of(sender)
         self.state.measures.unreadable_messages.add(kind, build)
-        if (sender, kind) in self.told or len(self.told) >= MOST_TOLD:
+        if (sender, kind) in self.told or len(self.told) >= MAX_TOLD:
             return
         self.told.add((sender, kind))
         self.state.log.write(
--- a/plumarch/gateway/gossip/usage_report_test.py
+++ b/plumarch/gateway/gossip/usage_report_test.py
@@ -19,14 +19,14 @@
     summary = msgspec.structs.replace(
         other.gossip.coordination.summary(), usage=usage, usage_age_ms=250
     )
-    sums.take_summary(summary)
+    sums.handle_summary(summary)
     as_of = fleet.time.now() - 250
-    told = node.view.centres["dc-c"].usage_told
+    told = node.view.centres["dc-c"].usage_reported_ms
     newest = range(first + 5 - heartbeats.USAGE_WINDOWS, first + 5)
     assert told == dict.fromkeys(newest, as_of)
     fleet.time.advance_to(fleet.time.now() + 1_000)
-    sums.take_summary(msgspec.structs.replace(summary, usage=[], usage_age_ms=0, sequence=9_999))
-    assert node.view.centres["dc-c"].usage_told == told
+    sums.handle_summary(msgspec.structs.replace(summary, usage=[], usage_age_ms=0, sequence=9_999))
+    assert node.view.centres["dc-c"].usage_reported_ms == told
 
 
 def test_what_coordinators_counted_themselves_stays_with_those_that_follow_them():
--- a/plumarch/gateway/measures.py
+++ b/plumarch/gateway/measures.py
@@ -154,7 +154,7 @@
             "1 for a region of which too few nodes are heard to let engines go there.",
             ("region",),
         )
-        self.falls = Counter(
+        self.crashes = Counter(
             "plumarch_gateway_endpoint_falls", "Endpoints that fell with work.", ("service",)
         )
         self.leaving_said = Counter(
@@ -230,7 +230,7 @@
             self.attempts,
             self.sends,
             self.dependency,
-            self.falls,
+            self.crashes,
             self.leaving_said,
             self.rests,
             self.announced_rates,
--- a/plumarch/gateway/measures_test.py
+++ b/plumarch/gateway/measures_test.py
@@ -28,7 +28,7 @@
 
 def test_falls_and_lowered_limits_stand_by_service_and_endpoint():
     found = measures.Measures()
-    found.falls.add("s")
+    found.crashes.add("s")
     found.endpoint_limits.set(9.5, "e1")
     text = found.text().decode()
     assert 'plumarch_gateway_endpoint_falls_total{service="s"} 1.0' in text
--- a/plumarch/gateway/mixed_readers_test.py
+++ b/plumarch/gateway/mixed_readers_test.py
@@ -87,7 +87,7 @@
             rng = random.Random(seed)
             calls = [crowd.call(rng.choice(KINDS), rng.choice(PATHS)) for _ in range(CALLERS)]
             await asyncio.gather(*calls)
-            await slow_callers_test.until(lambda: slow_callers_test.all_given_back(gateway))
+            await slow_callers_test.until(lambda: slow_callers_test.all_released(gateway))
             assert 0 < crowd.most_held <= memory.budget
             assert memory.by_workspace == memory.answers_by_workspace == {}
             assert not logged_fault(gateway)
--- a/plumarch/gateway/node_peak_test.py
+++ b/plumarch/gateway/node_peak_test.py
@@ -15,7 +15,7 @@
 from plumarch.standins import scripted_endpoint as scripted
 
 ROOT = pathlib.Path(__file__).parents[2]
-MOST_GROWTH_KB = 40 * 1024
+MAX_GROWTH_KB = 40 * 1024
 """Of a node whose process may take 200 MB."""
 
 
@@ -70,7 +70,7 @@
             await flood.wait_over(slow_callers_test.CALLERS)
             grown = peak_kb(node.pid) - before
             print(f"{before} KB before, grown by {grown} KB")
-            assert grown < MOST_GROWTH_KB
+            assert grown < MAX_GROWTH_KB
             for sock in callers:
                 sock.close()
         finally:
--- a/plumarch/gateway/ports.py
+++ b/plumarch/gateway/ports.py
@@ -1,7 +1,7 @@
 """What a gateway needs of the platform it runs on; an adapter implements it.
 
 All calls raise the errors of plumarch.core.errors: PlatformUnavailable (nothing was done),
-PlatformAnswerLost (may have been done), PlatformConflict, PlatformAbsent, PlatformTooOld,
+PlatformAnswerLost (may have been done), PlatformConflict, PlatformAbsent, PlatformRevisionExpired,
 PlatformNonsense.
 """
 
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ConfigurationNews:
+class ConfigurationUpdate:
     """The configuration as of a revision; None if there is none, or no newer one."""
 
     configuration: routing_table.Configuration | None
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EndpointNews:
+class EndpointUpdate:
     """Changes of endpoints up to a revision; an entry that can't be read names none any more."""
 
     changes: tuple[registry.EndpointChange, ...]
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RolloutNews:
+class RolloutUpdate:
     """Orders of roll-outs that came, changed or are gone up to a revision."""
 
     changes: tuple[rollouts.RolloutChange, ...]
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RecordNews:
+class RecordUpdate:
     """Objects of a kind that came or changed, and the names of those removed, up to a revision."""
 
     changed: tuple[records.Record, ...]
@@ -71,11 +71,11 @@
 class Store(Protocol):
     """The platform's store."""
 
-    async def list_configuration(self) -> ConfigurationNews:
+    async def list_configuration(self) -> ConfigurationUpdate:
         """Read the configuration."""
         ...
 
-    async def watch_configuration(self, revision: int, wait_ms: int) -> ConfigurationNews:
+    async def watch_configuration(self, revision: int, wait_ms: int) -> ConfigurationUpdate:
         """Wait for a newer configuration."""
         ...
 
@@ -83,19 +83,19 @@
         """Read all endpoints."""
         ...
 
-    async def watch_endpoints(self, revision: int, wait_ms: int) -> EndpointNews:
+    async def watch_endpoints(self, revision: int, wait_ms: int) -> EndpointUpdate:
         """Wait for changes of endpoints."""
         ...
 
-    async def list_rollouts(self) -> RolloutNews:
+    async def list_rollouts(self) -> RolloutUpdate:
         """Read all orders of roll-outs."""
         ...
 
-    async def watch_rollouts(self, revision: int, wait_ms: int) -> RolloutNews:
+    async def watch_rollouts(self, revision: int, wait_ms: int) -> RolloutUpdate:
         """Wait for changes of orders."""
         ...
 
-    async def tell_rollout(
+    async def report_rollout(
         self, order: rollouts.RolloutOrder, state: rollouts.RolloutState
     ) -> None:
         """Tell operators how far a roll-out is, if its order is still the one that is known.
@@ -113,7 +113,7 @@
         """
         ...
 
-    async def watch_records(self, kind: str, revision: int, wait_ms: int) -> RecordNews:
+    async def watch_records(self, kind: str, revision: int, wait_ms: int) -> RecordUpdate:
         """Wait for changes of objects of a kind of the product's own."""
         ...
 
--- a/plumarch/gateway/pressure_test.py
+++ b/plumarch/gateway/pressure_test.py
@@ -94,7 +94,7 @@
             assert pressed.answered.count(200) >= 16
             log = gateway.state.log.pending
             assert log.count(b'"kind":"endpoint_fell"') == 1
-            assert gateway.state.measures.falls.counts == {("s",): 1.0}
+            assert gateway.state.measures.crashes.counts == {("s",): 1.0}
 
     relay_test.play(test)
 
@@ -151,7 +151,7 @@
 
 def after_losses_of_one_that_changed(
     *changes: Callable[[traffic.Endpoint], list[traffic.Endpoint]],
-) -> crash_guard.Fall | None:
+) -> crash_guard.Crash | None:
     """Return the fall by two losses of an endpoint that was told of anew after it was chosen."""
     state = gateway_parts.new_state(clock.ManualClock())
     one = traffic.Endpoint("e0", "s", "1:1", "a", 8, traffic.EndpointState.READY)
@@ -161,7 +161,7 @@
         state.registry.replace(change(one), 2 + number, "store")
     for _ in range(2):
         endpoint_outcomes.lost(state, endpoint_outcomes.Given(one, endpoint_limits.PLAIN, None))
-    return state.limits.falls.recent("s")
+    return state.limits.crashes.recent("s")
 
 
 def test_an_endpoint_that_announced_its_end_after_it_was_chosen_does_not_fall():
--- a/plumarch/gateway/relay.py
+++ b/plumarch/gateway/relay.py
@@ -24,7 +24,7 @@
             self._refuse(request, reply, admitted)
             return
         if not reply.assign(admitted.workspace_name()):
-            self._refuse(request, reply, admission.too_much_held(self.state, admitted))
+            self._refuse(request, reply, admission.over_memory_budget(self.state, admitted))
             return
         run = request_run.RequestRun(self.state, admitted, reply, self.lost)
         outcome = request_run.Outcome(request_run.CALLER_LEFT, "caller_left")
@@ -48,7 +48,7 @@
     def back_in_ms(self, size: int) -> float:
         """Return when a caller had better come back with a body that there was no room for."""
         pressure = self.state.pressure
-        pressure.learn(self.state.memory.given_back)
+        pressure.learn(self.state.memory.released)
         return return_times.spread(pressure.back_in_ms(size), self.state.rng)
 
     def caller_cut(self, reason: str, unread: int) -> None:
--- a/plumarch/gateway/store/follower.py
+++ b/plumarch/gateway/store/follower.py
@@ -156,7 +156,7 @@
                 pause_ms = self._news_pause_ms() if listed else FIRST_LIST_PAUSE_MS
                 await asyncio.sleep(pause_ms / 1000.0)
                 listed = True
-            except errors.PlatformTooOld:
+            except errors.PlatformRevisionExpired:
                 self.state.log.write("history_gone", dependency=dependency.name, since=revision)
                 revision = None
             except errors.PlatformError as error:
--- a/plumarch/gateway/store/follower_test.py
+++ b/plumarch/gateway/store/follower_test.py
@@ -73,8 +73,8 @@
     return store.asked, state
 
 
-def news(version: int | None, revision: int) -> ports.ConfigurationNews:
-    return ports.ConfigurationNews(configuration(version) if version else None, revision)
+def news(version: int | None, revision: int) -> ports.ConfigurationUpdate:
+    return ports.ConfigurationUpdate(configuration(version) if version else None, revision)
 
 
 def test_a_list_then_watches_from_where_it_ended():
@@ -84,7 +84,7 @@
 
 
 def test_a_forgotten_history_is_listed_again_at_once():
-    asked, _ = follow(news(1, 10), errors.PlatformTooOld("gone"), news(2, 30))
+    asked, _ = follow(news(1, 10), errors.PlatformRevisionExpired("gone"), news(2, 30))
     assert asked == ["list", "watch 10", "list", "watch 30"]
 
 
--- a/plumarch/gateway/store/quarantine_record.py
+++ b/plumarch/gateway/store/quarantine_record.py
@@ -29,7 +29,7 @@
 KEPT_POINTS = 2 * quarantine.EARLY_POINTS
 """Points from which on a request is written: the third end may come where nobody else is heard."""
 
-MOST_KEPT = 64
+MAX_KEPT = 64
 """Requests in the record, the most suspect first; some 400 bytes each, of the megabyte that a value
 may have."""
 
@@ -144,8 +144,8 @@
             self._tell(name)
 
     def _tell(self, fingerprint: str) -> None:
-        if self.state.tell_suspect is not None:
-            self.state.tell_suspect(fingerprint)
+        if self.state.publish_suspect is not None:
+            self.state.publish_suspect(fingerprint)
 
     # Writing.
 
@@ -176,7 +176,7 @@
             return
         if self.due_ms is None:
             self.due_ms = now + SUSPECT_DELAY_MS
-        if now >= self.due_ms or any(one.is_held() for one in missing):
+        if now >= self.due_ms or any(one.is_quarantined() for one in missing):
             self.due_ms = None
             await self._write(missing)
 
@@ -255,19 +255,19 @@
     """Return what the record is to hold: the most suspect that are not long past."""
     found = [one for one in suspects.values() if not one.is_over(now)]
     found.sort(key=lambda one: (-one.points(), -one.last_ms(), one.fingerprint))
-    return found[:MOST_KEPT]
+    return found[:MAX_KEPT]
 
 
 def encode(suspects: list[quarantine.Suspect]) -> str:
     """Return requests as the store keeps them."""
-    told = [suspect_entries.told(one, quarantine.ENDS_KEPT) for one in suspects]
+    told = [suspect_entries.to_message(one, quarantine.ENDS_KEPT) for one in suspects]
     return msgspec.json.encode(told).decode()
 
 
 def decode(value: str) -> list[quarantine.Suspect] | None:
     """Return the requests of a record, or None if it can't be read."""
     try:
-        told = msgspec.json.decode(value, type=list[suspect_entries.ToldSuspect])
+        told = msgspec.json.decode(value, type=list[suspect_entries.ReportedSuspect])
     except msgspec.DecodeError:
         return None
-    return [suspect_entries.taken(one) for one in told]
+    return [suspect_entries.from_message(one) for one in told]
--- a/plumarch/gateway/store/quarantine_record_test.py
+++ b/plumarch/gateway/store/quarantine_record_test.py
@@ -30,11 +30,13 @@
     virtual_time.run(run())
 
 
-def see_ends(node: gossip_fleet.Node, first: int, count: int, fingerprint: str = "f") -> None:
+def observe_crashes(
+    node: gossip_fleet.Node, first: int, count: int, fingerprint: str = "f"
+) -> None:
     for number in range(first, first + count):
         node.state.quarantine.ended(fingerprint, f"e{number}", quarantine.EARLY_POINTS)
-        assert node.state.tell_suspect is not None
-        node.state.tell_suspect(fingerprint)
+        assert node.state.publish_suspect is not None
+        node.state.publish_suspect(fingerprint)
 
 
 def without_hold(replay: store_replay.StoreReplay) -> list[str]:
@@ -45,7 +47,7 @@
 @pytest.mark.parametrize("size", [SMALL, LARGE])
 def test_a_fleet_that_lost_all_its_processes_still_holds_a_request_back(size: gossip_fleet.Size):
     async def test(replay: store_replay.StoreReplay) -> None:
-        see_ends(replay.fleet.live()[4], 0, 3)
+        observe_crashes(replay.fleet.live()[4], 0, 3)
         await replay.run(500)
         replay.restart_all()
         assert len(without_hold(replay)) == len(replay.fleet.live())
@@ -61,7 +63,7 @@
         alone = replay.fleet.live()[-1]
         replay.fleet.cut = lambda one, other: alone in (one, other)
         await replay.run(2_000)
-        see_ends(replay.fleet.live()[0], 0, 3)
+        observe_crashes(replay.fleet.live()[0], 0, 3)
         await replay.run(CONTACT_MS)
         assert without_hold(replay) == []
 
@@ -75,8 +77,8 @@
         replay.fleet.cut = lambda one, other: (one.data_centre == far) != (other.data_centre == far)
         await replay.run(2_000)
         live = replay.fleet.live()
-        see_ends(next(node for node in live if node.data_centre != far), 0, 2)
-        see_ends(next(node for node in live if node.data_centre == far), 2, 1)
+        observe_crashes(next(node for node in live if node.data_centre != far), 0, 2)
+        observe_crashes(next(node for node in live if node.data_centre == far), 2, 1)
         await replay.run(CONTACT_MS)
         assert without_hold(replay) == []
 
@@ -87,7 +89,7 @@
     async def test(replay: store_replay.StoreReplay) -> None:
         replay.store.down = True
         await replay.run(1_000)
-        see_ends(replay.fleet.live()[0], 0, 3)
+        observe_crashes(replay.fleet.live()[0], 0, 3)
         await replay.run(3_000)
         replay.store.down = False
         await replay.run(6_000)
@@ -102,7 +104,7 @@
     async def test(replay: store_replay.StoreReplay) -> None:
         before = dict(replay.store.by_call)
         for number, node in enumerate(replay.fleet.live()):
-            see_ends(node, number, 1, fingerprint=f"bystander-{number}")
+            observe_crashes(node, number, 1, fingerprint=f"bystander-{number}")
         await replay.run(60_000)
         assert replay.store.by_call["write record"] == before["write record"]
         assert replay.store.by_call["watch records"] - before.get("watch records", 0) <= 4
@@ -112,7 +114,7 @@
 
 def test_of_all_nodes_that_claim_a_trial_one_gets_it():
     async def test(replay: store_replay.StoreReplay) -> None:
-        see_ends(replay.fleet.live()[0], 0, 3)
+        observe_crashes(replay.fleet.live()[0], 0, 3)
         await replay.run(1_000)
         claims = list(replay.quarantines.values())
         assert not any(await asyncio.gather(*(one.claim("f") for one in claims)))
@@ -127,7 +129,7 @@
 
 def test_without_the_store_no_trial_is_granted():
     async def test(replay: store_replay.StoreReplay) -> None:
-        see_ends(replay.fleet.live()[0], 0, 3)
+        observe_crashes(replay.fleet.live()[0], 0, 3)
         await replay.run(quarantine.FIRST_TRIAL_MS + 1_000)
         replay.store.down = True
         assert not await replay.quarantines[replay.fleet.live()[0].name].claim("f")
@@ -138,7 +140,7 @@
 @pytest.mark.parametrize("size", [SMALL, LARGE])
 def test_operators_let_all_run_again_by_removing_the_record(size: gossip_fleet.Size):
     async def test(replay: store_replay.StoreReplay) -> None:
-        see_ends(replay.fleet.live()[0], 0, 3)
+        observe_crashes(replay.fleet.live()[0], 0, 3)
         await replay.run(1_000)
         assert without_hold(replay) == []
         replay.store.remove(quarantine_record.KIND, quarantine_record.NAME)
@@ -152,7 +154,7 @@
 
 def test_a_record_that_cannot_be_read_is_written_anew():
     async def test(replay: store_replay.StoreReplay) -> None:
-        see_ends(replay.fleet.live()[0], 0, 3)
+        observe_crashes(replay.fleet.live()[0], 0, 3)
         await replay.run(1_000)
         key = (quarantine_record.KIND, quarantine_record.NAME)
         record = replay.store.kept[key]
@@ -178,6 +180,6 @@
         for number in range(200)
     }
     kept = quarantine_record.kept(found, now)
-    assert len(kept) == quarantine_record.MOST_KEPT
-    assert all(one.is_held() for one in kept)
+    assert len(kept) == quarantine_record.MAX_KEPT
+    assert all(one.is_quarantined() for one in kept)
     assert quarantine_record.decode(quarantine_record.encode(kept)) == kept
--- a/plumarch/gateway/store/registration.py
+++ b/plumarch/gateway/store/registration.py
@@ -22,7 +22,7 @@
 ALONE_AGAIN_MS = 3_000
 """How often a node that hears nobody reads again who there is."""
 
-LEAST_FOUND = 2
+MIN_FOUND = 2
 """Elders of a data centre that are written down and live, below which its record is renewed."""
 
 
@@ -109,8 +109,8 @@
         if view.role is tiers.Role.FLAT and view.known_size() <= tiers.FLAT_FLEET:
             mine = node_record.NodeRecord(view.address, view.data_centre)
             return WantedRecord(view.node, [mine])
-        seniors = view.seniors()[: tiers.ELDERS]
-        if view.role is not tiers.Role.COORDINATOR or seniors[0].age != view.age():
+        seniors = view.seniors()[: tiers.SENIORS]
+        if view.role is not tiers.Role.COORDINATOR or seniors[0].seniority != view.seniority():
             return None
         return WantedRecord(
             node_record.CENTRE_PREFIX + view.data_centre,
@@ -123,10 +123,10 @@
         written = node_record.decode(record) if record is not None else None
         if not written:
             return False
-        live = {one.address for one in self.view.neighbours() if self.view.is_heard(one)}
+        live = {one.address for one in self.view.neighbours() if self.view.is_alive(one)}
         live.add(self.view.address)
         found = [one for one in written if one.address in live]
-        return len(found) >= min(LEAST_FOUND, len(wanted.nodes))
+        return len(found) >= min(MIN_FOUND, len(wanted.nodes))
 
     async def _write(self, wanted: WantedRecord) -> None:
         name = wanted.name
--- a/plumarch/gateway/store/registration_test.py
+++ b/plumarch/gateway/store/registration_test.py
@@ -92,7 +92,7 @@
     assert set(store.found) == {"centre-dc-a", "centre-dc-b", "centre-dc-c"}
     named = node_record.decode(store.found["centre-dc-b"])
     assert named is not None
-    assert len(named) == tiers.ELDERS
+    assert len(named) == tiers.SENIORS
     run(fleet, entries)
     assert (store.lists, store.writes) == (36, 3)
 
--- a/plumarch/gateway/wakes.py
+++ b/plumarch/gateway/wakes.py
@@ -14,14 +14,14 @@
       told: suspensions that were told.
     """
 
-    def __init__(self, state: fleet_state.FleetState, begin_contact: Callable[[], None]) -> None:
+    def __init__(self, state: fleet_state.FleetState, start_bootstrap: Callable[[], None]) -> None:
         """Keep what is needed.
 
         Args:
-          begin_contact: tells the other nodes all, as at the start of contact.
+          start_bootstrap: tells the other nodes all, as at the start of contact.
         """
         self.state = state
-        self.begin_contact = begin_contact
+        self.start_bootstrap = start_bootstrap
         self.told = 0
         self.told_ms = 0
         self.halted_ms = self._halted_ms()
@@ -48,7 +48,7 @@
         )
         self.state.measures.suspended.set(known.total_ms / 1000.0)
         self.told, self.told_ms, self.halted_ms = known.count, known.total_ms, halted_ms
-        self.begin_contact()
+        self.start_bootstrap()
 
     def _halted_ms(self) -> int:
         """Return how long the machine has been suspended since its start, where that is counted."""
--- a/plumarch/limits/centre_spending.py
+++ b/plumarch/limits/centre_spending.py
@@ -16,7 +16,7 @@
 
 from plumarch.core import clock
 
-KEPT_MS = 30_000
+RETENTION_MS = 30_000
 """How long the coordinators of a data centre are kept that fell silent as a whole; nodes are
 forgotten after the same time."""
 
@@ -55,7 +55,7 @@
     """
 
     name: str
-    heard_ms: int
+    last_seen_ms: int
     ledger: Ledger = UNNAMED
     told: dict[str, float] = dataclasses.field(default_factory=dict)
     uncharged: dict[str, float] = dataclasses.field(default_factory=dict)
@@ -63,7 +63,7 @@
 
     def take_in(self, sums: Mapping[str, float], now: int) -> None:
         """Take in its sums."""
-        self.heard_ms = now
+        self.last_seen_ms = now
         for workspace, spent in sums.items():
             if workspace in self.told:
                 more = spent - self.told[workspace]
@@ -107,7 +107,7 @@
         data_centre: str,
         author: str,
         sums: Mapping[str, float],
-        silence_ms: float,
+        alive_timeout_ms: float,
         leads: bool = False,
         ledger: Ledger = UNNAMED,
     ) -> dict[str, float]:
@@ -116,7 +116,7 @@
         Args:
           author: its name and incarnation.
           sums: units spent since it began to count, by workspace.
-          silence_ms: from this silence on another one is charged by.
+          alive_timeout_ms: from this silence on another one is charged by.
           leads: whether it is the oldest one as it believes, which tells most often.
           ledger: in which it counts.
         Returns:
@@ -124,7 +124,7 @@
         """
         now = self.clock.now()
         known = self.authors.setdefault(data_centre, [])
-        self._drop_silent(data_centre, known, now, silence_ms)
+        self._drop_silent(data_centre, known, now, alive_timeout_ms)
         teller = next((one for one in known if one.name == author), None)
         if teller is not None and teller.ledger.name != ledger.name:
             # It counts on in another one's ledger: what it told before is not to be compared.
@@ -166,10 +166,10 @@
         return last.told if last is not None and ledger.name else {}
 
     def _drop_silent(
-        self, data_centre: str, known: list[Author], now: int, silence_ms: float
+        self, data_centre: str, known: list[Author], now: int, alive_timeout_ms: float
     ) -> None:
         """Drop those that fell silent; all at once are kept aside, since they may come back."""
-        live = [one for one in known if now - one.heard_ms <= silence_ms]
+        live = [one for one in known if now - one.last_seen_ms <= alive_timeout_ms]
         if known and not live:
             self.silent[data_centre] = list(known)
         known[:] = live
@@ -181,4 +181,4 @@
         """
         before = self.silent.pop(data_centre, [])
         found = next((one for one in before if one.name == name), None)
-        return found if found is not None and now - found.heard_ms <= KEPT_MS else None
+        return found if found is not None and now - found.last_seen_ms <= RETENTION_MS else None
