--- a/plumarch/limits/memory_account.py
+++ b/plumarch/limits/memory_account.py
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Holding:
+class Reservation:
     """What is held for one purpose on one connection.
 
     Attributes:
@@ -76,7 +76,7 @@
 
     Attributes:
       budget: the most bytes that may be held.
-      given_back: bytes given back since the start.
+      released: bytes given back since the start.
       waiting: called once when bytes are given back.
     """
 
@@ -85,14 +85,14 @@
     by_connection: dict[Hashable, int] = dataclasses.field(default_factory=dict)
     by_workspace: dict[str, int] = dataclasses.field(default_factory=dict)
     answers_by_workspace: dict[str, int] = dataclasses.field(default_factory=dict)
-    given_back: int = 0
+    released: int = 0
     waiting: list[Callable[[], None]] = dataclasses.field(default_factory=list)
 
     def total(self) -> int:
         """Return the bytes held for all purposes."""
         return sum(self.held.values())
 
-    def resize(self, holding: Holding, size: int) -> bool:
+    def resize(self, reservation: Reservation, size: int) -> bool:
         """Change what is held; less is always accepted.
 
         Args:
@@ -101,50 +101,50 @@
           False if so much may not be held: the holding is as it was, and the caller must not keep
           the bytes.
         """
-        more = size - holding.size
+        more = size - reservation.size
         if not more:
             return True
-        if more > 0 and not self._may_grow(holding, more):
+        if more > 0 and not self._may_grow(reservation, more):
             return False
-        self._add_up(holding, more)
-        holding.size = size
+        self._add_up(reservation, more)
+        reservation.size = size
         if more < 0:
-            self.given_back -= more
+            self.released -= more
             self._wake()
         return True
 
-    def assign(self, holding: Holding, workspace: str) -> bool:
+    def assign(self, reservation: Reservation, workspace: str) -> bool:
         """Say whose the bytes of a holding are, once it is known.
 
         Returns:
           False if the workspace may not hold so much: the holding is as it was.
         """
-        if not holding.size or workspace == holding.workspace:
-            holding.workspace = workspace
+        if not reservation.size or workspace == reservation.workspace:
+            reservation.workspace = workspace
             return True
-        if not self._workspace_has_room(workspace, holding.size):
+        if not self._workspace_has_room(workspace, reservation.size):
             return False
-        self._add_up(holding, -holding.size)
-        holding.workspace = workspace
-        self._add_up(holding, holding.size)
+        self._add_up(reservation, -reservation.size)
+        reservation.workspace = workspace
+        self._add_up(reservation, reservation.size)
         return True
 
-    def turn(self, holding: Holding, purpose: Purpose) -> None:
+    def turn(self, reservation: Reservation, purpose: Purpose) -> None:
         """Say that bytes are held for another purpose from now on."""
-        if holding.size:
-            self._add_up(holding, -holding.size)
-            self._add_up(dataclasses.replace(holding, purpose=purpose), holding.size)
-        holding.purpose = purpose
+        if reservation.size:
+            self._add_up(reservation, -reservation.size)
+            self._add_up(dataclasses.replace(reservation, purpose=purpose), reservation.size)
+        reservation.purpose = purpose
 
-    def may_hold_answer(self, holding: Holding, size: int) -> bool:
+    def may_hold_answer(self, reservation: Reservation, size: int) -> bool:
         """Return whether a whole answer fits into the room for answers.
 
         One that is larger than this room is let in when it is the only one.
         """
-        others = self.held[Purpose.UNREAD_ANSWERS] - holding.size
+        others = self.held[Purpose.UNREAD_ANSWERS] - reservation.size
         if not others or size <= SMALL_ANSWER_BYTES:
             return True
-        return size - holding.size <= self._answers_room(holding.workspace)
+        return size - reservation.size <= self._answers_room(reservation.workspace)
 
     def stream_bound(self, workspace: str) -> int:
         """Return how many unread bytes a stream may hold now.
@@ -163,20 +163,20 @@
         held = self.answers_by_workspace.get(workspace, 0)
         return min(free, ANSWERS_WORKSPACE_SHARE * room - held)
 
-    def _add_up(self, holding: Holding, more: int) -> None:
-        self.held[holding.purpose] += more
-        _add(self.by_connection, holding.connection, more)
-        _add(self.by_workspace, holding.workspace, more)
-        if holding.purpose is Purpose.UNREAD_ANSWERS:
-            _add(self.answers_by_workspace, holding.workspace, more)
+    def _add_up(self, reservation: Reservation, more: int) -> None:
+        self.held[reservation.purpose] += more
+        _add(self.by_connection, reservation.connection, more)
+        _add(self.by_workspace, reservation.workspace, more)
+        if reservation.purpose is Purpose.UNREAD_ANSWERS:
+            _add(self.answers_by_workspace, reservation.workspace, more)
 
-    def _may_grow(self, holding: Holding, more: int) -> bool:
+    def _may_grow(self, reservation: Reservation, more: int) -> bool:
         if self.total() + more > self.budget:
             return False
-        connection = self.by_connection.get(holding.connection, 0)
+        connection = self.by_connection.get(reservation.connection, 0)
         if connection + more > CONNECTION_SHARE * self.budget:
             return False
-        return self._workspace_has_room(holding.workspace, more)
+        return self._workspace_has_room(reservation.workspace, more)
 
     def _workspace_has_room(self, workspace: str, more: int) -> bool:
         held = self.by_workspace.get(workspace, 0)
--- a/plumarch/limits/memory_account_test.py
+++ b/plumarch/limits/memory_account_test.py
@@ -6,16 +6,16 @@
 from hypothesis import strategies
 
 from plumarch.limits import memory_account
-from plumarch.limits.memory_account import Holding, Purpose
+from plumarch.limits.memory_account import Purpose, Reservation
 
 BUDGET = 120 * 2**20
 LIMIT_MB = 200
 
 
-def answers(connection: object, size: int, account: memory_account.MemoryAccount) -> Holding:
-    holding = Holding(connection, "", Purpose.UNREAD_ANSWERS)
-    assert account.resize(holding, size)
-    return holding
+def answers(connection: object, size: int, account: memory_account.MemoryAccount) -> Reservation:
+    reservation = Reservation(connection, "", Purpose.UNREAD_ANSWERS)
+    assert account.resize(reservation, size)
+    return reservation
 
 
 def test_the_budget_is_a_part_of_the_limit():
@@ -41,33 +41,35 @@
 ):
     rng = random.Random(len(script))
     account = memory_account.MemoryAccount(BUDGET)
-    open_ones: dict[tuple[int, int, Purpose], Holding] = {}
+    open_ones: dict[tuple[int, int, Purpose], Reservation] = {}
     for connection, space, purpose, size, turns in script:
         workspace = f"w{space}" if space else ""
         key = (connection, space, purpose)
-        holding = open_ones.setdefault(key, Holding(connection, workspace, purpose))
-        before = holding.size
-        assert account.resize(holding, size) or holding.size == before < size
+        reservation = open_ones.setdefault(key, Reservation(connection, workspace, purpose))
+        before = reservation.size
+        assert account.resize(reservation, size) or reservation.size == before < size
         if turns:
-            account.turn(holding, rng.choice(list(Purpose)))
-            account.assign(holding, rng.choice(["", "w1", "w2"]))
+            account.turn(reservation, rng.choice(list(Purpose)))
+            account.assign(reservation, rng.choice(["", "w1", "w2"]))
         check(account, list(open_ones.values()))
-    for holding in open_ones.values():
-        assert account.resize(holding, 0)
+    for reservation in open_ones.values():
+        assert account.resize(reservation, 0)
     assert account.total() == 0
     assert account.by_connection == account.by_workspace == account.answers_by_workspace == {}
 
 
-def check(account: memory_account.MemoryAccount, holdings: list[Holding]) -> None:
-    total = sum(one.size for one in holdings)
+def check(account: memory_account.MemoryAccount, reservations: list[Reservation]) -> None:
+    total = sum(one.size for one in reservations)
     assert account.total() == total <= account.budget
     for purpose in Purpose:
-        assert account.held[purpose] == sum(one.size for one in holdings if one.purpose is purpose)
+        assert account.held[purpose] == sum(
+            one.size for one in reservations if one.purpose is purpose
+        )
     assert all(
         size <= memory_account.CONNECTION_SHARE * BUDGET for size in account.by_connection.values()
     )
-    unread = [one for one in holdings if one.purpose is Purpose.UNREAD_ANSWERS]
-    for workspace in {one.workspace for one in holdings}:
+    unread = [one for one in reservations if one.purpose is Purpose.UNREAD_ANSWERS]
+    for workspace in {one.workspace for one in reservations}:
         wanted = sum(one.size for one in unread if one.workspace == workspace)
         assert account.answers_by_workspace.get(workspace, 0) == wanted
     for workspace, size in account.by_workspace.items():
@@ -77,7 +79,7 @@
 def test_streams_alone_never_fill_the_room_for_answers():
     rng = random.Random(7)
     account = memory_account.MemoryAccount(BUDGET)
-    streams = [Holding(number, "", Purpose.UNREAD_ANSWERS) for number in range(500)]
+    streams = [Reservation(number, "", Purpose.UNREAD_ANSWERS) for number in range(500)]
     for _ in range(5_000):
         stream = rng.choice(streams)
         wanted = stream.size + rng.randrange(200_000)
@@ -100,7 +102,7 @@
 def test_a_large_answer_waits_for_others_and_is_let_in_alone():
     account = memory_account.MemoryAccount(BUDGET)
     first = answers("a", 15_000_000, account)
-    second = Holding("b", "", Purpose.UNREAD_ANSWERS)
+    second = Reservation("b", "", Purpose.UNREAD_ANSWERS)
     assert not account.may_hold_answer(second, 18_000_000)
     woken: list[bool] = []
     account.waiting.append(lambda: woken.append(account.may_hold_answer(second, 18_000_000)))
@@ -111,20 +113,20 @@
 
 def test_bytes_given_back_are_counted_for_the_rate():
     account = memory_account.MemoryAccount(BUDGET)
-    holding = answers("a", 900, account)
-    account.resize(holding, 400)
-    account.resize(holding, 0)
-    assert account.given_back == 900
+    reservation = answers("a", 900, account)
+    account.resize(reservation, 400)
+    account.resize(reservation, 0)
+    assert account.released == 900
 
 
 def test_a_workspaces_slow_readers_leave_room_to_others_and_small_answers_wait_for_none():
     account = memory_account.MemoryAccount(BUDGET)
     for number in range(500):
-        stream = Holding(number, "w", Purpose.UNREAD_ANSWERS)
+        stream = Reservation(number, "w", Purpose.UNREAD_ANSWERS)
         while stream.size + 5_000 <= account.stream_bound("w"):
             assert account.resize(stream, stream.size + 5_000)
     assert account.stream_bound("v") >= 500_000
-    slow = Holding("x", "w", Purpose.UNREAD_ANSWERS)
+    slow = Reservation("x", "w", Purpose.UNREAD_ANSWERS)
     assert not account.may_hold_answer(slow, 4_000_000)
     assert account.may_hold_answer(slow, memory_account.SMALL_ANSWER_BYTES)
-    assert account.may_hold_answer(Holding("y", "v", Purpose.UNREAD_ANSWERS), 4_000_000)
+    assert account.may_hold_answer(Reservation("y", "v", Purpose.UNREAD_ANSWERS), 4_000_000)
--- a/plumarch/limits/memory_admission.py
+++ b/plumarch/limits/memory_admission.py
@@ -30,8 +30,8 @@
 """Time over which the rate is taken at which bytes are given back: some bodies and answers come to
 their end in it, and an older rate says little about readers now."""
 
-LEAST_BACK_MS = 200.0
-LONGEST_BACK_MS = 5_000.0
+MIN_BACK_MS = 200.0
+MAX_BACK_MS = 5_000.0
 """Return times are between these: another request's answer, and half the time after which a caller
 that reads nothing is ended and gives all back."""
 
@@ -75,23 +75,23 @@
     """Turns requests away, and says when to come back.
 
     Attributes:
-      given_back: bytes that the account had given back when it was looked at last.
+      released: bytes that the account had given back when it was looked at last.
       looked_ms: when that was.
       rate: bytes given back for each ms, lately.
     """
 
     clock: clock.Clock
-    given_back: int = 0
+    released: int = 0
     looked_ms: int = -1
     rate: float = 0.0
 
-    def refuse(self, held: Held, size: int, rank: int, given_back: int) -> float | None:
+    def refuse(self, held: Held, size: int, rank: int, released: int) -> float | None:
         """Return in how many ms a request may come back, or None if it is taken on.
 
         Args:
-          given_back: bytes that were given back since the start.
+          released: bytes that were given back since the start.
         """
-        self.learn(given_back)
+        self.learn(released)
         if not is_refused(held, size, rank):
             return None
         over = held.total + size - round(START * held.budget)
@@ -100,19 +100,19 @@
     def back_in_ms(self, over: int) -> float:
         """Return how long it takes to give so many bytes back."""
         if self.rate <= 0.0:
-            return LONGEST_BACK_MS
-        return min(LONGEST_BACK_MS, max(LEAST_BACK_MS, over / self.rate))
+            return MAX_BACK_MS
+        return min(MAX_BACK_MS, max(MIN_BACK_MS, over / self.rate))
 
-    def learn(self, given_back: int) -> None:
+    def learn(self, released: int) -> None:
         """Take in how many bytes were given back since the start."""
         now = self.clock.now()
         if self.looked_ms < 0:
-            self.given_back, self.looked_ms = given_back, now
+            self.released, self.looked_ms = released, now
             return
         passed_ms = now - self.looked_ms
         if passed_ms <= 0:
             return
         # An average whose weight for the past falls with the time that has passed.
         weight = min(1.0, passed_ms / RATE_WINDOW_MS)
-        self.rate += weight * ((given_back - self.given_back) / passed_ms - self.rate)
-        self.given_back, self.looked_ms = given_back, now
+        self.rate += weight * ((released - self.released) / passed_ms - self.rate)
+        self.released, self.looked_ms = released, now
--- a/plumarch/limits/memory_admission_test.py
+++ b/plumarch/limits/memory_admission_test.py
@@ -51,12 +51,12 @@
     steady = clock.ManualClock()
     admission = memory_admission.MemoryAdmission(steady)
     full = held(0.9)
-    assert admission.refuse(full, 0, 0, 0) == memory_admission.LONGEST_BACK_MS
+    assert admission.refuse(full, 0, 0, 0) == memory_admission.MAX_BACK_MS
     steady.advance_to(2_000)
     # 0.2 of the budget is over START, and 200 bytes are given back each ms.
     assert admission.refuse(full, 0, 0, 400_000) == 1_000.0
     steady.advance_to(4_000)
-    assert admission.refuse(full, 0, 0, 400_000) == memory_admission.LONGEST_BACK_MS
+    assert admission.refuse(full, 0, 0, 400_000) == memory_admission.MAX_BACK_MS
 
 
 def test_below_the_start_all_are_taken_on():
--- a/plumarch/limits/quarantine.py
+++ b/plumarch/limits/quarantine.py
@@ -46,16 +46,16 @@
 TRIALS_COUNTED = 8
 """Trials after which the pause is the longest one anyhow."""
 
-LONGEST_PAUSE_MS = 4 * 3_600_000
+MAX_PAUSE_MS = 4 * 3_600_000
 """The longest pause. A mended endpoint serves the request half a working day later at most."""
 
-SUSPECT_KEPT_MS = 600_000
+SUSPECT_RETENTION_MS = 600_000
 """How long ends are kept that are too few: callers that repeat do so within minutes."""
 
-HELD_KEPT_MS = 24 * 3_600_000
+QUARANTINE_RETENTION_MS = 24 * 3_600_000
 """How long a request is remembered that is held back, from its last end or trial."""
 
-MOST_SUSPECTS = 2_000
+MAX_SUSPECTS = 2_000
 """Requests that are remembered, some 400 bytes each. When a data centre ends at once, 100 engines
 leave some 3,000 requests to all nodes; beyond the bound those with the fewest points go first."""
 
@@ -65,7 +65,7 @@
     found = FIRST_TRIAL_MS
     for _ in range(min(trials, TRIALS_COUNTED)):
         found *= TRIAL_FACTOR
-    return min(LONGEST_PAUSE_MS, found)
+    return min(MAX_PAUSE_MS, found)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -104,7 +104,7 @@
         """Return how much speaks against it."""
         return sum(end.points for end in self.ends)
 
-    def is_held(self) -> bool:
+    def is_quarantined(self) -> bool:
         """Return whether it is held back."""
         return self.points() >= LIMIT
 
@@ -120,7 +120,9 @@
 
     def is_over(self, now: int) -> bool:
         """Return whether it can be forgotten."""
-        return now - self.last_ms() > (HELD_KEPT_MS if self.is_held() else SUSPECT_KEPT_MS)
+        return now - self.last_ms() > (
+            QUARANTINE_RETENTION_MS if self.is_quarantined() else SUSPECT_RETENTION_MS
+        )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -155,7 +157,7 @@
     def hold(self, fingerprint: str) -> Hold | None:
         """Return how long a request is held back, or None if it may run."""
         suspect = self.suspects.get(fingerprint)
-        if suspect is None or not suspect.is_held():
+        if suspect is None or not suspect.is_quarantined():
             return None
         return Hold(suspect, max(0, suspect.next_trial_ms() - self.clock.now()))
 
@@ -172,12 +174,12 @@
         Returns:
           Whether it is held back by that from now on.
         """
-        was_held = self.hold(fingerprint) is not None
+        was_quarantined = self.hold(fingerprint) is not None
         if self.answers.has(fingerprint):
             points = min(points, LATE_POINTS)
         end = End(endpoint, self.clock.now(), points)
         self.merge([Suspect(fingerprint, (end,))])
-        return not was_held and self.hold(fingerprint) is not None
+        return not was_quarantined and self.hold(fingerprint) is not None
 
     def answered(self, fingerprint: str) -> bool:
         """Take in that an endpoint answered a request: what ended others was something else.
@@ -227,11 +229,11 @@
     def _forget(self, now: int) -> None:
         for name in [name for name, one in self.suspects.items() if one.is_over(now)]:
             del self.suspects[name]
-        if len(self.suspects) > MOST_SUSPECTS:
+        if len(self.suspects) > MAX_SUSPECTS:
             by_weight = sorted(
                 self.suspects.values(), key=lambda one: (-one.points(), -one.last_ms())
             )
-            self.suspects = {one.fingerprint: one for one in by_weight[:MOST_SUSPECTS]}
+            self.suspects = {one.fingerprint: one for one in by_weight[:MAX_SUSPECTS]}
 
     def lift(self) -> int:
         """Forget all requests, as operators wish.
@@ -245,7 +247,7 @@
 
     def held(self) -> list[Suspect]:
         """Return the requests that are held back, the latest first."""
-        found = [one for one in self.suspects.values() if one.is_held()]
+        found = [one for one in self.suspects.values() if one.is_quarantined()]
         return sorted(found, key=lambda one: (-one.last_ms(), one.fingerprint))
 
 
--- a/plumarch/limits/quarantine_test.py
+++ b/plumarch/limits/quarantine_test.py
@@ -69,7 +69,7 @@
     wall.time_ms += 1_000
     known.ended("f", "e7", EARLY)
     assert known.points("f") == quarantine.LATE_POINTS
-    wall.time_ms += recent_answers.KEPT_MS
+    wall.time_ms += recent_answers.RETENTION_MS
     known.ended("f", "e8", EARLY)
     assert known.points("f") == quarantine.LATE_POINTS + EARLY
 
@@ -98,17 +98,17 @@
         known.tried("f", trial)
         known.ended("f", f"t{trial}", EARLY)
     assert pauses[:3] == [60_000, 240_000, 960_000]
-    assert pauses == sorted(pauses) and pauses[-1] == quarantine.LONGEST_PAUSE_MS
+    assert pauses == sorted(pauses) and pauses[-1] == quarantine.MAX_PAUSE_MS
 
 
 def test_what_is_long_past_is_forgotten():
     known, wall = new()
     known.ended("seldom", "e1", EARLY)
     hold_back(known)
-    wall.time_ms += quarantine.SUSPECT_KEPT_MS + 1
+    wall.time_ms += quarantine.SUSPECT_RETENTION_MS + 1
     known.ended("other", "e2", EARLY)
     assert sorted(known.suspects) == ["f", "other"]
-    wall.time_ms += quarantine.HELD_KEPT_MS
+    wall.time_ms += quarantine.QUARANTINE_RETENTION_MS
     known.ended("last", "e3", EARLY)
     assert sorted(known.suspects) == ["last"]
 
@@ -116,10 +116,10 @@
 def test_a_mass_of_ends_forgets_the_least_suspect_first():
     known, wall = new()
     hold_back(known)
-    for number in range(quarantine.MOST_SUSPECTS + 50):
+    for number in range(quarantine.MAX_SUSPECTS + 50):
         wall.time_ms += 1
         known.ended(f"bystander-{number}", "e", EARLY)
-    assert len(known.suspects) == quarantine.MOST_SUSPECTS
+    assert len(known.suspects) == quarantine.MAX_SUSPECTS
     assert known.hold("f") is not None
 
 
--- a/plumarch/limits/quota_records.py
+++ b/plumarch/limits/quota_records.py
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToldBucket:
+class ReportedBucket:
     """A bucket as a coordinator told it, which sees all nodes' spending sooner.
 
     Attributes:
--- a/plumarch/limits/quota_tolerance.py
+++ b/plumarch/limits/quota_tolerance.py
@@ -41,25 +41,25 @@
         allotted = workspace.rate * self.window_ms / 1000.0 + workspace.burst
         return self.ratio * allotted + self.units
 
-    def refill(self, workspace: traffic.Workspace, news_age_ms: float) -> float:
+    def refill(self, workspace: traffic.Workspace, update_age_ms: float) -> float:
         """Return the units a second by which a workspace's bucket refills over all nodes.
 
         Args:
-          news_age_ms: time between heartbeats.
+          update_age_ms: time between heartbeats.
         """
-        used = EXCESS_REFILLED * self._freshness(news_age_ms)
+        used = EXCESS_REFILLED * self._freshness(update_age_ms)
         return workspace.rate + used * self.excess(workspace) * 1000.0 / self.window_ms
 
     def overdraft(self, workspace: traffic.Workspace) -> float:
         """Return the units by which one request on each side of a cut may overdraw, together."""
         return EXCESS_OVERDRAWN * self.excess(workspace)
 
-    def capacity(self, workspace: traffic.Workspace, news_age_ms: float) -> float:
+    def capacity(self, workspace: traffic.Workspace, update_age_ms: float) -> float:
         """Return the most units that a workspace's bucket holds over all nodes."""
-        used = EXCESS_HELD * self._freshness(news_age_ms)
+        used = EXCESS_HELD * self._freshness(update_age_ms)
         return workspace.burst + used * self.excess(workspace)
 
     @staticmethod
-    def _freshness(news_age_ms: float) -> float:
+    def _freshness(update_age_ms: float) -> float:
         """Return the part of the excess that may be used by the age of news."""
-        return min(1.0, FRESH_NEWS_MS / max(1.0, news_age_ms))
+        return min(1.0, FRESH_NEWS_MS / max(1.0, update_age_ms))
--- a/plumarch/limits/rate_allocator.py
+++ b/plumarch/limits/rate_allocator.py
@@ -22,10 +22,10 @@
 IDLE_MS = 60_000
 """An endpoint that nobody asked for so long is forgotten."""
 
-MOST_ENDPOINTS = 8_192
+MAX_ENDPOINTS = 8_192
 """More than twice the endpoints of the largest fleet, some 500 bytes each."""
 
-LEAST_PER_S = 0.1
+MIN_PER_S = 0.1
 """An endpoint that takes nothing still gets a request now and then: only its answer can tell that
 its limit is over."""
 
@@ -38,7 +38,7 @@
       fraction: the part of it that is allocated here.
     """
     most = BURST_PERMITS + BURST_S * per_s
-    return token_bucket.TokenBucket(max(LEAST_PER_S, per_s) * fraction, most, now_ms)
+    return token_bucket.TokenBucket(max(MIN_PER_S, per_s) * fraction, most, now_ms)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -99,14 +99,14 @@
     Attributes:
       per_s: the announced rate, or None if there is no limit.
       observed_ms: when the answer that announced it came.
-      asked_ms: when a node asked last.
+      last_request_ms: when a node asked last.
       bucket: permits that are there; None if there is no limit.
       denied: when each node was denied a permit last.
     """
 
     per_s: float | None
     observed_ms: int
-    asked_ms: int
+    last_request_ms: int
     bucket: token_bucket.TokenBucket | None = None
     denied: dict[str, int] = dataclasses.field(default_factory=dict)
 
@@ -157,12 +157,14 @@
             self.known[request.endpoint] = one
         elif observed_ms > one.observed_ms:
             one.per_s, one.observed_ms = request.announcement.per_s, observed_ms
-        one.asked_ms = now
+        one.last_request_ms = now
         return one
 
     def _drop_idle(self, now: int) -> None:
-        recent = {name: one for name, one in self.known.items() if now - one.asked_ms <= IDLE_MS}
-        while len(recent) >= MOST_ENDPOINTS:
+        recent = {
+            name: one for name, one in self.known.items() if now - one.last_request_ms <= IDLE_MS
+        }
+        while len(recent) >= MAX_ENDPOINTS:
             del recent[next(iter(recent))]
         self.known = recent
 
--- a/plumarch/limits/rate_permits.py
+++ b/plumarch/limits/rate_permits.py
@@ -26,7 +26,7 @@
 DEMAND_MS = 500
 """Permits are held for the requests of so long."""
 
-MOST_DEMAND = 64
+MAX_DEMAND = 64
 
 REPORT = 0
 """Sequence of a message that only reports an announcement, so that its answer is not taken for that
@@ -49,13 +49,13 @@
 """The part by which a rate has to change so that it is reported. An endpoint may work out its rate
 anew for each answer."""
 
-FORGET_MS = 600_000
+RETENTION_MS = 600_000
 
-LEAST_PAUSE_MS = 250
+MIN_PAUSE_MS = 250
 """A node that got fewer permits than it has use for asks again after this at the earliest. At high
 rates it gets several at a time then, which the allocator saves up meanwhile."""
 
-LONGEST_PAUSE_MS = 5_000
+MAX_PAUSE_MS = 5_000
 """A node that was denied a permit asks again after this at the latest."""
 
 ASKS_PER_PERMIT = 4
@@ -76,7 +76,7 @@
       demand: when requests came lately that would go there.
       sequence: of the last request for permits.
       count: permits that it asked for.
-      asked_ms: when that one was sent, or None if it was answered.
+      last_request_ms: when that one was sent, or None if it was answered.
       silent_since_ms: when the first request was sent that has no answer since; or None.
       pause_until_ms: no permits are asked for before.
       wait_until_ms: when a caller may expect a permit, by the last answer of the allocator.
@@ -90,11 +90,11 @@
     noted_per_s: float | None = None
     permits: collections.deque[int] = dataclasses.field(default_factory=collections.deque)
     demand: collections.deque[int] = dataclasses.field(
-        default_factory=lambda: collections.deque(maxlen=MOST_DEMAND)
+        default_factory=lambda: collections.deque(maxlen=MAX_DEMAND)
     )
     sequence: int = 0
     count: int = 0
-    asked_ms: int | None = None
+    last_request_ms: int | None = None
     silent_since_ms: int | None = None
     pause_until_ms: int = 0
     wait_until_ms: int = 0
@@ -240,7 +240,7 @@
         count = lately - len(one.permits)
         if count <= 0 or 2 * len(one.permits) > lately:
             return None
-        one.asked_ms, one.count = now, count
+        one.last_request_ms, one.count = now, count
         if one.silent_since_ms is None:
             one.silent_since_ms = now
         one.sequence += 1
@@ -261,9 +261,9 @@
     def is_asked(self, endpoint: traffic.Endpoint) -> bool:
         """Return whether an answer to a request for permits is to be expected."""
         one = self._limited(endpoint)
-        if one is None or one.asked_ms is None:
+        if one is None or one.last_request_ms is None:
             return False
-        return self.clock.now() - one.asked_ms < ANSWER_MS
+        return self.clock.now() - one.last_request_ms < ANSWER_MS
 
     def answered(self, endpoint: traffic.Endpoint, answer: rate_allocator.PermitAnswer) -> bool:
         """Apply the allocator's answer.
@@ -276,7 +276,7 @@
         if one is None or answer.sequence != one.sequence or not self.is_asked(endpoint):
             return changed
         now = self.clock.now()
-        one.asked_ms = one.silent_since_ms = one.turn_ms = None
+        one.last_request_ms = one.silent_since_ms = one.turn_ms = None
         one.permits.extend([now + round(PERMIT_MS + PERMIT_GAPS * _gap_ms(one))] * answer.permits)
         one.wait_until_ms = now + answer.wait_ms
         if answer.permits < one.count:
@@ -288,7 +288,7 @@
         others = max(0, answer.contenders - 1)
         spread_ms = 2.0 * others * _gap_ms(one) / ASKS_PER_PERMIT
         pause_ms = answer.next_ms + self.rng.uniform(0.0, spread_ms)
-        return max(LEAST_PAUSE_MS, min(LONGEST_PAUSE_MS, pause_ms))
+        return max(MIN_PAUSE_MS, min(MAX_PAUSE_MS, pause_ms))
 
     def _has_permit(self, one: LimitedEndpoint) -> bool:
         now = self.clock.now()
@@ -324,7 +324,7 @@
         found = {one.id: self.rate(one) for one in endpoints}
         return {name: rate for name, rate in found.items() if rate is not None}
 
-    def forget_old(self, listed: set[str]) -> None:
+    def prune(self, listed: set[str]) -> None:
         """Forget limits of endpoints that are not listed and announced nothing for long.
 
         An entry may vanish while its endpoint lives, and come back.
@@ -332,7 +332,7 @@
         Args:
           listed: identifiers of the endpoints that there are.
         """
-        oldest_ms = self.clock.now() - FORGET_MS
+        oldest_ms = self.clock.now() - RETENTION_MS
         self.known = {
             name: one
             for name, one in self.known.items()
@@ -349,4 +349,4 @@
 
 def _gap_ms(one: LimitedEndpoint) -> float:
     """Return the time between two requests of all nodes at the announced rate."""
-    return 1000.0 / max(rate_allocator.LEAST_PER_S, one.per_s or 0.0)
+    return 1000.0 / max(rate_allocator.MIN_PER_S, one.per_s or 0.0)
--- a/plumarch/limits/rate_permits_test.py
+++ b/plumarch/limits/rate_permits_test.py
@@ -207,10 +207,10 @@
 def test_limits_of_endpoints_whose_entry_vanished_are_kept_for_a_while():
     node = Node()
     node.announced(1.0)
-    node.permits.forget_old(set())
+    node.permits.prune(set())
     assert node.permits.rate(ENDPOINT) == 1.0
-    node.after(rate_permits.FORGET_MS + 1)
-    node.permits.forget_old({"e"})
+    node.after(rate_permits.RETENTION_MS + 1)
+    node.permits.prune({"e"})
     assert node.permits.rate(ENDPOINT) == 1.0
-    node.permits.forget_old(set())
+    node.permits.prune(set())
     assert node.permits.rate(ENDPOINT) is None
--- a/plumarch/limits/recent_answers.py
+++ b/plumarch/limits/recent_answers.py
@@ -8,10 +8,10 @@
 
 from plumarch.core import clock
 
-KEPT_MS = 60_000
+RETENTION_MS = 60_000
 """How long an answer speaks for a request; as long as one is first held back."""
 
-MOST_KEPT = 4_096
+MAX_KEPT = 4_096
 """Requests that are remembered, some 150 bytes each; at 36 requests a second on each node of the
 largest fleet those of two minutes."""
 
@@ -27,10 +27,10 @@
         """Take in an answer."""
         self.times.pop(fingerprint, None)
         self.times[fingerprint] = self.clock.now()
-        while len(self.times) > MOST_KEPT:
+        while len(self.times) > MAX_KEPT:
             del self.times[next(iter(self.times))]
 
     def has(self, fingerprint: str) -> bool:
         """Return whether a request was answered lately."""
         at_ms = self.times.get(fingerprint)
-        return at_ms is not None and self.clock.now() - at_ms < KEPT_MS
+        return at_ms is not None and self.clock.now() - at_ms < RETENTION_MS
--- a/plumarch/limits/workspace_quota.py
+++ b/plumarch/limits/workspace_quota.py
@@ -43,7 +43,7 @@
 """What they leave is at most this part of the burst, so that it suffices where the tolerated
 excess is far larger than the allotment. A judgement."""
 
-ANEW_MS = 1_000
+RESYNC_MS = 1_000
 """How long lower levels are taken over after a peer is heard that ran unheard before: four
 heartbeats of each node, one of which is heard whatever is lost. A process that started amid a cut
 hears nothing else of what the other side admitted; without this fleets of eight nodes admitted 1.11
@@ -62,12 +62,12 @@
       fraction: the part of all nodes that is heard now, this one included.
       sharers: how many nodes admit from what is left before they hear of one another; 1 where each
         node tells each other one at once.
-      news_age_ms: time between heartbeats of a node.
+      update_age_ms: time between heartbeats of a node.
       workspaces: those of the configuration in force, by name.
       spared_before: what was spared when a group was heard last, by group and workspace.
       charged_by: units charged since this process started, over all workspaces, by who admitted
         them: "" for this node, a node's name, or a group of nodes.
-      anew_until_ms: until when lower levels are taken over from peers.
+      resync_until_ms: until when lower levels are taken over from peers.
       charged_before: what was charged by when, over the last moments, by workspace.
     """
 
@@ -78,7 +78,7 @@
     )
     fraction: float = 1.0
     sharers: int = 1
-    news_age_ms: float = quota_tolerance.FRESH_NEWS_MS
+    update_age_ms: float = quota_tolerance.FRESH_NEWS_MS
     workspaces: Mapping[str, traffic.Workspace] = dataclasses.field(default_factory=dict)
     buckets: dict[str, quota_records.Bucket] = dataclasses.field(default_factory=dict)
     heard: dict[tuple[str, str], float] = dataclasses.field(default_factory=dict)
@@ -88,7 +88,7 @@
     charged_by: collections.defaultdict[str, float] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(float)
     )
-    anew_until_ms: int = 0
+    resync_until_ms: int = 0
     charged_before: collections.deque[tuple[int, dict[str, float]]] = dataclasses.field(
         default_factory=collections.deque
     )
@@ -110,7 +110,7 @@
             available -= self._left_to_others(workspace, rank)
         needed = min(units, self._least(workspace, units))
         if available < needed:
-            refill = self.tolerance.refill(workspace, self.news_age_ms) * self.fraction
+            refill = self.tolerance.refill(workspace, self.update_age_ms) * self.fraction
             return max(1.0, (needed - available) / max(refill, 1e-9) * 1000.0)
         ample = self.sharers == 1 or self._is_ample(workspace, available)
         if bucket.own < 0 and not ample:
@@ -125,12 +125,12 @@
 
     def _is_ample(self, workspace: traffic.Workspace, available: float) -> bool:
         """Return whether so much is left that this node need not look at its share."""
-        capacity = self.tolerance.capacity(workspace, self.news_age_ms)
+        capacity = self.tolerance.capacity(workspace, self.update_age_ms)
         return available >= AMPLE * capacity * self.fraction
 
     def _own_refill(self, workspace: traffic.Workspace) -> float:
         """Return the units a second that are this node's share of the refill."""
-        return self.tolerance.refill(workspace, self.news_age_ms) / self.sharers
+        return self.tolerance.refill(workspace, self.update_age_ms) / self.sharers
 
     def _own_most(self, workspace: traffic.Workspace) -> float:
         """Return the units that this node may save of its share, or be behind."""
@@ -150,7 +150,7 @@
         """Return the units that requests of a rank leave in the bucket."""
         if rank < LEAST_URGENT_RANK:
             return 0.0
-        held = self.tolerance.capacity(workspace, self.news_age_ms) - workspace.burst
+        held = self.tolerance.capacity(workspace, self.update_age_ms) - workspace.burst
         return min(held, HELD_OF_BURST * workspace.burst) * self.fraction
 
     @staticmethod
@@ -178,7 +178,7 @@
             bucket.own += units
             self.charged_by[""] -= units
 
-    def hear_fraction(self, fraction: float) -> None:
+    def set_reachable_fraction(self, fraction: float) -> None:
         """Take in which part of all nodes is heard from now on."""
         now = self.clock.now()
         if fraction == self.fraction:
@@ -258,7 +258,7 @@
         """
         return sum(bucket.charged for bucket in self.buckets.values())
 
-    def heard_from(
+    def apply_node_report(
         self,
         node: str,
         spending: Mapping[str, quota_records.PeerSpending],
@@ -279,7 +279,7 @@
             told.settled and name in self.buckets and (node, name) not in self.heard
             for name, told in spending.items()
         ):
-            self.anew_until_ms = self.clock.now() + ANEW_MS
+            self.resync_until_ms = self.clock.now() + RESYNC_MS
         charged: dict[str, float] = {}
         for name, told in spending.items():
             bucket = self.buckets.get(name)
@@ -292,7 +292,7 @@
             else:
                 charged |= self.noticed(node, name, told.spent)
             self.spared_before[(node, name)] = quota_records.Spared(bucket.spared, self.clock.now())
-            if told.settled and (not bucket.settled or self.clock.now() < self.anew_until_ms):
+            if told.settled and (not bucket.settled or self.clock.now() < self.resync_until_ms):
                 self._refill(self.workspaces[name])
                 self._take_over(bucket, quota_records.TakenOver(told.level, told.overdrawn))
         return charged
@@ -309,7 +309,7 @@
         workspace = self.workspaces[name]
         self.heard[(node, name)] = told.spent
         uncounted = told.spent - told.counted if told.counted is not None else 0.0
-        uncounted = min(max(0.0, uncounted), self.tolerance.capacity(workspace, self.news_age_ms))
+        uncounted = min(max(0.0, uncounted), self.tolerance.capacity(workspace, self.update_age_ms))
         if uncounted:
             self._charge_others(node, name, uncounted)
         return {name: uncounted} if uncounted else {}
@@ -338,7 +338,7 @@
         self._charge_others(node, workspace, spent - known)
         return {workspace: spent - known}
 
-    def heard_sums(
+    def apply_centre_summary(
         self,
         group: str,
         charged: Mapping[str, float],
@@ -387,20 +387,20 @@
         if before is None:
             return units
         silent_s = (self.clock.now() - before.at_ms) / 1000.0
-        refilled = share * self.tolerance.refill(workspace, self.news_age_ms) * silent_s
-        at_once = share * self.tolerance.capacity(workspace, self.news_age_ms)
+        refilled = share * self.tolerance.refill(workspace, self.update_age_ms) * silent_s
+        at_once = share * self.tolerance.capacity(workspace, self.update_age_ms)
         spared = min(bucket.spared - before.units, refilled)
         used = max(0.0, min(units - at_once, spared))
         bucket.spared -= used
         return units - used
 
-    def adopt(self, told: Mapping[str, quota_records.ToldBucket], fraction: float) -> None:
+    def adopt(self, told: Mapping[str, quota_records.ReportedBucket], fraction: float) -> None:
         """Take over the buckets of a coordinator; those that it does not tell go on as they are.
 
         Args:
           fraction: the part of all nodes that it hears.
         """
-        self.hear_fraction(fraction)
+        self.set_reachable_fraction(fraction)
         for name, one in told.items():
             workspace = self.workspaces.get(name)
             if workspace is None or workspace.rate <= 0:
@@ -444,9 +444,9 @@
             bucket = quota_records.Bucket(level, level * self.fraction, now, settled)
             self.buckets[workspace.name] = bucket
         bucket.settled = bucket.settled or settled
-        refill = self.tolerance.refill(workspace, self.news_age_ms)
+        refill = self.tolerance.refill(workspace, self.update_age_ms)
         gained = refill * (now - bucket.updated_ms) / 1000.0
-        capacity = self.tolerance.capacity(workspace, self.news_age_ms)
+        capacity = self.tolerance.capacity(workspace, self.update_age_ms)
         bucket.spared += max(0.0, bucket.level + gained - capacity)
         bucket.level = min(capacity, bucket.level + gained)
         most = capacity * self.fraction
@@ -456,7 +456,7 @@
         bucket.updated_ms = now
         return bucket
 
-    def keep_only(self, workspaces: Mapping[str, traffic.Workspace]) -> None:
+    def retain(self, workspaces: Mapping[str, traffic.Workspace]) -> None:
         """Bring all buckets up to date, and drop those of workspaces that no longer exist."""
         for name in [name for name in self.buckets if name not in workspaces]:
             del self.buckets[name]
--- a/plumarch/limits/workspace_quota_test.py
+++ b/plumarch/limits/workspace_quota_test.py
@@ -14,7 +14,7 @@
 
 def quota_of(time: clock.ManualClock, started_ms: int = -100_000) -> workspace_quota.WorkspaceQuota:
     found = workspace_quota.WorkspaceQuota(time, started_ms)
-    found.keep_only(TABLE)
+    found.retain(TABLE)
     return found
 
 
@@ -45,21 +45,21 @@
 def test_what_a_peer_admits_is_charged_once():
     time = clock.ManualClock()
     quota = quota_of(time)
-    quota.heard_from("b#1", {"w": quota_records.PeerSpending(500, 2_000)})
+    quota.apply_node_report("b#1", {"w": quota_records.PeerSpending(500, 2_000)})
     for _ in range(3):
-        quota.heard_from("b#1", {"w": quota_records.PeerSpending(1_500, 1_000)})
+        quota.apply_node_report("b#1", {"w": quota_records.PeerSpending(1_500, 1_000)})
     assert quota.report()["w"].level == 1_000
 
 
 def test_a_new_node_takes_over_the_lower_level_of_a_peer():
     quota = quota_of(clock.ManualClock())
-    quota.heard_from("b#1", {"w": quota_records.PeerSpending(90_000, 300)})
+    quota.apply_node_report("b#1", {"w": quota_records.PeerSpending(90_000, 300)})
     assert quota.report()["w"].level == 300
 
 
 def test_a_node_that_hears_half_of_the_fleet_uses_half():
     quota = quota_of(clock.ManualClock())
-    quota.hear_fraction(0.5)
+    quota.set_reachable_fraction(0.5)
     assert quota.admit(SPACE, 1_000) == 0
     assert quota.admit(SPACE, 500) == 1_000.0
 
@@ -68,9 +68,9 @@
     """Both sides admit from the whole for a while; each then has its half less what it admitted."""
     time = clock.ManualClock()
     quota = quota_of(time)
-    quota.hear_fraction(1.0)
+    quota.set_reachable_fraction(1.0)
     quota.admit(SPACE, 800)
-    quota.hear_fraction(0.5)
+    quota.set_reachable_fraction(0.5)
     assert quota.report()["w"].level == 1_200
     assert quota.admit(SPACE, 200) == 0
     assert quota.admit(SPACE, 200) > 0
@@ -79,24 +79,24 @@
 def test_a_process_that_started_in_a_cut_takes_over_the_lower_level_of_those_it_hears_later():
     time = clock.ManualClock()
     quota = quota_of(time, started_ms=0)
-    quota.heard_from("near#1", {"w": quota_records.PeerSpending(0, 1_800)})
+    quota.apply_node_report("near#1", {"w": quota_records.PeerSpending(0, 1_800)})
     time.advance_to(5_000)
-    quota.heard_from("far#1", {"w": quota_records.PeerSpending(40_000, 2_000)})
+    quota.apply_node_report("far#1", {"w": quota_records.PeerSpending(40_000, 2_000)})
     assert quota.report()["w"].level == 2_000
-    quota.heard_from("near#1", {"w": quota_records.PeerSpending(0, -9_000)})
+    quota.apply_node_report("near#1", {"w": quota_records.PeerSpending(0, -9_000)})
     assert quota.report()["w"].level == -9_000
-    time.advance_to(5_000 + workspace_quota.ANEW_MS)
-    quota.heard_from("near#1", {"w": quota_records.PeerSpending(0, -20_000)})
+    time.advance_to(5_000 + workspace_quota.RESYNC_MS)
+    quota.apply_node_report("near#1", {"w": quota_records.PeerSpending(0, -20_000)})
     assert quota.report()["w"].level == -8_000
 
 
 def test_a_peers_share_of_the_refill_in_a_silence_is_no_debt():
     time = clock.ManualClock()
     quota = quota_of(time)
-    quota.heard_from("b#1", {"w": quota_records.PeerSpending(0, 2_000)})
+    quota.apply_node_report("b#1", {"w": quota_records.PeerSpending(0, 2_000)})
     time.advance_to(6_000)
     told = {"w": quota_records.PeerSpending(3_000, 2_000)}
-    assert quota.heard_from("b#1", told, again=True, share=0.5) == {"w": 1_000.0}
+    assert quota.apply_node_report("b#1", told, again=True, share=0.5) == {"w": 1_000.0}
 
 
 def test_where_little_is_left_a_node_of_a_large_fleet_goes_by_its_share_of_the_refill():
@@ -123,30 +123,30 @@
 
 def test_when_all_are_heard_again_the_whole_level_is_there():
     quota = quota_of(clock.ManualClock())
-    quota.hear_fraction(0.5)
+    quota.set_reachable_fraction(0.5)
     quota.admit(SPACE, 600)
-    quota.heard_from("b#1", {"w": quota_records.PeerSpending(0, 2_000)})
-    quota.heard_from("b#1", {"w": quota_records.PeerSpending(300, 1_100)})
-    quota.hear_fraction(1.0)
+    quota.apply_node_report("b#1", {"w": quota_records.PeerSpending(0, 2_000)})
+    quota.apply_node_report("b#1", {"w": quota_records.PeerSpending(300, 1_100)})
+    quota.set_reachable_fraction(1.0)
     assert quota.admit(SPACE, 1_100) == 0
     assert quota.admit(SPACE, 1) > 0
 
 
 def test_a_node_that_starts_takes_over_the_level_of_one_that_runs_for_longer():
     quota = quota_of(clock.ManualClock(), started_ms=0)
-    quota.heard_from("new#1", {"w": quota_records.PeerSpending(0, 50, settled=False)})
+    quota.apply_node_report("new#1", {"w": quota_records.PeerSpending(0, 50, settled=False)})
     assert quota.report()["w"].level == 0
-    quota.heard_from("old#1", {"w": quota_records.PeerSpending(9_000, 1_700)})
+    quota.apply_node_report("old#1", {"w": quota_records.PeerSpending(9_000, 1_700)})
     assert quota.report()["w"].level == 1_700
 
 
 def test_a_level_is_told_as_of_now_though_no_request_came_for_long():
     time = clock.ManualClock()
     quota = quota_of(time)
-    quota.heard_from("b#1", {"w": quota_records.PeerSpending(0, 2_000)})
+    quota.apply_node_report("b#1", {"w": quota_records.PeerSpending(0, 2_000)})
     for second in range(1, 11):
         time.advance_to(second * 1_000)
-        quota.heard_from("b#1", {"w": quota_records.PeerSpending(900.0 * second, 2_000)})
+        quota.apply_node_report("b#1", {"w": quota_records.PeerSpending(900.0 * second, 2_000)})
     assert quota.report()["w"].level >= 1_000
 
 
@@ -158,24 +158,24 @@
         time.advance_to(step * 250)
         busy.admit(SPACE, 200)
         for node in nodes[1:]:
-            node.heard_from("busy#1", busy.report())
+            node.apply_node_report("busy#1", busy.report())
     nodes.append(quota_of(time, started_ms=time.now()))
     for _ in range(2):
         reports = [node.report() for node in nodes]
         for to, node in enumerate(nodes):
             for source, report in enumerate(reports):
                 if to != source:
-                    node.heard_from(f"{source}#2", report)
+                    node.apply_node_report(f"{source}#2", report)
     assert all(node.admit(SPACE, 1_000) == 0 for node in nodes)
 
 
 def test_when_others_fall_silent_the_part_that_is_left_is_of_the_level_as_of_now():
     time = clock.ManualClock()
     quota = quota_of(time)
-    quota.heard_from("b#1", {"w": quota_records.PeerSpending(0, 2_000)})
-    quota.heard_from("b#1", {"w": quota_records.PeerSpending(4_000, 2_000)})
+    quota.apply_node_report("b#1", {"w": quota_records.PeerSpending(0, 2_000)})
+    quota.apply_node_report("b#1", {"w": quota_records.PeerSpending(4_000, 2_000)})
     time.advance_to(4_000)
-    quota.hear_fraction(0.5)
+    quota.set_reachable_fraction(0.5)
     assert quota.admit(SPACE, 1_000) == 0
 
 
@@ -183,14 +183,14 @@
     time = clock.ManualClock()
     quota = quota_of(time, started_ms=0)
     time.advance_to(2_000)
-    quota.heard_from("old#1", {"w": quota_records.PeerSpending(9_000, 500)})
+    quota.apply_node_report("old#1", {"w": quota_records.PeerSpending(9_000, 500)})
     assert quota.report()["w"].level == 500
 
 
 def tolerant(time: clock.ManualClock, started_ms: int = -100_000) -> workspace_quota.WorkspaceQuota:
     quota = workspace_quota.WorkspaceQuota(time, started_ms)
     quota.tolerance = quota_tolerance.Tolerance(8_000, 0.1, 1_000.0)
-    quota.keep_only(TABLE)
+    quota.retain(TABLE)
     return quota
 
 
@@ -221,15 +221,15 @@
 def test_a_group_that_is_cut_off_uses_its_part_of_the_excess_only():
     time = clock.ManualClock()
     quota = tolerant(time)
-    quota.hear_fraction(0.25)
+    quota.set_reachable_fraction(0.25)
     quota.admit(SPACE, 500)
     time.advance_to(8_000)
-    quota.keep_only(TABLE)
+    quota.retain(TABLE)
     assert quota.buckets["w"].part == 500 + 0.25 * HELD
     for _ in range(13):
         assert quota.admit(SPACE, 50) == 0
     time.advance_to(8_100)
-    quota.keep_only(TABLE)
+    quota.retain(TABLE)
     assert abs(quota.buckets["w"].part - 0.25 * (8_000 + EXCESS) / 80) < 1e-6
 
 
@@ -258,7 +258,7 @@
     time = clock.ManualClock()
     quota = tolerant(time, started_ms=0)
     time.advance_to(100)
-    quota.keep_only(TABLE)
+    quota.retain(TABLE)
     time.advance_to(200)
     assert quota.admit(SPACE, 50, workspace_quota.LEAST_URGENT_RANK) == 0
 
@@ -310,7 +310,7 @@
 
     def new_node(started_ms: int) -> workspace_quota.WorkspaceQuota:
         found = workspace_quota.WorkspaceQuota(time, started_ms, tolerance)
-        found.keep_only(TABLE)
+        found.retain(TABLE)
         return found
 
     nodes = [new_node(-100_000) for _ in range(NODES)]
@@ -321,13 +321,13 @@
     def exchange() -> None:
         for to in range(NODES):
             heard = sum(1 for other in range(NODES) if group[other] == group[to])
-            nodes[to].hear_fraction(heard / NODES)
-            nodes[to].keep_only(TABLE)
+            nodes[to].set_reachable_fraction(heard / NODES)
+            nodes[to].retain(TABLE)
         reports = [node.report() for node in nodes]
         for to in range(NODES):
             for source in range(NODES):
                 if source != to and group[source] == group[to]:
-                    nodes[to].heard_from(f"{source}#{lives[source]}", reports[source])
+                    nodes[to].apply_node_report(f"{source}#{lives[source]}", reports[source])
 
     for name, node, amount in steps:
         if name == "ask":
--- a/plumarch/membership/drain_notices.py
+++ b/plumarch/membership/drain_notices.py
@@ -9,11 +9,11 @@
 
 from plumarch.core import clock, traffic
 
-KEPT_MS = 600_000
+RETENTION_MS = 600_000
 """How long a notice counts after the last answer with it. Endpoints that drain are gone within
 seconds, or minutes where long streams end first; one that is still listed as ready then stays."""
 
-MOST_KEPT = 8_192
+MAX_KEPT = 8_192
 """Notices that are kept, some 300 bytes each; over twice the endpoints of the largest fleet."""
 
 
@@ -61,7 +61,7 @@
             return False
         self.known.pop(name, None)
         self.known[name] = DrainNotice(endpoint.id, alive_ms, now)
-        while len(self.known) > MOST_KEPT:
+        while len(self.known) > MAX_KEPT:
             del self.known[next(iter(self.known))]
         return True
 
@@ -99,6 +99,8 @@
           The entries that count again as they are listed.
         """
         now = self.clock.now()
-        old = [name for name, notice in self.known.items() if now - notice.announced_ms >= KEPT_MS]
+        old = [
+            name for name, notice in self.known.items() if now - notice.announced_ms >= RETENTION_MS
+        ]
         notices = [self.known.pop(name) for name in old]
         return [notice.listed for notice in notices if notice.listed is not None]
--- a/plumarch/membership/drain_notices_test.py
+++ b/plumarch/membership/drain_notices_test.py
@@ -114,7 +114,7 @@
     one = endpoint()
     known = new(one)
     known.note_draining(one, SAID_MS)
-    advance(known, drain_notices.KEPT_MS - 1)
+    advance(known, drain_notices.RETENTION_MS - 1)
     known.replace([one], 11, "store")
     assert ready(known) == []
     advance(known, 1)
@@ -124,9 +124,9 @@
 
 def test_so_many_are_kept_and_the_oldest_go_first():
     notices = drain_notices.DrainNotices(clock.ManualClock())
-    for number in range(drain_notices.MOST_KEPT + 1):
+    for number in range(drain_notices.MAX_KEPT + 1):
         notices.note(endpoint(name=f"e{number}"), SAID_MS)
-    assert len(notices.known) == drain_notices.MOST_KEPT and "e0" not in notices.known
+    assert len(notices.known) == drain_notices.MAX_KEPT and "e0" not in notices.known
 
 
 @given(
--- a/plumarch/membership/fleet_view.py
+++ b/plumarch/membership/fleet_view.py
@@ -10,16 +10,16 @@
 from plumarch.core import clock
 from plumarch.membership import known_centres, peer_node, store_followers, tiers
 
-HEARD_MS = 1_200
+ALIVE_TIMEOUT_MS = 1_200
 """A node whose heartbeat is younger than this counts as heard, if heartbeats are frequent."""
 
-HEARD_BEATS = 4.5
+ALIVE_INTERVALS = 4.5
 """Where heartbeats are rarer, a node is heard for this many intervals."""
 
-FORGET_MS = 30_000
+RETENTION_MS = 30_000
 """A node silent for this long is no longer counted among the fleet."""
 
-TRUSTED_NEWS_MS = 600
+TRUSTED_UPDATE_MS = 600
 """A member admits from the fleet's part by news that are younger than this, and else from its own
 node's part. News come each 100 ms, and from the second coordinator each 400 ms if the first
 one falls silent. By the 1,200 ms after which a node counts as silent, each of 24 nodes that were
@@ -35,7 +35,7 @@
 be missed. Until it counts as silent, after 1,200 ms, both sides of a cut would admit as if each
 were the whole fleet: 1.06 of what is tolerated, where a workspace asked for ten times its rate."""
 
-LEAST_FRESH_MS = 625
+MIN_FRESH_MS = 625
 """That many intervals of the most frequent heartbeats, before this node knows its own interval."""
 
 SUMMARIES_MISSED = 2.5
@@ -56,7 +56,7 @@
       interval_ms: the time between two heartbeats of a node.
       role: what this node is to the others, since decide_role() was asked last.
       centres: the other data centres as their coordinators told, for a coordinator.
-      news: what the own coordinators told last, for a member; None if they never did.
+      fleet_update: what the own coordinators told last, for a member; None if they never did.
       names: the name under which each address stands.
       all_centres: all data centres that were ever told of, and the seeds.
       hearsay: nodes of the own data centre that another one called its elders, and when.
@@ -71,9 +71,9 @@
     peers: dict[str, peer_node.Peer] = dataclasses.field(default_factory=dict)
     role: tiers.Role = tiers.Role.FLAT
     centres: dict[str, tiers.CentreView] = dataclasses.field(default_factory=dict)
-    news: tiers.FleetNewsView | None = None
+    fleet_update: tiers.ReceivedFleetUpdate | None = None
     names: dict[str, str] = dataclasses.field(default_factory=dict)
-    hearsay: dict[tiers.Elder, int] = dataclasses.field(default_factory=dict)
+    reported_seniors: dict[tiers.Senior, int] = dataclasses.field(default_factory=dict)
     all_centres: known_centres.KnownCentres = dataclasses.field(
         default_factory=known_centres.KnownCentres
     )
@@ -125,7 +125,7 @@
         self._keep(peer)
         peer.incarnation = incarnation
         peer.data_centre = data_centre
-        peer.heard_ms = now
+        peer.last_seen_ms = now
         return peer
 
     def tick(self) -> list[peer_node.Peer]:
@@ -138,34 +138,37 @@
         gone = [
             peer
             for peer in self.peers.values()
-            if now - (peer.heard_ms if peer.heard_ms is not None else peer.learned_ms) > FORGET_MS
+            if now - (peer.last_seen_ms if peer.last_seen_ms is not None else peer.learned_ms)
+            > RETENTION_MS
         ]
         for peer in gone:
             self._drop(peer.name)
-        for name in [name for name, one in self.centres.items() if now - one.told_ms > FORGET_MS]:
+        for name in [
+            name for name, one in self.centres.items() if now - one.received_ms > RETENTION_MS
+        ]:
             del self.centres[name]
         return gone
 
-    def silence_ms(self) -> float:
+    def alive_timeout_ms(self) -> float:
         """Return how long a node may be silent and still counts as heard."""
-        return max(HEARD_MS, HEARD_BEATS * self.interval_ms)
+        return max(ALIVE_TIMEOUT_MS, ALIVE_INTERVALS * self.interval_ms)
 
-    def is_heard(self, peer: peer_node.Peer) -> bool:
+    def is_alive(self, peer: peer_node.Peer) -> bool:
         """Return whether a peer was heard lately."""
-        return self._is_heard_within(peer, self.silence_ms())
+        return self._is_heard_within(peer, self.alive_timeout_ms())
 
     def _is_heard_within(self, peer: peer_node.Peer, limit_ms: float) -> bool:
-        return peer.heard_ms is not None and self.clock.now() - peer.heard_ms <= limit_ms
+        return peer.last_seen_ms is not None and self.clock.now() - peer.last_seen_ms <= limit_ms
 
     def live(self) -> list[peer_node.Peer]:
         """Return the peers that are heard and not leaving, by name."""
-        found = [one for one in self.peers.values() if self.is_heard(one) and not one.leaving]
+        found = [one for one in self.peers.values() if self.is_alive(one) and not one.leaving]
         return sorted(found, key=lambda peer: peer.name)
 
     def size(self) -> int:
         """Return how many nodes there may be, this one included."""
-        if self.role is tiers.Role.MEMBER and self.news is not None:
-            return max(1, self.news.nodes)
+        if self.role is tiers.Role.MEMBER and self.fleet_update is not None:
+            return max(1, self.fleet_update.nodes)
         return self.known_size()
 
     def known_size(self) -> int:
@@ -174,7 +177,7 @@
         The role depends on it: by a number that depended on the role it would change to and fro.
         A node that just started knows few of a large fleet; those that it hears count more.
         """
-        told = [one.nodes for one in self.peers.values() if self.is_heard(one)]
+        told = [one.nodes for one in self.peers.values() if self.is_alive(one)]
         return max([self.counted_size(), *told])
 
     def counted_size(self) -> int:
@@ -190,9 +193,11 @@
         power, it would otherwise take three nodes for the whole fleet, admit from whole allotments
         and take the duties, as 24 of 70 nodes did.
         """
-        age = self.news_age_ms()
+        age = self.update_age_ms()
         return (
-            self.news.nodes if self.news is not None and age is not None and age <= FORGET_MS else 0
+            self.fleet_update.nodes
+            if self.fleet_update is not None and age is not None and age <= RETENTION_MS
+            else 0
         )
 
     def sees_fleet(self) -> bool:
@@ -210,8 +215,8 @@
 
     def tellers(self) -> int:
         """Return how many nodes tell a coordinator of the own data centre, as far as known."""
-        if self.role is tiers.Role.MEMBER and self.news is not None:
-            return self.news.centre_nodes
+        if self.role is tiers.Role.MEMBER and self.fleet_update is not None:
+            return self.fleet_update.centre_nodes
         return self.centre_size()
 
     def neighbours(self) -> list[peer_node.Peer]:
@@ -225,14 +230,14 @@
         return [one for one in self.peers.values() if one.data_centre not in self.centres]
 
     def _left(self, peer: peer_node.Peer) -> bool:
-        return peer.leaving and not self.is_heard(peer)
+        return peer.leaving and not self.is_alive(peer)
 
-    def heard_fraction(self) -> float:
+    def reachable_fraction(self) -> float:
         """Return the part of all nodes that is heard, this one included.
 
         For a member and in other data centres these are the nodes that coordinators hear.
         """
-        return self._fraction_within(self.silence_ms())
+        return self._fraction_within(self.alive_timeout_ms())
 
     def fresh_fraction(self) -> float:
         """Return the part of all nodes whose news are so young that allotments count on them."""
@@ -243,16 +248,16 @@
         return self._is_heard_within(peer, self._fresh_ms())
 
     def _fresh_ms(self) -> float:
-        fresh_ms = max(LEAST_FRESH_MS, FRESH_BEATS * self.interval_ms)
-        return min(self.silence_ms(), fresh_ms)
+        fresh_ms = max(MIN_FRESH_MS, FRESH_BEATS * self.interval_ms)
+        return min(self.alive_timeout_ms(), fresh_ms)
 
     def _fraction_within(self, limit_ms: float) -> float:
         """Return the part of all nodes that is heard, with peers heard within a time."""
         size = self.size()
         if self.role is tiers.Role.MEMBER:
-            age = self.news_age_ms()
-            fresh = age is not None and age <= TRUSTED_NEWS_MS
-            return self.news.fraction if self.news and fresh else 1.0 / size
+            age = self.update_age_ms()
+            fresh = age is not None and age <= TRUSTED_UPDATE_MS
+            return self.fleet_update.fraction if self.fleet_update and fresh else 1.0 / size
         told = self.live_centres() if self.role is tiers.Role.COORDINATOR else {}
         heard = 1
         for one in self.peers.values():
@@ -260,36 +265,36 @@
                 continue
             if self._is_heard_within(one, limit_ms):
                 heard += 1
-            elif one.leaving and self.is_heard(one):
+            elif one.leaving and self.is_alive(one):
                 # Of one that ends as planned nothing is to be expected any more.
                 size -= 1
         oldest = self.clock.now() - self._fresh_summary_ms()
-        heard += sum(one.heard for one in told.values() if one.told_ms >= oldest)
+        heard += sum(one.reachable_nodes for one in told.values() if one.received_ms >= oldest)
         return min(1.0, heard / max(size, heard))
 
     def _fresh_summary_ms(self) -> float:
         """Return how old a data centre's summary may be that counts as heard by allotments."""
         rarer_ms = SUMMARIES_MISSED * SUMMARY_MS_EACH * len(self.centres)
-        return min(self.silence_ms(), max(FRESH_SUMMARY_MS, rarer_ms))
+        return min(self.alive_timeout_ms(), max(FRESH_SUMMARY_MS, rarer_ms))
 
     def live_centres(self) -> dict[str, tiers.CentreView]:
         """Return the other data centres whose coordinators are heard."""
-        now, limit = self.clock.now(), self.silence_ms()
-        return {name: one for name, one in self.centres.items() if now - one.told_ms <= limit}
+        now, limit = self.clock.now(), self.alive_timeout_ms()
+        return {name: one for name, one in self.centres.items() if now - one.received_ms <= limit}
 
-    def centres_heard(self) -> set[str]:
+    def reachable_centres(self) -> set[str]:
         """Return the data centres that are heard, by their coordinators or any of their nodes.
 
         A coordinator's own is one of them; another node's only if it hears a node of it.
         """
         if self.role is tiers.Role.COORDINATOR:
             return {self.data_centre, *self.live_centres()}
-        return {one.data_centre for one in self.peers.values() if self.is_heard(one)}
+        return {one.data_centre for one in self.peers.values() if self.is_alive(one)}
 
     def unheard_centres(self) -> list[str]:
         """Return the other data centres that count among the fleet and never told this node."""
-        since_ms = self.clock.now() - FORGET_MS
-        told = self.centres.keys() | self.centres_heard()
+        since_ms = self.clock.now() - RETENTION_MS
+        told = self.centres.keys() | self.reachable_centres()
         return [
             name
             for name, one in self.all_centres.centres.items()
@@ -298,90 +303,96 @@
 
     def digest(self) -> int:
         """Return a digest of the data centres that are heard, for a coordinator to tell."""
-        return known_centres.digest(self.centres_heard())
+        return known_centres.digest(self.reachable_centres())
 
-    def news_age_ms(self) -> int | None:
+    def update_age_ms(self) -> int | None:
         """Return how old the last news of an own coordinator is, or None without any."""
-        return self.clock.now() - self.news.told_ms if self.news is not None else None
+        return (
+            self.clock.now() - self.fleet_update.received_ms
+            if self.fleet_update is not None
+            else None
+        )
 
-    def hears_news(self) -> bool:
+    def has_fresh_update(self) -> bool:
         """Return whether a coordinator of the own data centre was heard lately."""
-        age = self.news_age_ms()
-        return age is not None and age <= self.silence_ms()
+        age = self.update_age_ms()
+        return age is not None and age <= self.alive_timeout_ms()
 
     def decide_role(self) -> tiers.Role:
         """Decide what this node is from now on."""
-        older = [one for one in self.supposed_elders() if one.age < self.age()]
-        age = self.news_age_ms()
+        older = [one for one in self.assumed_seniors() if one.seniority < self.seniority()]
+        age = self.update_age_ms()
         # Where all coordinators fell silent, those next in age coordinate and the others wait
         # for their news for as long again.
-        waits = age is not None and age <= 2 * self.silence_ms()
-        self.role = tiers.role_of(self.age(), self.known_size(), [one.age for one in older], waits)
+        waits = age is not None and age <= 2 * self.alive_timeout_ms()
+        self.role = tiers.role_of(
+            self.seniority(), self.known_size(), [one.seniority for one in older], waits
+        )
         return self.role
 
-    def age(self) -> tiers.Age:
+    def seniority(self) -> tiers.Seniority:
         """Return this node's own age."""
-        return tiers.Age(self.incarnation, self.node)
+        return tiers.Seniority(self.incarnation, self.node)
 
-    def seniors(self) -> list[tiers.Elder]:
+    def seniors(self) -> list[tiers.Senior]:
         """Return the oldest live nodes of the own data centre that are known, this one included.
 
         They are those that are heard, and those that a coordinator told of. Where no coordinator
         is heard any more, those that fell silent with it are left out.
         """
         found = {
-            one.name: tiers.Elder(one.age(), one.address)
+            one.name: tiers.Senior(one.seniority(), one.address)
             for one in self.neighbours()
-            if self.is_heard(one) and not one.leaving
+            if self.is_alive(one) and not one.leaving
         }
-        age = self.news_age_ms()
-        if self.news is not None and age is not None and age <= 2 * self.silence_ms():
-            for elder in self.news.seniors:
-                is_gone = not self.hears_news() and self._fell_silent(elder)
-                if elder.age.name not in found and not is_gone:
-                    found[elder.age.name] = elder
-        found[self.node] = tiers.Elder(self.age(), self.address)
-        return sorted(found.values(), key=lambda elder: elder.age)
-
-    def hear_say(self, seniors: Iterable[tiers.Elder]) -> bool:
+        age = self.update_age_ms()
+        if self.fleet_update is not None and age is not None and age <= 2 * self.alive_timeout_ms():
+            for senior in self.fleet_update.seniors:
+                is_gone = not self.has_fresh_update() and self._fell_silent(senior)
+                if senior.seniority.name not in found and not is_gone:
+                    found[senior.seniority.name] = senior
+        found[self.node] = tiers.Senior(self.seniority(), self.address)
+        return sorted(found.values(), key=lambda senior: senior.seniority)
+
+    def note_reported_seniors(self, seniors: Iterable[tiers.Senior]) -> bool:
         """Note whom a node of the own data centre calls its elders.
 
         Returns:
           Whether some of them were not known.
         """
-        known = {elder.age.name for elder in self.supposed_elders()}
+        known = {senior.seniority.name for senior in self.assumed_seniors()}
         now = self.clock.now()
         news = False
-        for elder in seniors:
-            self.hearsay[elder] = now
-            news = news or (elder.age.name not in known and not self._fell_silent(elder))
+        for senior in seniors:
+            self.reported_seniors[senior] = now
+            news = news or (senior.seniority.name not in known and not self._fell_silent(senior))
         return news
 
-    def supposed_elders(self) -> list[tiers.Elder]:
+    def assumed_seniors(self) -> list[tiers.Senior]:
         """Return the elders with those known by hearsay only, who are never told on."""
-        now, limit = self.clock.now(), self.silence_ms()
-        for elder in [elder for elder, at in self.hearsay.items() if now - at > limit]:
-            del self.hearsay[elder]
-        found = {elder.age.name: elder for elder in self.seniors()}
-        for elder in self.hearsay:
-            if elder.age.name not in found and not self._fell_silent(elder):
-                found[elder.age.name] = elder
-        return sorted(found.values(), key=lambda elder: elder.age)
-
-    def _fell_silent(self, elder: tiers.Elder) -> bool:
-        peer = self.peers.get(elder.age.name)
+        now, limit = self.clock.now(), self.alive_timeout_ms()
+        for senior in [senior for senior, at in self.reported_seniors.items() if now - at > limit]:
+            del self.reported_seniors[senior]
+        found = {senior.seniority.name: senior for senior in self.seniors()}
+        for senior in self.reported_seniors:
+            if senior.seniority.name not in found and not self._fell_silent(senior):
+                found[senior.seniority.name] = senior
+        return sorted(found.values(), key=lambda senior: senior.seniority)
+
+    def _fell_silent(self, senior: tiers.Senior) -> bool:
+        peer = self.peers.get(senior.seniority.name)
         if peer is None:
             return False
-        if peer.leaving or peer.heard_ms is None:
+        if peer.leaving or peer.last_seen_ms is None:
             return peer.leaving
-        silent_ms = self.clock.now() - peer.heard_ms
-        limit = self.silence_ms()
+        silent_ms = self.clock.now() - peer.last_seen_ms
+        limit = self.alive_timeout_ms()
         return limit < silent_ms <= tiers.RECENT_SILENCES * limit
 
-    def coordinators(self) -> list[tiers.Elder]:
+    def coordinators(self) -> list[tiers.Senior]:
         """Return the coordinators of the own data centre other than this node."""
-        chosen = self.supposed_elders()[: tiers.COORDINATORS]
-        return [elder for elder in chosen if elder.age.name != self.node]
+        chosen = self.assumed_seniors()[: tiers.COORDINATORS]
+        return [senior for senior in chosen if senior.seniority.name != self.node]
 
     def has_holder(self) -> bool:
         """Return whether a live node elsewhere says that it holds the duties."""
@@ -401,10 +412,12 @@
         """
         if not self.sees_fleet():
             return False
-        mine = self.age()
+        mine = self.seniority()
         told = self.live_centres() if self.role is tiers.Role.COORDINATOR else {}
         others = [
-            peer.age() for peer in self.live() if peer.candidate and peer.data_centre not in told
+            peer.seniority()
+            for peer in self.live()
+            if peer.candidate and peer.data_centre not in told
         ]
         others += [centre.candidate for centre in told.values() if centre.candidate is not None]
         return all(mine < other for other in others)
@@ -415,10 +428,14 @@
         Args:
           reaches_store: whether the store answers this node.
         """
-        live = [(one.age(), one.reaches_store) for one in self.neighbours() if self.is_heard(one)]
-        by_age = sorted([*live, (self.age(), reaches_store)])
-        wanted = store_followers.each(len(self.centres_heard() | {self.data_centre}))
-        return store_followers.choose([(age.name, reaches) for age, reaches in by_age], wanted)
+        live = [
+            (one.seniority(), one.reaches_store) for one in self.neighbours() if self.is_alive(one)
+        ]
+        by_seniority = sorted([*live, (self.seniority(), reaches_store)])
+        wanted = store_followers.each(len(self.reachable_centres() | {self.data_centre}))
+        return store_followers.choose(
+            [(age.name, reaches) for age, reaches in by_seniority], wanted
+        )
 
     def shares_following(self) -> bool:
         """Return whether only some nodes follow the store, and tell the others what is newer."""
@@ -433,14 +450,20 @@
         """
         if not self.shares_following():
             return True
-        if self.role is tiers.Role.MEMBER and self.news is not None and self.hears_news():
-            return self.node in self.news.followers
+        if (
+            self.role is tiers.Role.MEMBER
+            and self.fleet_update is not None
+            and self.has_fresh_update()
+        ):
+            return self.node in self.fleet_update.followers
         older = [
             peer
             for peer in self.live()
-            if peer.data_centre == data_centre and peer.reaches_store and peer.age() < self.age()
+            if peer.data_centre == data_centre
+            and peer.reaches_store
+            and peer.seniority() < self.seniority()
         ]
-        return len(older) < store_followers.each(len(self.centres_heard() | {data_centre}))
+        return len(older) < store_followers.each(len(self.reachable_centres() | {data_centre}))
 
     def addresses(self) -> Iterable[str]:
         """Return where heartbeats are sent."""
--- a/plumarch/membership/fleet_view_test.py
+++ b/plumarch/membership/fleet_view_test.py
@@ -11,7 +11,7 @@
 def test_a_seed_counts_as_a_node_that_is_not_heard():
     view = view_at(clock.ManualClock())
     view.learn("10.0.0.2:7", "10.0.0.2:7")
-    assert view.heard_fraction() == 0.5
+    assert view.reachable_fraction() == 0.5
 
 
 def test_the_own_address_among_the_seeds_is_left_out():
@@ -25,7 +25,7 @@
     view.learn("10.0.0.2:7", "10.0.0.2:7")
     view.heard("b", 50, "10.0.0.2:7", "z")
     assert list(view.peers) == ["b"]
-    assert view.heard_fraction() == 1.0
+    assert view.reachable_fraction() == 1.0
 
 
 def test_a_late_heartbeat_of_a_replaced_process_is_ignored():
@@ -39,11 +39,11 @@
     time = clock.ManualClock()
     view = view_at(time)
     view.heard("b", 60, "10.0.0.2:7", "z")
-    time.advance_to(fleet_view.HEARD_MS + 1)
-    assert view.heard_fraction() == 0.5
-    time.advance_to(fleet_view.FORGET_MS + 1)
+    time.advance_to(fleet_view.ALIVE_TIMEOUT_MS + 1)
+    assert view.reachable_fraction() == 0.5
+    time.advance_to(fleet_view.RETENTION_MS + 1)
     assert [peer.name for peer in view.tick()] == ["b"]
-    assert view.heard_fraction() == 1.0
+    assert view.reachable_fraction() == 1.0
 
 
 def test_where_heartbeats_are_rare_a_node_is_heard_for_longer():
@@ -60,14 +60,14 @@
 def test_in_a_large_fleet_the_oldest_of_each_data_centre_follow_the_store():
     time = clock.ManualClock()
     view = view_at(time)
-    for number in range(store_followers.MOST_EACH):
+    for number in range(store_followers.MAX_EACH):
         view.heard(f"b{number}", number, f"10.0.1.{number}:7", "z")
     assert view.watches_store("z")
     for number in range(fleet_view.SMALL_FLEET):
         view.heard(f"c{number}", number, f"10.0.2.{number}:7", "y")
     assert not view.watches_store("z")
     assert view.watches_store("x")
-    time.advance_to(fleet_view.HEARD_MS + 1)
+    time.advance_to(fleet_view.ALIVE_TIMEOUT_MS + 1)
     assert view.watches_store("z")
 
 
@@ -76,7 +76,7 @@
     for number in range(fleet_view.SMALL_FLEET + 1):
         view.heard(f"c{number:02}", number + 1, f"10.0.2.{number}:7", "x")
     assert not view.watches_store("x")
-    for peer in view.live()[store_followers.MOST_EACH - 1 :]:
+    for peer in view.live()[store_followers.MAX_EACH - 1 :]:
         peer.reaches_store = False
     assert view.watches_store("x")
 
@@ -86,8 +86,8 @@
     view = view_at(time)
     peer = view.heard("b", 60, "10.0.0.2:7", "z")
     peer.leaving = True
-    time.advance_to(fleet_view.HEARD_MS + 1)
-    assert view.heard_fraction() == 1.0
+    time.advance_to(fleet_view.ALIVE_TIMEOUT_MS + 1)
+    assert view.reachable_fraction() == 1.0
 
 
 def test_allotments_count_on_a_node_that_missed_one_heartbeat_and_on_none_that_missed_two():
@@ -98,7 +98,7 @@
     time.advance_to(600)
     assert view.fresh_fraction() == 1.0
     time.advance_to(800)
-    assert (view.fresh_fraction(), view.heard_fraction()) == (0.5, 1.0)
+    assert (view.fresh_fraction(), view.reachable_fraction()) == (0.5, 1.0)
 
 
 def test_allotments_expect_nothing_of_a_node_that_ends_as_planned():
@@ -121,5 +121,5 @@
     older.candidate = False
     assert view.is_oldest_candidate()
     older.candidate = True
-    time.advance_to(fleet_view.HEARD_MS + 1)
+    time.advance_to(fleet_view.ALIVE_TIMEOUT_MS + 1)
     assert view.is_oldest_candidate()
--- a/plumarch/membership/known_centres.py
+++ b/plumarch/membership/known_centres.py
@@ -14,14 +14,14 @@
 ASK_MS = 500
 """How often the elders of a data centre that is not heard are asked at first."""
 
-ASK_LONGEST_MS = 2_000
+MAX_ASK_MS = 2_000
 """How often at least, however long the silence: under half of the time within which nodes are to
 know each other again, so that one loss does not matter."""
 
 SILENCE_PER_ASK = 8
 """Elders are asked so many times while the silence doubles, until they are asked most seldom."""
 
-FORGET_MS = 3_600_000
+RETENTION_MS = 3_600_000
 """A data centre that is silent for an hour was given up, or comes back by its own seeds."""
 
 
@@ -30,21 +30,21 @@
     """A data centre, or a single seed of which only the address is known.
 
     Attributes:
-      elders: its oldest live nodes as they were told last.
+      seniors: its oldest live nodes as they were told last.
       since_ms: when it was heard last, or learned of if it never was.
-      asked_ms: when its elders were asked last.
+      last_request_ms: when its elders were asked last.
       heard: whether it was ever heard.
     """
 
-    seniors: tuple[tiers.Elder, ...]
+    seniors: tuple[tiers.Senior, ...]
     since_ms: int
-    asked_ms: int = 0
+    last_request_ms: int = 0
     heard: bool = False
 
     def is_due(self, now: int) -> bool:
         """Return whether its elders are to be asked, if it is not heard now."""
-        pause = min(ASK_LONGEST_MS, max(ASK_MS, (now - self.since_ms) // SILENCE_PER_ASK))
-        return now - self.asked_ms >= pause
+        pause = min(MAX_ASK_MS, max(ASK_MS, (now - self.since_ms) // SILENCE_PER_ASK))
+        return now - self.last_request_ms >= pause
 
 
 @dataclasses.dataclass(slots=True)
@@ -59,10 +59,10 @@
     centres: dict[str, KnownCentre] = dataclasses.field(default_factory=dict)
     seeds: dict[str, KnownCentre] = dataclasses.field(default_factory=dict)
 
-    def heard(self, name: str, seniors: tuple[tiers.Elder, ...], now: int) -> None:
+    def heard(self, name: str, seniors: tuple[tiers.Senior, ...], now: int) -> None:
         """Note that a data centre told of itself."""
-        asked_ms = self.centres[name].asked_ms if name in self.centres else 0
-        self.centres[name] = KnownCentre(seniors, now, asked_ms, heard=True)
+        last_request_ms = self.centres[name].last_request_ms if name in self.centres else 0
+        self.centres[name] = KnownCentre(seniors, now, last_request_ms, heard=True)
 
     def still_heard(self, names: Iterable[str], now: int) -> None:
         """Note data centres that are heard by their nodes, and not by sums that they tell."""
@@ -70,7 +70,7 @@
             if name in self.centres:
                 self.centres[name].since_ms = now
 
-    def told(self, name: str, seniors: tuple[tiers.Elder, ...], now: int) -> bool:
+    def told(self, name: str, seniors: tuple[tiers.Senior, ...], now: int) -> bool:
         """Note what another one tells of a data centre that is not heard.
 
         Returns:
@@ -84,11 +84,11 @@
         known.seniors = seniors
         return is_news
 
-    def remember(self, name: str, elder: tiers.Elder, heard_ms: int) -> None:
+    def remember(self, name: str, senior: tiers.Senior, last_seen_ms: int) -> None:
         """Note a node that was heard itself, at some time, and is counted no more."""
-        known = self.centres.setdefault(name, KnownCentre((), heard_ms, heard=True))
-        if elder not in known.seniors and len(known.seniors) < tiers.ELDERS:
-            known.seniors = (*known.seniors, elder)
+        known = self.centres.setdefault(name, KnownCentre((), last_seen_ms, heard=True))
+        if senior not in known.seniors and len(known.seniors) < tiers.SENIORS:
+            known.seniors = (*known.seniors, senior)
 
     def keep_seeds(self, addresses: Collection[str], now: int) -> None:
         """Note the addresses that this node is given now, in place of those before."""
@@ -99,8 +99,8 @@
 
     def seed(self, address: str, now: int) -> None:
         """Note an address that this node was given; heartbeats are sent there at first anyway."""
-        elder = tiers.Elder(tiers.Age(0, address), address)
-        self.seeds.setdefault(address, KnownCentre((elder,), now, asked_ms=now))
+        senior = tiers.Senior(tiers.Seniority(0, address), address)
+        self.seeds.setdefault(address, KnownCentre((senior,), now, last_request_ms=now))
 
     def to_ask(self, live: Collection[str], heard: Collection[str], now: int) -> set[str]:
         """Return the addresses to ask now, which count as asked from then on.
@@ -109,14 +109,16 @@
           live: the data centres that are heard.
           heard: addresses of nodes that are in one of them.
         """
-        for name in [one for one, kept in self.centres.items() if now - kept.since_ms > FORGET_MS]:
+        for name in [
+            one for one, kept in self.centres.items() if now - kept.since_ms > RETENTION_MS
+        ]:
             del self.centres[name]
         silent = [one for name, one in self.centres.items() if name not in live]
         silent += [one for address, one in self.seeds.items() if address not in heard]
         due = [one for one in silent if one.is_due(now)]
         for one in due:
-            one.asked_ms = now
-        return {elder.address for one in due for elder in one.seniors}
+            one.last_request_ms = now
+        return {senior.address for one in due for senior in one.seniors}
 
     def unheard(self, live: Collection[str]) -> list[str]:
         """Return the names of the data centres that are known and not heard."""
--- a/plumarch/membership/members.py
+++ b/plumarch/membership/members.py
@@ -17,7 +17,7 @@
 
 SUSPECT_BEATS = 3
 GONE_BEATS = 5
-FORGET_MS = 600_000
+RETENTION_MS = 600_000
 
 
 @dataclasses.dataclass(slots=True)
@@ -27,7 +27,7 @@
     node: str
     data_centre: str
     state: data.NodeState
-    heard_ms: int
+    last_seen_ms: int
     address: str = ""
     revision: int = 0
     demand: tuple[tuple[str, int, int], ...] = ()
@@ -60,7 +60,7 @@
         if self._superseded(sender):
             return False
         known = self.members.get(sender)
-        if known is not None and known.state is data.NodeState.GONE and known.heard_ms < 0:
+        if known is not None and known.state is data.NodeState.GONE and known.last_seen_ms < 0:
             return False
         was_live = known is not None and known.state is data.NodeState.LIVE
         self.members[sender] = Member(
@@ -115,7 +115,7 @@
         for member in self.members.values():
             if member.state is data.NodeState.GONE:
                 continue
-            silence = now - member.heard_ms
+            silence = now - member.last_seen_ms
             if silence >= GONE_BEATS * self.beat_ms:
                 member.state = data.NodeState.GONE
                 gone.append(member.node)
@@ -128,7 +128,9 @@
         old = [
             m.node
             for m in self.members.values()
-            if m.state is data.NodeState.GONE and now - m.heard_ms > FORGET_MS and m.heard_ms >= 0
+            if m.state is data.NodeState.GONE
+            and now - m.last_seen_ms > RETENTION_MS
+            and m.last_seen_ms >= 0
         ]
         for node in old:
             del self.members[node]
@@ -146,7 +148,7 @@
         Proof is the platform's list, or a later incarnation under the same name.
         """
         member = self.members.get(node)
-        if member is not None and member.state is data.NodeState.GONE and member.heard_ms < 0:
+        if member is not None and member.state is data.NodeState.GONE and member.last_seen_ms < 0:
             return True
         return self._superseded(node)
 
--- a/plumarch/membership/peer_node.py
+++ b/plumarch/membership/peer_node.py
@@ -12,7 +12,7 @@
     Attributes:
       incarnation: time of day at which its process started, in ms; 0 if never heard.
       address: IP:port of its heartbeats.
-      heard_ms: when it was heard last, by this node's clock.
+      last_seen_ms: when it was heard last, by this node's clock.
       token: the fencing token that it holds, or 0.
       candidate: whether it could take the duties over now.
       reaches_store: whether the platform's store answers it.
@@ -25,7 +25,7 @@
     learned_ms: int
     incarnation: int = 0
     data_centre: str = ""
-    heard_ms: int | None = None
+    last_seen_ms: int | None = None
     leaving: bool = False
     token: int = 0
     candidate: bool = True
@@ -33,6 +33,6 @@
     nodes: int = 0
     build: str = ""
 
-    def age(self) -> tiers.Age:
+    def seniority(self) -> tiers.Seniority:
         """Return what nodes are ordered by."""
-        return tiers.Age(self.incarnation, self.name)
+        return tiers.Seniority(self.incarnation, self.name)
--- a/plumarch/membership/registry.py
+++ b/plumarch/membership/registry.py
@@ -13,7 +13,7 @@
 LAPSE_MS = 1_400
 """How long endpoints that vanished without notice, most of a service at once, are still used."""
 
-LEAST_LAPSED = 2
+MIN_LAPSED = 2
 """A single endpoint that vanishes is taken as gone at once."""
 
 
@@ -206,7 +206,7 @@
         if not self.lapsed:
             return found
         vanished = self._vanished(service)
-        if len(vanished) < LEAST_LAPSED or len(vanished) <= len(found):
+        if len(vanished) < MIN_LAPSED or len(vanished) <= len(found):
             return found
         return sorted(found + vanished, key=lambda endpoint: endpoint.id)
 
--- a/plumarch/membership/store_followers.py
+++ b/plumarch/membership/store_followers.py
@@ -11,7 +11,7 @@
 """Followers of a fleet whose data centres are all heard. Four of them may be killed, frozen or
 turned away at once, and the fifth still tells all the others."""
 
-MOST_EACH = 2
+MAX_EACH = 2
 """Followers of each data centre where there are fewer data centres than that."""
 
 
@@ -22,22 +22,22 @@
       data_centres: how many are heard, the own one included. Those that are cut off don't count,
         so that a part of the fleet that is left alone soon has enough followers of its own.
     """
-    return 1 if data_centres >= LEAST else MOST_EACH
+    return 1 if data_centres >= LEAST else MAX_EACH
 
 
-def choose(by_age: Iterable[tuple[str, bool]], wanted: int) -> list[str]:
+def choose(by_seniority: Iterable[tuple[str, bool]], wanted: int) -> list[str]:
     """Return the names of the followers of a data centre.
 
     They are the oldest nodes, until enough of them are answered: one that the store turns away
     goes on asking, and counts for nothing.
 
     Args:
-      by_age: names of its live nodes and whether the store answers them, the oldest first.
+      by_seniority: names of its live nodes and whether the store answers them, the oldest first.
       wanted: how many that the store answers are to follow it.
     """
     chosen: list[str] = []
     answered = 0
-    for name, reaches_store in by_age:
+    for name, reaches_store in by_seniority:
         if answered >= wanted:
             break
         chosen.append(name)
--- a/plumarch/membership/tiers.py
+++ b/plumarch/membership/tiers.py
@@ -20,7 +20,7 @@
 COORDINATORS = 2
 """Coordinators of each data centre: one, and one in its place at once."""
 
-ELDERS = 4
+SENIORS = 4
 """How many of a data centre's oldest nodes its members know, for when coordinators fall silent."""
 
 RECENT_SILENCES = 4
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
-class Age:
+class Seniority:
     """What nodes are ordered by: the time of day of their start in ms, then their name."""
 
     incarnation: int
@@ -45,10 +45,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Elder:
+class Senior:
     """One of the oldest live nodes of a data centre."""
 
-    age: Age
+    seniority: Seniority
     address: str
 
 
@@ -58,31 +58,31 @@
 
     Attributes:
       nodes: how many nodes there may be.
-      heard: how many of them they hear.
-      elders: its oldest live nodes, the oldest first.
+      reachable_nodes: how many of them they hear.
+      seniors: its oldest live nodes, the oldest first.
       token: the highest fencing token that one of its live nodes holds, or 0.
       candidate: the oldest of its live nodes that could take the duties over, or None.
       reported: the newest usage window reported, as far as known there.
       usage_age_ms: how old the oldest of its nodes' news was when it was told.
-      told_ms: when it was told, by this node's clock.
-      usage_told: as of when usage windows were told, by this node's clock and by window.
+      received_ms: when it was told, by this node's clock.
+      usage_reported_ms: as of when usage windows were told, by this node's clock and by window.
       oldest_ms: when its oldest coordinator told, by this node's clock; 0 if it never did.
     """
 
     nodes: int
-    heard: int
-    seniors: tuple[Elder, ...]
+    reachable_nodes: int
+    seniors: tuple[Senior, ...]
     token: int
-    candidate: Age | None
+    candidate: Seniority | None
     reported: int
     usage_age_ms: int
-    told_ms: int
-    usage_told: Mapping[int, int] = dataclasses.field(default_factory=dict)
+    received_ms: int
+    usage_reported_ms: Mapping[int, int] = dataclasses.field(default_factory=dict)
     oldest_ms: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FleetNewsView:
+class ReceivedFleetUpdate:
     """What a coordinator of the own data centre told its members last.
 
     Attributes:
@@ -90,31 +90,33 @@
       nodes: how many nodes there may be in the fleet.
       centre_nodes: how many of them are in the own data centre.
       fraction: the part of them that the author hears or is told to be heard.
-      elders: the oldest live nodes of the own data centre, the oldest first.
+      seniors: the oldest live nodes of the own data centre, the oldest first.
       followers: names of those of its nodes that follow the store.
-      told_ms: when it was told, by this node's clock.
+      received_ms: when it was told, by this node's clock.
     """
 
-    author: Age
+    author: Seniority
     nodes: int
     centre_nodes: int
     fraction: float
-    seniors: tuple[Elder, ...]
+    seniors: tuple[Senior, ...]
     followers: tuple[str, ...]
-    told_ms: int
+    received_ms: int
 
 
-def role_of(mine: Age, nodes: int, older: Iterable[Age], hears_news: bool) -> Role:
+def role_of(
+    mine: Seniority, nodes: int, older: Iterable[Seniority], has_fresh_update: bool
+) -> Role:
     """Return what a node is.
 
     Args:
       mine: the node's own age.
       nodes: how many nodes there may be in the fleet.
       older: live nodes of its data centre that are known to it; younger ones are passed over.
-      hears_news: whether a coordinator's news reaches it.
+      has_fresh_update: whether a coordinator's news reaches it.
     """
     if nodes <= FLAT_FLEET:
         return Role.FLAT
     if len([age for age in set(older) if age < mine]) < COORDINATORS:
         return Role.COORDINATOR
-    return Role.MEMBER if hears_news else Role.FLAT
+    return Role.MEMBER if has_fresh_update else Role.FLAT
--- a/plumarch/node/node.py
+++ b/plumarch/node/node.py
@@ -20,7 +20,7 @@
 """How often the shell must hand a Tick to the node."""
 
 CONFIG_ASK_MS = 1_000
-LEAVING_KEEP_MS = 60_000
+LEAVING_RETENTION_MS = 60_000
 
 WATCHERS = 2
 """Nodes of a data centre that watch the platform; the others hear it from peers."""
@@ -365,7 +365,7 @@
     def _beat(self) -> None:
         now = self.ctx.now()
         state = data.NodeState.LEAVING if self.membership.leaving else data.NodeState.LIVE
-        for name in [n for n, at in self.notices.items() if now - at >= LEAVING_KEEP_MS]:
+        for name in [n for n, at in self.notices.items() if now - at >= LEAVING_RETENTION_MS]:
             del self.notices[name]
         leaving = [(name, max(0, at - now)) for name, at in self.notices.items()]
         beat = messages.Heartbeat(
--- a/plumarch/node/runs.py
+++ b/plumarch/node/runs.py
@@ -11,7 +11,7 @@
 
 ENDED_LIMIT = 5_000
 ENDED_BYTES_LIMIT = 16 * 1024 * 1024
-ENDED_KEEP_MS = 120_000
+ENDED_RETENTION_MS = 120_000
 """How long, and how much, of ended requests is kept for callers that reattach here."""
 
 TRIES_PER_HOME = 1_000
@@ -144,7 +144,7 @@
         while self.ended:
             oldest = next(iter(self.ended.values()))
             too_many = len(self.ended) > ENDED_LIMIT or self.ended_bytes > ENDED_BYTES_LIMIT
-            if not too_many and now - oldest.ended_ms <= ENDED_KEEP_MS:
+            if not too_many and now - oldest.ended_ms <= ENDED_RETENTION_MS:
                 return
             del self.ended[oldest.request.id]
             self.ended_bytes -= _size(oldest)
--- a/plumarch/object_api/client.py
+++ b/plumarch/object_api/client.py
@@ -103,11 +103,11 @@
         return int(answer.headers["etag"])
 
     async def watch(self, prefix: str, since: int, wait_ms: int) -> protocol.Change:
-        """Wait for changes after a revision. Raises PlatformTooOld, PlatformUnavailable."""
+        """Wait for changes. Raises PlatformRevisionExpired, PlatformUnavailable."""
         params: dict[str, str | int] = {"prefix": prefix, "since": since, "wait_ms": wait_ms}
         answer = await self._read("/watch", params, wait_ms / 1000 + TIMEOUT_S)
         if answer.status_code == 410:
-            raise errors.PlatformTooOld("The history is shorter. Read all, then watch.")
+            raise errors.PlatformRevisionExpired("The history is shorter. Read all, then watch.")
         return msgspec.json.decode(answer.content, type=protocol.Change)
 
     async def vms(self) -> protocol.VmList | None:
--- a/plumarch/object_api/protocol.py
+++ b/plumarch/object_api/protocol.py
@@ -99,7 +99,7 @@
         ...
 
     async def watch(self, prefix: str, since: int, wait_ms: int) -> Change:
-        """Wait for changes of objects after a revision. Raises PlatformTooOld."""
+        """Wait for changes of objects after a revision. Raises PlatformRevisionExpired."""
         ...
 
     async def vms(self) -> VmList | None:
--- a/plumarch/peers/gossip.py
+++ b/plumarch/peers/gossip.py
@@ -62,7 +62,7 @@
     address: str
 
 
-class KnownElder(msgspec.Struct, array_like=True, frozen=True):
+class NodeIdentity(msgspec.Struct, array_like=True, frozen=True):
     """One of the oldest live nodes of the sender's data centre."""
 
     name: str
@@ -131,7 +131,7 @@
       reaches_store: whether the platform's store answered the sender's last call.
       sequence: number of the heartbeat; a coordinator's news names the last one it took in. 0 for
         an answer to a node that looks for its coordinators.
-      elders: the oldest live nodes of the sender's data centre, for nodes that look for its
+      seniors: the oldest live nodes of the sender's data centre, for nodes that look for its
         coordinators.
       nodes: how many nodes there may be in the fleet, as the sender counts by itself.
       speeds: what the sender learned of engines; in some heartbeats.
@@ -156,7 +156,7 @@
     peers: list[KnownPeer] = []
     reaches_store: bool = True
     sequence: int = 0
-    seniors: list[KnownElder] = []
+    seniors: list[NodeIdentity] = []
     nodes: int = 0
     speeds: list[EngineSpeed] = []
     versions: list[VersionShare] = []
@@ -187,7 +187,7 @@
     Attributes:
       registry_revision: of the last change of endpoints that the sender knows.
       nodes: how many nodes there may be.
-      heard: how many of them the sender hears, itself included.
+      reachable_nodes: how many of them the sender hears, itself included.
       token: the highest fencing token that a live node holds, or 0.
       candidate: the oldest live node that could take the duties over, as a list of one or none.
       reported: the newest usage window reported, as far as known.
@@ -198,7 +198,7 @@
       speeds: what its nodes learned of engines; in some summaries.
       versions: the shares of versions, as in heartbeats.
       answers: of versions on its nodes, while a roll-out runs.
-      centres_heard: digest of the data centres that the sender hears, its own included, or 0.
+      centres_digest: digest of the data centres that the sender hears, its own included, or 0.
       sequence: number of the summary since the sender's start; 0 where it is not told.
       ledger: the coordinator that began to count what is told as spent, as a list of one or none.
     """
@@ -210,10 +210,10 @@
     configuration: int
     registry_revision: int
     nodes: int
-    heard: int
-    seniors: list[KnownElder]
+    reachable_nodes: int
+    seniors: list[NodeIdentity]
     token: int
-    candidate: list[KnownElder]
+    candidate: list[NodeIdentity]
     reported: int
     usage_age_ms: int
     spending: list[CentreSpending]
@@ -222,16 +222,16 @@
     speeds: list[EngineSpeed] = []
     versions: list[VersionShare] = []
     answers: list[VersionAnswers] = []
-    centres_heard: int = 0
+    centres_digest: int = 0
     sequence: int = 0
-    ledger: list[KnownElder] = []
+    ledger: list[NodeIdentity] = []
 
 
 class KnownCentre(msgspec.Struct, array_like=True, frozen=True):
     """A data centre that the sender hears, and some of its oldest live nodes."""
 
     data_centre: str
-    seniors: list[KnownElder]
+    seniors: list[NodeIdentity]
 
 
 class CentreDirectory(msgspec.Struct, array_like=True, frozen=True, tag=5):
@@ -247,7 +247,7 @@
     peers: list[KnownPeer] = []
 
 
-class ToldLevel(msgspec.Struct, array_like=True, frozen=True):
+class ReportedLevel(msgspec.Struct, array_like=True, frozen=True):
     """What is left of a workspace's allotment.
 
     Attributes:
@@ -264,7 +264,7 @@
     spent: float = 0.0
 
 
-class FleetNews(msgspec.Struct, array_like=True, frozen=True):
+class FleetUpdate(msgspec.Struct, array_like=True, frozen=True):
     """What a coordinator tells the members of its data centre, of the whole fleet.
 
     Attributes:
@@ -274,7 +274,7 @@
       followers: names of those nodes of the data centre that follow the store.
       levels: of workspaces in which something changed lately, in some news of all.
       loads: at endpoints where something changed lately, in some news at all, from all nodes.
-      whole: whether endpoints that are not named have no load.
+      full: whether endpoints that are not named have no load.
       versions: the shares of versions, as in heartbeats.
       ledger: as in summaries.
     """
@@ -288,25 +288,26 @@
     nodes: int
     centre_nodes: int
     fraction: float
-    seniors: list[KnownElder]
+    seniors: list[NodeIdentity]
     followers: list[str]
-    levels: list[ToldLevel]
+    levels: list[ReportedLevel]
     loads: list[EndpointLoad]
-    whole: bool
+    full: bool
     versions: list[VersionShare] = []
-    ledger: list[KnownElder] = []
+    ledger: list[NodeIdentity] = []
 
 
-class MemberNews(msgspec.Struct, array_like=True, frozen=True, tag=4):
+class MemberUpdate(msgspec.Struct, array_like=True, frozen=True, tag=4):
     """News as one member gets them.
 
     Attributes:
-      taken_in: sequence of the last heartbeat or notice of the member that the figures hold, or 0.
-      news: a FleetNews, encoded once for all members.
+      acknowledged: sequence of the last heartbeat or notice of the member that the figures hold,
+        or 0.
+      update: a FleetUpdate, encoded once for all members.
     """
 
-    taken_in: int
-    news: msgspec.Raw
+    acknowledged: int
+    update: msgspec.Raw
 
 
 class LoadNotice(msgspec.Struct, array_like=True, frozen=True, tag=2):
@@ -328,11 +329,11 @@
     spent: float = 0.0
 
 
-class SuspectNews(msgspec.Struct, array_like=True, frozen=True, tag=6):
+class SuspectUpdate(msgspec.Struct, array_like=True, frozen=True, tag=6):
     """What a node learned of requests under which endpoints ended; told at once, and again."""
 
     node: str
-    suspects: list[suspect_entries.ToldSuspect]
+    suspects: list[suspect_entries.ReportedSuspect]
 
 
 class PermitRequest(msgspec.Struct, array_like=True, frozen=True, tag=7):
@@ -381,7 +382,7 @@
     contenders: int = 0
 
 
-class RateNews(msgspec.Struct, array_like=True, frozen=True, tag=9):
+class RateUpdate(msgspec.Struct, array_like=True, frozen=True, tag=9):
     """A request rate that an endpoint announces from now on, or no longer; broadcast once.
 
     Attributes:
@@ -402,7 +403,7 @@
     Attributes:
       takes_compressed: whether the answer may be compressed.
       takes_parts: whether the answer may be a Snapshot. A node that doesn't tell takes either that
-        or a WholeSnapshot, by its build.
+        or a FullSnapshot, by its build.
     """
 
     configuration: int
@@ -427,7 +428,7 @@
     registry_revision: int
 
 
-class WholeSnapshot(msgspec.Struct, array_like=True, frozen=True):
+class FullSnapshot(msgspec.Struct, array_like=True, frozen=True):
     """What is newer, as earlier builds tell and take it; None for what is not."""
 
     node: str
@@ -454,22 +455,22 @@
     Heartbeat
     | LoadNotice
     | CentreSummary
-    | MemberNews
+    | MemberUpdate
     | CentreDirectory
-    | SuspectNews
+    | SuspectUpdate
     | PermitRequest
     | PermitAnswer
-    | RateNews
+    | RateUpdate
 )
 
 encoder = msgspec.msgpack.Encoder()
 datagram_decoder = msgspec.msgpack.Decoder(Datagram)
-news_decoder = msgspec.msgpack.Decoder(FleetNews)
+fleet_update_decoder = msgspec.msgpack.Decoder(FleetUpdate)
 request_decoder = msgspec.msgpack.Decoder(SnapshotRequest)
 configuration_decoder = msgspec.msgpack.Decoder(routing_table.Configuration)
 endpoint_decoder = msgspec.msgpack.Decoder(traffic.Endpoint)
 snapshot_decoder = msgspec.msgpack.Decoder(Snapshot)
-whole_snapshot_decoder = msgspec.msgpack.Decoder(WholeSnapshot)
+full_snapshot_decoder = msgspec.msgpack.Decoder(FullSnapshot)
 
 
 def decode_snapshot(encoded: bytes) -> Snapshot:
@@ -481,7 +482,7 @@
     try:
         return snapshot_decoder.decode(encoded)
     except msgspec.DecodeError:
-        told = whole_snapshot_decoder.decode(encoded)
+        told = full_snapshot_decoder.decode(encoded)
     return Snapshot(
         told.node,
         [raw(told.configuration)] if told.configuration is not None else [],
--- a/plumarch/peers/message_compat_test.py
+++ b/plumarch/peers/message_compat_test.py
@@ -15,23 +15,35 @@
 from plumarch.peers import gossip, message_samples, suspect_entries
 
 READERS = {
-    "FleetNews": gossip.news_decoder.decode,
+    "FleetUpdate": gossip.fleet_update_decoder.decode,
     "SnapshotRequest": gossip.request_decoder.decode,
     "Snapshot": gossip.decode_snapshot,
     "Configuration": gossip.configuration_decoder.decode,
     "Endpoint": gossip.endpoint_decoder.decode,
     "DutyRecord": msgspec.json.Decoder(duty_lease.DutyRecord).decode,
     "NodeRecord": msgspec.json.Decoder(list[node_record.NodeRecord]).decode,
-    "ToldSuspect": msgspec.json.Decoder(list[suspect_entries.ToldSuspect]).decode,
+    "ReportedSuspect": msgspec.json.Decoder(list[suspect_entries.ReportedSuspect]).decode,
 }
 """How each is read that is no datagram."""
 
+RENAMED = {
+    "FleetNews": "FleetUpdate",
+    "MemberNews": "MemberUpdate",
+    "RateNews": "RateUpdate",
+    "SuspectNews": "SuspectUpdate",
+    "ToldSuspect": "ReportedSuspect",
+}
+"""Message types by their names in the stored samples of earlier builds."""
+
 BUILDS = sorted(path.stem for path in message_samples.FOLDER.glob("*.json"))
 
 
 def told_by(build: str) -> dict[str, bytes]:
     text = (message_samples.FOLDER / f"{build}.json").read_text(encoding="utf-8")
-    return {name: bytes.fromhex(encoded) for name, encoded in json.loads(text).items()}
+    return {
+        RENAMED.get(name, name): bytes.fromhex(encoded)
+        for name, encoded in json.loads(text).items()
+    }
 
 
 def unread(told: dict[str, bytes]) -> list[str]:
@@ -61,10 +73,10 @@
 def test_earlier_builds_take_what_an_asker_of_theirs_is_told():
     """As they read it: by the shape that they knew, where what is added at the end is left out."""
     snapshot = gossip.decode_snapshot(told_by("f8b1b9f")["Snapshot"])
-    whole = gossip.WholeSnapshot(
+    whole = gossip.FullSnapshot(
         snapshot.node, gossip.configuration_decoder.decode(snapshot.configuration[0]), (), 7
     )
-    read = gossip.whole_snapshot_decoder.decode(gossip.encoder.encode(whole))
+    read = gossip.full_snapshot_decoder.decode(gossip.encoder.encode(whole))
     assert read == whole
 
 
--- a/plumarch/peers/message_samples.py
+++ b/plumarch/peers/message_samples.py
@@ -22,7 +22,7 @@
 RAW_PARTS = {
     ("Snapshot", "configuration"): "Configuration",
     ("Snapshot", "endpoints"): "Endpoint",
-    ("MemberNews", "news"): "FleetNews",
+    ("MemberUpdate", "update"): "FleetUpdate",
 }
 """What the parts hold that are encoded by themselves, by message and field."""
 
@@ -84,7 +84,7 @@
     from plumarch.membership import node_record
     from plumarch.peers import gossip
 
-    told = [*typing.get_args(gossip.Datagram), gossip.FleetNews]
+    told = [*typing.get_args(gossip.Datagram), gossip.FleetUpdate]
     told += [gossip.SnapshotRequest, gossip.Snapshot]
     known = {one.__name__: one for one in told}
     known |= {"Configuration": routing_table.Configuration, "Endpoint": traffic.Endpoint}
@@ -97,7 +97,7 @@
     try:
         from plumarch.peers import suspect_entries
 
-        stored["ToldSuspect"] = list[suspect_entries.ToldSuspect]
+        stored["ReportedSuspect"] = list[suspect_entries.ReportedSuspect]
     except ImportError:
         pass  # A build from before requests were held back keeps no record of them.
     for name, kind in stored.items():
--- a/plumarch/peers/recent_changes.py
+++ b/plumarch/peers/recent_changes.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Generic, TypeVar
 
-TOLD_TIMES = 4
+SEND_COUNT = 4
 """How many heartbeats tell a change."""
 
 
@@ -34,7 +34,7 @@
         for name, figure in figures.items():
             if self.known.get(name) != figure:
                 self.known[name] = figure
-                self.left[name] = TOLD_TIMES
+                self.left[name] = SEND_COUNT
         selected = set(self.left)
         self.left = {name: times - 1 for name, times in self.left.items() if times > 1}
         return selected
--- a/plumarch/peers/recent_changes_test.py
+++ b/plumarch/peers/recent_changes_test.py
@@ -5,14 +5,14 @@
 
 def test_a_change_is_told_several_times_and_then_no_more():
     changes = recent_changes.RecentChanges()
-    told = [changes.select({"a": 1.0}) for _ in range(recent_changes.TOLD_TIMES + 1)]
-    assert told == [{"a"}] * recent_changes.TOLD_TIMES + [set()]
+    told = [changes.select({"a": 1.0}) for _ in range(recent_changes.SEND_COUNT + 1)]
+    assert told == [{"a"}] * recent_changes.SEND_COUNT + [set()]
 
 
 def test_a_further_change_is_told_as_often_again():
     changes = recent_changes.RecentChanges()
     changes.select({"a": 1.0, "b": 1.0})
-    for _ in range(recent_changes.TOLD_TIMES):
+    for _ in range(recent_changes.SEND_COUNT):
         assert "a" in changes.select({"a": 2.0, "b": 1.0})
     assert changes.select({"a": 2.0, "b": 1.0}) == set()
 
--- a/plumarch/peers/suspect_entries.py
+++ b/plumarch/peers/suspect_entries.py
@@ -9,7 +9,7 @@
 bytes each."""
 
 
-class ToldEnd(msgspec.Struct, array_like=True, frozen=True):
+class ReportedCrash(msgspec.Struct, array_like=True, frozen=True):
     """An endpoint that ended under a request; at_ms is the time of day."""
 
     endpoint: str
@@ -17,29 +17,29 @@
     points: int
 
 
-class ToldSuspect(msgspec.Struct, array_like=True, frozen=True):
+class ReportedSuspect(msgspec.Struct, array_like=True, frozen=True):
     """What the teller knows of a request; as in quarantine.Suspect."""
 
     fingerprint: str
-    ends: list[ToldEnd]
+    ends: list[ReportedCrash]
     trials: int = 0
     tried_ms: int = 0
     cleared_ms: int = 0
 
 
-def told(suspect: quarantine.Suspect, ends: int = ENDS_TOLD) -> ToldSuspect:
+def to_message(suspect: quarantine.Suspect, ends: int = ENDS_TOLD) -> ReportedSuspect:
     """Return a suspect as it is told.
 
     Args:
       ends: how many of its ends are told, the newest ones.
     """
-    chosen = [ToldEnd(end.endpoint, end.at_ms, end.points) for end in suspect.ends[-ends:]]
-    return ToldSuspect(
+    chosen = [ReportedCrash(end.endpoint, end.at_ms, end.points) for end in suspect.ends[-ends:]]
+    return ReportedSuspect(
         suspect.fingerprint, chosen, suspect.trials, suspect.tried_ms, suspect.cleared_ms
     )
 
 
-def taken(one: ToldSuspect) -> quarantine.Suspect:
+def from_message(one: ReportedSuspect) -> quarantine.Suspect:
     """Return a suspect as it is kept; an end counts for no more than an early one does."""
     ends = tuple(
         quarantine.End(end.endpoint, end.at_ms, min(end.points, quarantine.EARLY_POINTS))
--- a/plumarch/peers/tolerant.py
+++ b/plumarch/peers/tolerant.py
@@ -17,12 +17,12 @@
         gossip.Heartbeat,
         gossip.LoadNotice,
         gossip.CentreSummary,
-        gossip.MemberNews,
+        gossip.MemberUpdate,
         gossip.CentreDirectory,
-        gossip.SuspectNews,
+        gossip.SuspectUpdate,
         gossip.PermitRequest,
         gossip.PermitAnswer,
-        gossip.RateNews,
+        gossip.RateUpdate,
     )
     if isinstance(one.__struct_config__.tag, int)
 }
--- a/plumarch/recovery/copies.py
+++ b/plumarch/recovery/copies.py
@@ -14,7 +14,7 @@
 COPY_BYTES_LIMIT = 16 * 1024 * 1024
 """Bytes of request bodies held in copies at most."""
 
-KEEP_MS = 3_600_000
+RETENTION_MS = 3_600_000
 """A copy whose home lives on but never drops it is dropped after this long."""
 
 
@@ -67,6 +67,6 @@
     def expire(self) -> None:
         """Drop copies that nobody has asked for in a long time."""
         now = self.ctx.now()
-        old = [c.request.id for c in self.held.values() if now - c.since_ms > KEEP_MS]
+        old = [c.request.id for c in self.held.values() if now - c.since_ms > RETENTION_MS]
         for request_id in old:
             self.drop(request_id)
--- a/plumarch/recovery/keys.py
+++ b/plumarch/recovery/keys.py
@@ -7,7 +7,7 @@
 SLOTS = 32
 """Slots a region. A deployment never changes it: the same key must keep its slot."""
 
-KEEP_MS = 600_000
+RETENTION_MS = 600_000
 """How long a key's record outlives its last change: callers may retry that long."""
 
 TABLE_LIMIT = 20_000
@@ -54,7 +54,7 @@
 
 
 class Table:
-    """The records of one slot, bounded in number, each kept KEEP_MS past its last change."""
+    """The records of one slot, bounded in number, each kept RETENTION_MS past its last change."""
 
     def __init__(self, records: list[data.KeyRecord] | None = None) -> None:
         self.records: dict[tuple[str, str], data.KeyRecord] = {}
@@ -103,7 +103,7 @@
         """
         old = []
         for name, record in self.records.items():
-            if now - record.written_ms <= KEEP_MS:
+            if now - record.written_ms <= RETENTION_MS:
                 break
             old.append(name)
         for name in old:
--- a/plumarch/recovery/ledger.py
+++ b/plumarch/recovery/ledger.py
@@ -538,7 +538,7 @@
             table,
             uncertain_epoch=landed.uncertain_epoch,
             persisted_uncertain_epoch=landed.uncertain_epoch,
-            certain_at_ms=self.ctx.now() + keys.KEEP_MS,
+            certain_at_ms=self.ctx.now() + keys.RETENTION_MS,
         )
         for record in landed.records:
             self.operation += 1
--- a/plumarch/recovery/slots.py
+++ b/plumarch/recovery/slots.py
@@ -121,7 +121,7 @@
 
     epoch: int
     owner: str
-    heard_ms: int
+    last_seen_ms: int
 
 
 def object_name(slot: int) -> str:
--- a/plumarch/routing/answer_times.py
+++ b/plumarch/routing/answer_times.py
@@ -39,12 +39,12 @@
 
 
 def is_slow_first_event(
-    speed: engine_speed.EngineSpeed, tokens: float, place_wait_ms: float, took_ms: float
+    speed: engine_speed.EngineSpeed, tokens: float, capacity_wait_ms: float, took_ms: float
 ) -> bool:
     """Return whether a first event came far later than it should.
 
     Args:
       tokens: of the whole prompt and of what waited before it.
     """
-    usual_ms = speed.base_ms.value + speed.reading_ms(tokens) + place_wait_ms
+    usual_ms = speed.base_ms.value + speed.reading_ms(tokens) + capacity_wait_ms
     return took_ms > SLOW_FACTOR * usual_ms
--- a/plumarch/routing/concurrency_limit.py
+++ b/plumarch/routing/concurrency_limit.py
@@ -27,7 +27,7 @@
 """The limit grows from its lowest to its highest in this time: callers that were turned away are
 back within seconds, and find what was found too much only once in that time."""
 
-FALL_KEPT_MS = 60_000
+CRASH_RETENTION_MS = 60_000
 """What made an endpoint fall isn't tried again for this long: a fall costs all that it held, a
 refusal one send."""
 
@@ -64,7 +64,7 @@
         """Take in that it refused a request as too much, while it held so many."""
         ...
 
-    def fell(self, held: float, now: int) -> None:
+    def crashed(self, held: float, now: int) -> None:
         """Take in that it fell over, while it held so many."""
         ...
 
@@ -127,10 +127,10 @@
         """Come down below what it held."""
         self._lower(min(self.value(now), DECREASE * held), now)
 
-    def fell(self, held: float, now: int) -> None:
+    def crashed(self, held: float, now: int) -> None:
         """Come down below what it held, and stay there for long."""
         self.ceiling = max(self.least, DECREASE * held)
-        self.ceiling_until_ms = now + FALL_KEPT_MS
+        self.ceiling_until_ms = now + CRASH_RETENTION_MS
         self._lower(DECREASE * self.ceiling, now)
 
     def _lower(self, value: float, now: int) -> None:
--- a/plumarch/routing/concurrency_limit_test.py
+++ b/plumarch/routing/concurrency_limit_test.py
@@ -52,10 +52,10 @@
         """Come down below what it held."""
         self.current = max(self.least, min(self.current, concurrency_limit.DECREASE * held))
 
-    def fell(self, held: float, now: int) -> None:
+    def crashed(self, held: float, now: int) -> None:
         """Come down below what it held, and stay there for long."""
         self.ceiling = max(self.least, concurrency_limit.DECREASE * held)
-        self.ceiling_until_ms = now + concurrency_limit.FALL_KEPT_MS
+        self.ceiling_until_ms = now + concurrency_limit.CRASH_RETENTION_MS
         self.current = max(self.least, concurrency_limit.DECREASE * self.ceiling)
 
 
@@ -82,14 +82,14 @@
       rate: requests a second, by time.
       run_ms: how long one runs, by time.
       places: how many it holds before it refuses.
-      falls_at: weight at which it falls over.
+      crashes_at: weight at which it falls over.
       heavy: part of the requests that weigh four.
     """
 
     rate: Callable[[int], float]
     run_ms: Callable[[int], float] = lambda now: RUN_MS
     places: int = 1_000
-    falls_at: float = 1_000.0
+    crashes_at: float = 1_000.0
     heavy: float = 0.0
 
 
@@ -97,8 +97,8 @@
     "calm": Pattern(lambda now: 40.0),
     "burst": Pattern(lambda now: 300.0 if now % 4_000 < 800 else 40.0, places=14),
     "slow": Pattern(lambda now: 60.0, lambda now: 400.0 if 5_000 < now < 10_000 else RUN_MS),
-    "falls": Pattern(lambda now: 200.0 if now % 3_000 < 500 else 50.0, falls_at=18.0),
-    "heavy": Pattern(lambda now: 90.0 if now % 3_000 < 1_000 else 40.0, falls_at=32.0, heavy=0.2),
+    "falls": Pattern(lambda now: 200.0 if now % 3_000 < 500 else 50.0, crashes_at=18.0),
+    "heavy": Pattern(lambda now: 90.0 if now % 3_000 < 1_000 else 40.0, crashes_at=32.0, heavy=0.2),
 }
 
 
@@ -111,7 +111,7 @@
     refused_by_limit: int = 0
     refused_by_endpoint: int = 0
     lost: int = 0
-    falls: int = 0
+    crashes: int = 0
 
 
 @dataclasses.dataclass
@@ -151,9 +151,9 @@
             limit.refused(len(held), now)
         else:
             held.append(Held(now, weight, left_ms))
-        if sum(one.weight for one in held) >= pattern.falls_at:
-            limit.fell(len(held), now)
-            found.falls += 1
+        if sum(one.weight for one in held) >= pattern.crashes_at:
+            limit.crashed(len(held), now)
+            found.crashes += 1
             found.lost += len(held)
             held.clear()
             up_from = now + RESTART_MS
@@ -183,7 +183,7 @@
             elif sign == 1:
                 limit.refused(rng.uniform(0, 40), now)
             else:
-                limit.fell(rng.uniform(0, 40), now)
+                limit.crashed(rng.uniform(0, 40), now)
             assert SLOTS <= limit.value(now) <= MOST
 
 
@@ -196,11 +196,11 @@
 
 def test_what_made_it_fall_is_not_tried_again_for_long():
     limit = concurrency_limit.AdditiveIncrease(float(SLOTS), MOST)
-    limit.fell(18.0, 0)
+    limit.crashed(18.0, 0)
     recovered = round(concurrency_limit.RECOVERY_MS)
     assert limit.value(recovered) == pytest.approx(14.4)
-    assert limit.value(concurrency_limit.FALL_KEPT_MS - 1) == pytest.approx(14.4)
-    assert limit.value(concurrency_limit.FALL_KEPT_MS) == MOST
+    assert limit.value(concurrency_limit.CRASH_RETENTION_MS - 1) == pytest.approx(14.4)
+    assert limit.value(concurrency_limit.CRASH_RETENTION_MS) == MOST
 
 
 def totals(name: str) -> Result:
@@ -216,11 +216,11 @@
     additive, gradient = totals("additive"), totals("gradient")
     assert additive.good >= 0.995 * gradient.good
     assert additive.refused_by_endpoint < 0.5 * gradient.refused_by_endpoint
-    assert additive.falls <= gradient.falls
+    assert additive.crashes <= gradient.crashes
     assert additive.lost <= gradient.lost
 
 
 def test_an_endpoint_with_a_hidden_limit_falls_seldom_in_place_of_in_each_burst():
     for name in BOTH:
         found = replay(BOTH[name], PATTERNS["falls"])
-        assert found.falls <= 1, name
+        assert found.crashes <= 1, name
--- a/plumarch/routing/crash_guard.py
+++ b/plumarch/routing/crash_guard.py
@@ -25,7 +25,7 @@
 RANK_STEP = 0.05
 """Part of the room that each rank leaves to the more urgent ones."""
 
-LEAST_PART = 0.5
+MIN_PART = 0.5
 """The least urgent ranks still get this part of the room, so that none is starved."""
 
 LOST_TOGETHER_MS = 250
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Fall:
+class Crash:
     """An endpoint fell.
 
     Attributes:
@@ -81,18 +81,18 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ServiceFalls:
+class ServiceCrashes:
     """What falls taught about the endpoints of one service.
 
     Attributes:
       last: the latest fall under more than endpoints bear every day.
       per_slot: requests for each slot that an endpoint may hold, or None.
       weight: what the requests of an endpoint may weigh, or None.
-      learned_ms: when the two before were learned; they are forgotten after FALL_KEPT_MS.
+      learned_ms: when the two before were learned; they are forgotten after CRASH_RETENTION_MS.
       borne: the greatest weight under which an endpoint answered since this process started.
     """
 
-    last: Fall | None = None
+    last: Crash | None = None
     per_slot: float | None = None
     weight: float | None = None
     learned_ms: int = 0
@@ -100,7 +100,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class FallGuard:
+class CrashGuard:
     """Falls of endpoints, by service, and the losses by which they are noticed.
 
     Attributes:
@@ -108,7 +108,7 @@
     """
 
     clock: clock.Clock
-    services: dict[str, ServiceFalls] = dataclasses.field(default_factory=dict)
+    services: dict[str, ServiceCrashes] = dataclasses.field(default_factory=dict)
     losses: dict[str, Losses] = dataclasses.field(default_factory=dict)
 
     def lost(self, endpoint: str, held: int, weight: float) -> Losses | None:
@@ -146,61 +146,61 @@
 
     def bore(self, service: str, weight: float) -> None:
         """Take in that an endpoint answered well while its requests weighed so much."""
-        falls = self.services.setdefault(service, ServiceFalls())
-        falls.borne = max(weight, falls.borne)
+        crashes = self.services.setdefault(service, ServiceCrashes())
+        crashes.borne = max(weight, crashes.borne)
 
-    def fell(self, service: str, fall: Fall) -> None:
+    def crashed(self, service: str, crash: Crash) -> None:
         """Take in a fall.
 
         One under no more than endpoints bear every day is a loss like any other, and its load may
         go to the others at once.
         """
-        falls = self.services.setdefault(service, ServiceFalls())
-        by_weight = fall.weight > falls.borne > 0
-        if not fall.by_count() and not by_weight:
+        crashes = self.services.setdefault(service, ServiceCrashes())
+        by_weight = crash.weight > crashes.borne > 0
+        if not crash.by_count() and not by_weight:
             return
-        falls.learned_ms = fall.at_ms
-        if fall.by_count():
-            falls.per_slot = concurrency_limit.DECREASE * fall.held / max(1, fall.slots)
+        crashes.learned_ms = crash.at_ms
+        if crash.by_count():
+            crashes.per_slot = concurrency_limit.DECREASE * crash.held / max(1, crash.slots)
         if by_weight:
-            falls.weight = max(falls.borne, concurrency_limit.DECREASE * fall.weight)
-        falls.last = fall
+            crashes.weight = max(crashes.borne, concurrency_limit.DECREASE * crash.weight)
+        crashes.last = crash
 
     def per_slot(self, service: str) -> float | None:
         """Return how many requests for each slot an endpoint may hold by falls, or None.
 
         It is 1 at least: a fall says nothing against an endpoint's slots.
         """
-        falls = self._learned(service)
-        if falls is None or falls.per_slot is None:
+        crashes = self._learned(service)
+        if crashes is None or crashes.per_slot is None:
             return None
-        return max(1.0, falls.per_slot)
+        return max(1.0, crashes.per_slot)
 
     def weight(self, service: str) -> float | None:
         """Return what an endpoint's requests may weigh by what falls taught, or None.
 
         It is no less than what another one bore since.
         """
-        falls = self._learned(service)
-        if falls is None or falls.weight is None:
+        crashes = self._learned(service)
+        if crashes is None or crashes.weight is None:
             return None
-        return max(falls.weight, falls.borne)
+        return max(crashes.weight, crashes.borne)
 
-    def _learned(self, service: str) -> ServiceFalls | None:
-        falls = self.services.get(service)
-        if falls is None:
+    def _learned(self, service: str) -> ServiceCrashes | None:
+        crashes = self.services.get(service)
+        if crashes is None:
             return None
-        if self.clock.now() - falls.learned_ms < concurrency_limit.FALL_KEPT_MS:
-            return falls
-        falls.per_slot = falls.weight = None
+        if self.clock.now() - crashes.learned_ms < concurrency_limit.CRASH_RETENTION_MS:
+            return crashes
+        crashes.per_slot = crashes.weight = None
         return None
 
-    def recent(self, service: str) -> Fall | None:
+    def recent(self, service: str) -> Crash | None:
         """Return the last fall of a service while its load is still let in by parts."""
-        falls = self.services.get(service)
-        if falls is None or falls.last is None:
+        crashes = self.services.get(service)
+        if crashes is None or crashes.last is None:
             return None
-        return falls.last if self.clock.now() - falls.last.at_ms < GROWS_MS else None
+        return crashes.last if self.clock.now() - crashes.last.at_ms < GROWS_MS else None
 
     def wait_ms(self, service: str, running: int, slots: int, rank: int) -> float:
         """Return in how many ms a service takes on a request of a rank; 0 is now.
@@ -210,18 +210,18 @@
           slots: requests that they work on at once; below that nothing waits.
           rank: 0 is the most urgent.
         """
-        fall = self.recent(service)
-        if fall is None or running < slots:
+        crash = self.recent(service)
+        if crash is None or running < slots:
             return 0.0
-        age_ms = self.clock.now() - fall.at_ms
-        part = max(LEAST_PART, 1.0 - RANK_STEP * rank)
-        wanted_share = (running + 1 - fall.elsewhere) / (part * max(1, fall.held))
+        age_ms = self.clock.now() - crash.at_ms
+        part = max(MIN_PART, 1.0 - RANK_STEP * rank)
+        wanted_share = (running + 1 - crash.elsewhere) / (part * max(1, crash.held))
         if wanted_share <= FIRST_SHARE:
             return 0.0
         grown_ms = (wanted_share - FIRST_SHARE) / (1.0 - FIRST_SHARE) * GROWS_MS
         return max(0.0, min(float(GROWS_MS), grown_ms) - age_ms)
 
-    def keep_only(self, endpoints: set[str]) -> None:
+    def retain(self, endpoints: set[str]) -> None:
         """Forget losses of endpoints that no longer exist."""
         for name in [name for name in self.losses if name not in endpoints]:
             del self.losses[name]
--- a/plumarch/routing/data_centre_reach.py
+++ b/plumarch/routing/data_centre_reach.py
@@ -21,7 +21,7 @@
 PAUSE_CONNECTS = 3
 """Connections' time limits that the first pause stands for; so it grows with the distance."""
 
-LONGEST_PAUSE_MS = 2_800
+MAX_PAUSE_MS = 2_800
 """The pause doubles up to this; cuts end after some seconds, and a data centre that is back is
 then used again within as long."""
 
@@ -77,7 +77,7 @@
         reach.trying = False
         if len(reach.failed) < FAILURES_IN_ROW and not reach.pauses:
             return False
-        pause_ms = min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2**reach.pauses)
+        pause_ms = min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2**reach.pauses)
         reach.out_until_ms = now + pause_ms + reach.beyond_ms
         reach.pauses += 1
         return True
--- a/plumarch/routing/data_centre_reach_test.py
+++ b/plumarch/routing/data_centre_reach_test.py
@@ -63,7 +63,7 @@
         time.advance_to(time.now() + 250)
         assert reach.failed("b", "b1")
     left = reach.known["b"].out_until_ms - time.now()
-    assert left == data_centre_reach.LONGEST_PAUSE_MS
+    assert left == data_centre_reach.MAX_PAUSE_MS
 
 
 def test_a_farther_data_centre_is_left_out_for_longer():
--- a/plumarch/routing/distance.py
+++ b/plumarch/routing/distance.py
@@ -41,7 +41,7 @@
 """Connections to a data centre that its round trip is judged by: few enough that another way
 there shows after a dozen sends, enough that a busy minute doesn't look like distance."""
 
-LEAST_CONNECTS = 3
+MIN_CONNECTS = 3
 """Connections before which the prior stands: a first one may have waited for a busy process."""
 
 LOW_RANK = 1
@@ -67,7 +67,7 @@
     def connected(self, connect_ms: float) -> None:
         """Take in a connection that came up."""
         self.connects_ms.append(connect_ms)
-        if len(self.connects_ms) >= LEAST_CONNECTS:
+        if len(self.connects_ms) >= MIN_CONNECTS:
             self.round_trip_ms = sorted(self.connects_ms)[LOW_RANK]
 
 
@@ -137,6 +137,6 @@
         """
         return 0.0 if self.is_in_region(data_centre) else self.round_trip_ms(data_centre)
 
-    def way_ms(self, data_centre: str) -> float:
+    def network_ms(self, data_centre: str) -> float:
         """Return what a request on a fresh connection spends on the way to another region."""
         return FRESH_CONNECTION_ROUND_TRIPS * self.beyond_region_ms(data_centre)
--- a/plumarch/routing/distance_test.py
+++ b/plumarch/routing/distance_test.py
@@ -44,7 +44,7 @@
     prior = distance.PRIOR_ROUND_TRIP_MS
     assert found.round_trip_ms("c") == prior[distance.Locality.OTHER_REGION]
     assert found.round_trip_ms("b") == prior[distance.Locality.SAME_REGION]
-    for _ in range(distance.LEAST_CONNECTS - 1):
+    for _ in range(distance.MIN_CONNECTS - 1):
         found.connected("c", 20.0)
     assert found.round_trip_ms("c") == prior[distance.Locality.OTHER_REGION]
     found.connected("c", 20.0)
@@ -81,5 +81,5 @@
     for _ in range(10):
         found.connected("b", 30.0)
         found.connected("c", 50.0)
-    assert (found.beyond_region_ms("b"), found.way_ms("b")) == (0.0, 0.0)
-    assert (found.beyond_region_ms("c"), found.way_ms("c")) == (50.0, 100.0)
+    assert (found.beyond_region_ms("b"), found.network_ms("b")) == (0.0, 0.0)
+    assert (found.beyond_region_ms("c"), found.network_ms("c")) == (50.0, 100.0)
--- a/plumarch/routing/endpoint_backoff.py
+++ b/plumarch/routing/endpoint_backoff.py
@@ -13,14 +13,14 @@
 
 from plumarch.core import clock, traffic
 
-LONGEST_MS = 600_000
+MAX_MS = 600_000
 """The longest backoff that is kept. Endpoints ask for seconds; one that names a day by a fault of
 its own is tried again after this, one request for each refusal."""
 
 
 def bounded_ms(asked_ms: float) -> int:
     """Return for how long a Retry-After is kept to."""
-    return math.ceil(min(asked_ms, LONGEST_MS))
+    return math.ceil(min(asked_ms, MAX_MS))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/plumarch/routing/endpoint_backoff_test.py
+++ b/plumarch/routing/endpoint_backoff_test.py
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("asked_ms", [86_400_000.0, 3.2e10, 1e300])
 def test_nobody_rests_for_a_day(asked_ms: float):
     backoff, _ = new()
-    assert backoff.note_retry_after(ONE, ALIVE_MS, asked_ms) == endpoint_backoff.LONGEST_MS
+    assert backoff.note_retry_after(ONE, ALIVE_MS, asked_ms) == endpoint_backoff.MAX_MS
 
 
 @pytest.mark.parametrize(("born_ms", "rests_on"), [(ALIVE_MS - 1, True), (ALIVE_MS + 1, False)])
--- a/plumarch/routing/endpoint_choice.py
+++ b/plumarch/routing/endpoint_choice.py
@@ -55,9 +55,9 @@
       cost: load of a plain endpoint, or ms until the first token as far as engines differ.
       unread_tokens: prompt tokens that it is expected to have to read.
       waiting_tokens: prompt tokens of others that it has to read before.
-      place_wait_ms: how long the request waits for a place there.
+      capacity_wait_ms: how long the request waits for a place there.
       considered: how many endpoints there were.
-      way_ms: what it spends on the way, if the endpoint is of another region.
+      network_ms: what it spends on the way, if the endpoint is of another region.
       expected_ms: when its answer or first token is expected, with the way.
       free_places: slots there that nothing is known to take.
       leaves: why it leaves the region, or None if it stays.
@@ -68,8 +68,8 @@
     unread_tokens: float
     considered: int
     waiting_tokens: float = 0.0
-    place_wait_ms: float = 0.0
-    way_ms: float = 0.0
+    capacity_wait_ms: float = 0.0
+    network_ms: float = 0.0
     expected_ms: float = 0.0
     free_places: int = 0
     leaves: locality_choice.Leaves | None = None
@@ -90,7 +90,7 @@
 
     Attributes:
       own: load that this node put on endpoints, by identifier.
-      told: load that others report, by who reports it and endpoint identifier.
+      reported_loads: load that others report, by who reports it and endpoint identifier.
       others: the sum of what is told, by endpoint identifier. It is kept up to date with each
         report, so that a choice costs as much in a large fleet as in a small one.
       records: parts of prompts sent to engines, by identifier.
@@ -102,7 +102,7 @@
     clock: clock.Clock
     data_centre: str
     own: dict[str, Load] = dataclasses.field(default_factory=dict)
-    told: dict[str, dict[str, Load]] = dataclasses.field(default_factory=dict)
+    reported_loads: dict[str, dict[str, Load]] = dataclasses.field(default_factory=dict)
     others: dict[str, Load] = dataclasses.field(default_factory=dict)
     records: dict[str, engine_record.EngineRecord] = dataclasses.field(default_factory=dict)
     speeds: dict[str, engine_speed.EngineSpeed] = dataclasses.field(default_factory=dict)
@@ -116,16 +116,16 @@
             known = self.speeds[service] = engine_speed.EngineSpeed()
         return known
 
-    def tell(self, source: str, loads: dict[str, Load]) -> None:
+    def report_loads(self, source: str, loads: dict[str, Load]) -> None:
         """Take in all that a source reports; replaces what it reported before."""
         self.forget(source)
-        self.told[source] = loads
+        self.reported_loads[source] = loads
         for endpoint, load in loads.items():
             self._add(endpoint, load.running, load.prompt_tokens)
 
-    def tell_one(self, source: str, endpoint: str, load: Load) -> None:
+    def report_load(self, source: str, endpoint: str, load: Load) -> None:
         """Take in what a source reports of one endpoint."""
-        loads = self.told.setdefault(source, {})
+        loads = self.reported_loads.setdefault(source, {})
         before = loads.get(endpoint, NO_LOAD)
         loads[endpoint] = load
         self._add(
@@ -136,7 +136,7 @@
 
     def forget(self, source: str) -> None:
         """Drop what a source reported."""
-        for endpoint, load in self.told.pop(source, {}).items():
+        for endpoint, load in self.reported_loads.pop(source, {}).items():
             self._add(endpoint, -load.running, -load.prompt_tokens)
 
     def _add(self, endpoint: str, running: int, prompt_tokens: float) -> None:
@@ -199,16 +199,16 @@
         running = self.running(endpoint.id)
         slots = max(1, endpoint.slots)
         work_ms = self.work.expected_ms(endpoint.service)
-        place_wait_ms = max(0, running + 1 - slots) * work_ms / slots
-        way_ms = self._way_ms(endpoint.data_centre)
+        capacity_wait_ms = max(0, running + 1 - slots) * work_ms / slots
+        network_ms = self._way_ms(endpoint.data_centre)
         return Choice(
             endpoint,
             running / slots,
             0.0,
             considered,
-            place_wait_ms=place_wait_ms,
-            way_ms=way_ms,
-            expected_ms=way_ms + place_wait_ms + work_ms,
+            capacity_wait_ms=capacity_wait_ms,
+            network_ms=network_ms,
+            expected_ms=network_ms + capacity_wait_ms + work_ms,
             free_places=max(0, slots - running),
         )
 
@@ -248,8 +248,8 @@
                 prompt, owners=engine_record.owners(region, owned, len(HELD_BY_OWNERS))
             )
             for weighed in self._weigh(region, there):
-                way_ms = ways[weighed[0].data_centre]
-                options.append(self._engine_choice(weighed, len(candidates), way_ms))
+                network_ms = ways[weighed[0].data_centre]
+                options.append(self._engine_choice(weighed, len(candidates), network_ms))
         return _taken(*locality_choice.choose(best, options, terms, seed))
 
     def _weigh(
@@ -265,23 +265,23 @@
             unread = tokens
             if name in owning or name in records:
                 unread -= engine_record.held(name, records.get(name), prompt, HELD_BY_OWNERS)
-            place_wait_ms = speed.place_wait_ms(load.running, endpoint.slots)
-            cost = speed.reading_ms(unread + load.prompt_tokens) + place_wait_ms
+            capacity_wait_ms = speed.capacity_wait_ms(load.running, endpoint.slots)
+            cost = speed.reading_ms(unread + load.prompt_tokens) + capacity_wait_ms
             cost += RUNNING_MS * load.running + self._other_centre(endpoint) * OTHER_CENTRE_MS
-            yield endpoint, cost, unread, load, place_wait_ms
+            yield endpoint, cost, unread, load, capacity_wait_ms
 
-    def _engine_choice(self, weighed: Weighed, considered: int, way_ms: float) -> Choice:
+    def _engine_choice(self, weighed: Weighed, considered: int, network_ms: float) -> Choice:
         """Return an engine as a choice, with when its first token is expected."""
-        endpoint, cost, unread, load, place_wait_ms = weighed
-        cost += way_ms
+        endpoint, cost, unread, load, capacity_wait_ms = weighed
+        cost += network_ms
         return Choice(
             endpoint,
             cost,
             unread,
             considered,
             load.prompt_tokens,
-            place_wait_ms,
-            way_ms,
+            capacity_wait_ms,
+            network_ms,
             self.speed(endpoint.service).base_ms.value + cost,
             max(0, endpoint.slots - load.running),
         )
@@ -291,7 +291,7 @@
         return 0 if endpoint.data_centre == self.data_centre else 1
 
     def _way_ms(self, data_centre: str) -> float:
-        return self.distances.way_ms(data_centre) if self.distances else 0.0
+        return self.distances.network_ms(data_centre) if self.distances else 0.0
 
     def _shuffled(
         self, candidates: Sequence[traffic.Endpoint], seed: int
@@ -326,7 +326,7 @@
         Args:
           took_ms: since it was sent, without the way to another region.
         """
-        self.work.answered(choice.endpoint.service, took_ms, choice.place_wait_ms)
+        self.work.answered(choice.endpoint.service, took_ms, choice.capacity_wait_ms)
 
     def end(self, choice: Choice, saw_first_token: bool) -> None:
         """Count a request as over."""
@@ -339,7 +339,7 @@
         if load.running <= 0:
             del self.own[choice.endpoint.id]
 
-    def keep_only(self, endpoints: set[str]) -> None:
+    def retain(self, endpoints: set[str]) -> None:
         """Forget what engines held that no longer exist."""
         for name in [name for name in self.records if name not in endpoints]:
             del self.records[name]
--- a/plumarch/routing/endpoint_choice_test.py
+++ b/plumarch/routing/endpoint_choice_test.py
@@ -93,14 +93,14 @@
     many = endpoints(40)
     first, second = owners_of(PARTS, many)[:2]
     found = chooser()
-    found.tell("other", {first: endpoint_choice.Load(3, 20_000.0)})
+    found.report_loads("other", {first: endpoint_choice.Load(3, 20_000.0)})
     assert found.choose_engine(many, (*PARTS, OWN), 5_500, 0).endpoint.id == second
 
 
 def test_a_busy_owner_is_left_to_finish():
     found = chooser()
     usual = found.choose_engine(endpoints(5), PARTS, 5_500, 0)
-    found.tell("other", {usual.endpoint.id: endpoint_choice.Load(3, 20_000.0)})
+    found.report_loads("other", {usual.endpoint.id: endpoint_choice.Load(3, 20_000.0)})
     assert found.choose_engine(endpoints(5), PARTS, 5_500, 0).endpoint.id != usual.endpoint.id
 
 
@@ -123,14 +123,16 @@
 
 def test_the_sum_of_what_is_told_follows_each_report():
     found = chooser()
-    found.tell("x", {"e0": endpoint_choice.Load(2, 100.0), "e1": endpoint_choice.Load(1, 50.0)})
-    found.tell("y", {"e0": endpoint_choice.Load(3, 10.0)})
+    found.report_loads(
+        "x", {"e0": endpoint_choice.Load(2, 100.0), "e1": endpoint_choice.Load(1, 50.0)}
+    )
+    found.report_loads("y", {"e0": endpoint_choice.Load(3, 10.0)})
     assert found.load("e0") == endpoint_choice.Load(5, 110.0)
-    found.tell("x", {"e1": endpoint_choice.Load(4, 0.0)})
+    found.report_loads("x", {"e1": endpoint_choice.Load(4, 0.0)})
     assert found.load("e0") == endpoint_choice.Load(3, 10.0)
     assert found.running("e1") == 4
-    found.tell_one("y", "e1", endpoint_choice.Load(1, 70.0))
-    found.tell_one("y", "e1", endpoint_choice.Load(1, 60.0))
+    found.report_load("y", "e1", endpoint_choice.Load(1, 70.0))
+    found.report_load("y", "e1", endpoint_choice.Load(1, 60.0))
     assert found.load("e1") == endpoint_choice.Load(5, 60.0)
     found.forget("x")
     found.forget("y")
--- a/plumarch/routing/endpoint_health.py
+++ b/plumarch/routing/endpoint_health.py
@@ -24,7 +24,7 @@
 
 WORST_RATE = 0.5
 FIRST_EJECTION_MS = 2_000
-LONGEST_EJECTION_MS = 15_000
+MAX_EJECTION_MS = 15_000
 
 RECORD_DECAY = 0.95
 """Weight of the past in the record, at each answer; some twenty answers tell an endpoint that
@@ -123,7 +123,7 @@
         now = self.clock.now()
         if now < health.out_until_ms:
             return False
-        time_out = min(LONGEST_EJECTION_MS, FIRST_EJECTION_MS * 2**health.ejections)
+        time_out = min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2**health.ejections)
         health.ejections = min(health.ejections + 1, 8)
         health.out_until_ms = now + time_out
         health.in_row = 0
@@ -187,13 +187,13 @@
         health = self.known.get(endpoint)
         return health is not None and now < health.out_until_ms
 
-    def keep_only(self, endpoints: set[str]) -> None:
+    def retain(self, endpoints: set[str]) -> None:
         """Forget endpoints that no longer exist."""
         for name in [name for name in self.known if name not in endpoints]:
             del self.known[name]
         for name in [name for name in self.absences if name not in endpoints]:
             del self.absences[name]
-        self.paces.keep_only(endpoints)
+        self.paces.retain(endpoints)
 
 
 def _faded(health: Health, now: int) -> float:
--- a/plumarch/routing/endpoint_limits.py
+++ b/plumarch/routing/endpoint_limits.py
@@ -88,17 +88,17 @@
 
     Attributes:
       per_slot: requests for each slot, in calm times.
-      per_slot_by_falls: the same, by what falls taught.
+      per_slot_by_crashes: the same, by what falls taught.
       connections: requests, each of which has a connection.
       weight: what its requests may weigh together, in tokens.
-      weight_by_falls: the same, by what falls taught.
+      weight_by_crashes: the same, by what falls taught.
     """
 
     per_slot: float
-    per_slot_by_falls: float
+    per_slot_by_crashes: float
     connections: float
     weight: float
-    weight_by_falls: float
+    weight_by_crashes: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -114,7 +114,7 @@
     """What endpoints bear.
 
     Attributes:
-      falls: what falls taught about each service.
+      crashes: what falls taught about each service.
       build: makes the learned limit of an endpoint, of its slots and its limit in calm times.
       services: services by name, as configured.
       learned: limits of endpoints that refused, fell or answered, by identifier.
@@ -124,7 +124,7 @@
     """
 
     clock: clock.Clock
-    falls: crash_guard.FallGuard = dataclasses.field(init=False)
+    crashes: crash_guard.CrashGuard = dataclasses.field(init=False)
     build: Callable[[float, float], concurrency_limit.ConcurrencyLimit] = (
         concurrency_limit.AdditiveIncrease
     )
@@ -135,7 +135,7 @@
     told: dict[str, ToldLimit] = dataclasses.field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.falls = crash_guard.FallGuard(self.clock)
+        self.crashes = crash_guard.CrashGuard(self.clock)
 
     def with_room(
         self,
@@ -160,7 +160,7 @@
                 continue
             # Prompts share parts, so that the cache holds more of them than their weights tell:
             # what a free place may hold is judged by falls only.
-            most = bounds.weight_by_falls if has_place else bounds.weight
+            most = bounds.weight_by_crashes if has_place else bounds.weight
             if most < math.inf and now_running > 0:
                 weight = self.weight_at(endpoint, now_running) + demand.weight
                 if weight > most:
@@ -174,19 +174,19 @@
         weight = math.inf
         if service is not None and service.engine is not None and service.engine.cache_tokens:
             weight = CACHE_FACTOR * service.engine.cache_tokens
-        by_falls = self.falls.weight(name)
-        per_slot = self.falls.per_slot(name)
+        by_falls = self.crashes.weight(name)
+        per_slot = self.crashes.per_slot(name)
         return Bounds(
             per_slot=ENGINE_QUEUE_FACTOR if is_engine else QUEUE_FACTOR,
-            per_slot_by_falls=math.inf if per_slot is None else per_slot,
+            per_slot_by_crashes=math.inf if per_slot is None else per_slot,
             connections=float(service.connection_limit or math.inf) if service else math.inf,
             weight=weight if by_falls is None else min(weight, by_falls),
-            weight_by_falls=math.inf if by_falls is None else by_falls,
+            weight_by_crashes=math.inf if by_falls is None else by_falls,
         )
 
     def requests(self, endpoint: traffic.Endpoint, bounds: Bounds) -> float:
         """Return how many requests an endpoint is given at once."""
-        most = min(bounds.per_slot, bounds.per_slot_by_falls) * max(1, endpoint.slots)
+        most = min(bounds.per_slot, bounds.per_slot_by_crashes) * max(1, endpoint.slots)
         learned = self.learned.get(endpoint.id)
         if learned is not None:
             most = min(most, learned.value(self.clock.now()))
@@ -222,8 +222,8 @@
 
     def bore(self, endpoint: traffic.Endpoint, running: int) -> None:
         """Take in that an endpoint answers while it holds so many requests."""
-        self.falls.lives(endpoint.id)
-        self.falls.bore(endpoint.service, self.weight_at(endpoint, running))
+        self.crashes.lives(endpoint.id)
+        self.crashes.bore(endpoint.service, self.weight_at(endpoint, running))
 
     def answered(
         self, endpoint: traffic.Endpoint, running: int, took: float, is_engine: bool
@@ -280,7 +280,7 @@
 
     def lost(
         self, endpoint: traffic.Endpoint, running: int, elsewhere: int
-    ) -> crash_guard.Fall | None:
+    ) -> crash_guard.Crash | None:
         """Take in that a connection ended while its request ran.
 
         Args:
@@ -289,27 +289,27 @@
         Returns:
           The fall, if that shows that the endpoint fell.
         """
-        losses = self.falls.lost(endpoint.id, running, self.weight_at(endpoint, running))
+        losses = self.crashes.lost(endpoint.id, running, self.weight_at(endpoint, running))
         return self._fell(endpoint, losses, elsewhere)
 
-    def unreached(self, endpoint: traffic.Endpoint, elsewhere: int) -> crash_guard.Fall | None:
+    def unreached(self, endpoint: traffic.Endpoint, elsewhere: int) -> crash_guard.Crash | None:
         """Take in that an endpoint can't be connected to; like `lost`."""
-        return self._fell(endpoint, self.falls.unreached(endpoint.id), elsewhere)
+        return self._fell(endpoint, self.crashes.unreached(endpoint.id), elsewhere)
 
     def _fell(
         self, endpoint: traffic.Endpoint, losses: crash_guard.Losses | None, elsewhere: int
-    ) -> crash_guard.Fall | None:
+    ) -> crash_guard.Crash | None:
         if losses is None or endpoint.state is traffic.EndpointState.DRAINING:
             return None
         now = self.clock.now()
-        fall = crash_guard.Fall(
+        crash = crash_guard.Crash(
             endpoint.id, now, losses.held, losses.weight, endpoint.slots, elsewhere
         )
         learned = self.learned.get(endpoint.id)
-        if learned is not None and fall.by_count():
-            learned.fell(fall.held, now)
-        self.falls.fell(endpoint.service, fall)
-        return fall
+        if learned is not None and crash.by_count():
+            learned.crashed(crash.held, now)
+        self.crashes.crashed(endpoint.service, crash)
+        return crash
 
     def _learned_limit(
         self, endpoint: traffic.Endpoint, is_engine: bool
@@ -321,12 +321,12 @@
             found = self.learned[endpoint.id] = self.build(least, most)
         return found
 
-    def keep_only(self, endpoints: set[str]) -> None:
+    def retain(self, endpoints: set[str]) -> None:
         """Forget endpoints that no longer exist."""
         for name in [name for name in self.learned if name not in endpoints]:
             del self.learned[name]
             self.told.pop(name, None)
-        self.falls.keep_only(endpoints)
+        self.crashes.retain(endpoints)
 
 
 def most_requests(endpoint: traffic.Endpoint, is_engine: bool) -> float:
--- a/plumarch/routing/endpoint_limits_test.py
+++ b/plumarch/routing/endpoint_limits_test.py
@@ -112,8 +112,8 @@
 def test_a_fall_is_told_once_and_its_load_is_kept_from_siblings():
     found = limits()
     assert found.lost(endpoint(), 15, 30) is None
-    fall = found.lost(endpoint(), 14, 30)
-    assert fall == crash_guard.Fall("e0", 0, 15, 0.0, SLOTS, 30)
+    crash = found.lost(endpoint(), 14, 30)
+    assert crash == crash_guard.Crash("e0", 0, 15, 0.0, SLOTS, 30)
     assert found.lost(endpoint(), 13, 30) is None
     assert has_room(found, 11, name="e1")
     assert not has_room(found, 12, name="e1")
@@ -153,5 +153,5 @@
     found.refused(endpoint(), 15, False)
     found.changed(endpoint())
     found.lost(endpoint(), 15, 30)
-    found.keep_only(set())
-    assert not found.learned and not found.told and not found.falls.losses
+    found.retain(set())
+    assert not found.learned and not found.told and not found.crashes.losses
--- a/plumarch/routing/engine_speed.py
+++ b/plumarch/routing/engine_speed.py
@@ -30,7 +30,7 @@
 """Weight of a new observation in a mean, once there are many; a judgement: some twenty requests
 are what callers get now."""
 
-LEAST_TOKENS = 800.0
+MIN_TOKENS = 800.0
 """Requests with less to read say how long a first token takes besides reading; those with more
 say how long reading takes."""
 
@@ -58,7 +58,7 @@
 enough, if they are KNOWN_AFTER at least: engines of any speed are then known within a third
 (engine_speed_test)."""
 
-REPORT_KEPT_MS = 10_000
+REPORT_RETENTION_MS = 10_000
 """What a node told of engines' speed counts for this long; a judgement: it is told each second."""
 
 KNOWN_AFTER = 20
@@ -216,7 +216,7 @@
           first_ms: how long it took since the request was sent.
           waited: whether others waited at the engine when it was sent.
         """
-        if tokens_to_read < LEAST_TOKENS:
+        if tokens_to_read < MIN_TOKENS:
             self.base_ms.observe(max(1.0, first_ms - self.reading_ms(tokens_to_read)))
             return
         read_ms = max(0.0, first_ms - self.base_ms.value)
@@ -257,7 +257,9 @@
           work: what this node sent.
           counts_in: whether what a source told is part of it.
         """
-        for name in [name for name, one in self.heard.items() if now - one.at_ms > REPORT_KEPT_MS]:
+        for name in [
+            name for name, one in self.heard.items() if now - one.at_ms > REPORT_RETENTION_MS
+        ]:
             del self.heard[name]
         own = SpeedReport(self.idle.value, self.idle.seen, 1, work)
         heard = [one.report for name, one in self.heard.items() if counts_in(name)]
@@ -283,11 +285,11 @@
         """Return how long a number of prompt tokens typically takes to be read."""
         return self.typical.value * tokens
 
-    def place_wait_ms(self, running: int, slots: int) -> float:
+    def capacity_wait_ms(self, running: int, slots: int) -> float:
         """Return how long a request waits at an engine until a place there is free."""
         ahead = running + 1 - slots
         return ahead * self.run_ms.value / max(1, slots) if ahead > 0 else 0.0
 
-    def expect_ms(self, tokens_to_read: float, place_wait_ms: float) -> float:
+    def expect_ms(self, tokens_to_read: float, capacity_wait_ms: float) -> float:
         """Return when a first token is expected, in ms from now, as callers get it now."""
-        return self.base_ms.value + self.mean_ms_per_token() * tokens_to_read + place_wait_ms
+        return self.base_ms.value + self.mean_ms_per_token() * tokens_to_read + capacity_wait_ms
--- a/plumarch/routing/engine_speed_test.py
+++ b/plumarch/routing/engine_speed_test.py
@@ -59,7 +59,7 @@
 
 def test_short_prompts_say_nothing_about_the_time_a_token_takes():
     speed = engine_speed.EngineSpeed()
-    speed.first_token(engine_speed.LEAST_TOKENS - 1, 10_000)
+    speed.first_token(engine_speed.MIN_TOKENS - 1, 10_000)
     assert speed.typical.value == engine_speed.START_MS_PER_TOKEN
 
 
@@ -77,6 +77,6 @@
     speed = engine_speed.EngineSpeed()
     for _ in range(10):
         speed.ended(1_200)
-    assert speed.place_wait_ms(running=23, slots=24) == 0
-    assert speed.place_wait_ms(running=24, slots=24) == pytest.approx(1_200 / 24)
-    assert speed.place_wait_ms(running=26, slots=24) == pytest.approx(3 * 1_200 / 24)
+    assert speed.capacity_wait_ms(running=23, slots=24) == 0
+    assert speed.capacity_wait_ms(running=24, slots=24) == pytest.approx(1_200 / 24)
+    assert speed.capacity_wait_ms(running=26, slots=24) == pytest.approx(3 * 1_200 / 24)
--- a/plumarch/routing/locality_choice.py
+++ b/plumarch/routing/locality_choice.py
@@ -16,11 +16,11 @@
 from plumarch.core import hashing, traffic
 from plumarch.routing import distance
 
-LEAST_GAIN = 0.2
+MIN_GAIN = 0.2
 """Part of the expected time that must be gained before a request leaves its region: learned times
 are not surer than that, and bytes between regions are dear."""
 
-MOST_SPILLED = 0.5
+MAX_SPILLED = 0.5
 """Part of the requests that leave at most while the region answers in time: what is taken away
 shows in the figures a second later only, and the region's endpoints stay in use until then."""
 
@@ -74,7 +74,7 @@
         ...
 
     @property
-    def way_ms(self) -> float:
+    def network_ms(self) -> float:
         """What of it is spent on the way to another region."""
         ...
 
@@ -126,7 +126,7 @@
         return True
     if best.expected_ms > min(terms.late_ms, terms.time_left_ms):
         return False
-    return best.expected_ms <= terms.enough_ms or _fraction(seed, "leaves") >= MOST_SPILLED
+    return best.expected_ms <= terms.enough_ms or _fraction(seed, "leaves") >= MAX_SPILLED
 
 
 def choose(
@@ -160,7 +160,7 @@
     """
     if option.free_places <= SPARE_PLACES * option.endpoint.slots:
         return False
-    return not terms.enough_ms or option.expected_ms - option.way_ms <= terms.enough_ms
+    return not terms.enough_ms or option.expected_ms - option.network_ms <= terms.enough_ms
 
 
 def spilled_part(near_ms: float, away_ms: float, terms: Terms) -> float:
@@ -171,11 +171,11 @@
       away_ms: when one is expected from the best of other regions.
     """
     gain = 1.0 - away_ms / max(1.0, near_ms)
-    if gain < LEAST_GAIN:
+    if gain < MIN_GAIN:
         return 0.0
     if near_ms > min(terms.late_ms, terms.time_left_ms):
         return 1.0
-    return min(MOST_SPILLED, gain)
+    return min(MAX_SPILLED, gain)
 
 
 def _drawn(options: Sequence[AnyOption], seed: int) -> AnyOption | None:
--- a/plumarch/routing/locality_choice_test.py
+++ b/plumarch/routing/locality_choice_test.py
@@ -53,7 +53,7 @@
 
 def test_a_region_with_places_keeps_its_requests_though_others_are_idle():
     found = chooser()
-    found.tell("x", {"n0": at(3), "n1": at(3)})
+    found.report_loads("x", {"n0": at(3), "n1": at(3)})
     assert {one.endpoint.id for one in chosen_plain(found, AWAY + NEAR)} == {"n0"}
 
 
@@ -66,7 +66,7 @@
     without = endpoint_choice.EndpointChooser(time, "a")
     loads = {one.id: at(number % 5, 300.0 * number) for number, one in enumerate(AWAY + NEAR)}
     for one in (with_region, without):
-        one.tell("x", loads)
+        one.report_loads("x", loads)
     parts = (traffic.PromptPart("p", 3_000), traffic.PromptPart("q", 500))
     for seed in range(50):
         assert with_region.choose_plain(AWAY + NEAR, seed, TERMS) == without.choose_plain(
@@ -79,11 +79,11 @@
 
 def test_a_part_of_what_waits_too_long_leaves_and_is_spread():
     found = chooser()
-    found.tell("x", {"n0": at(24), "n1": at(24)})
+    found.report_loads("x", {"n0": at(24), "n1": at(24)})
     terms = dataclasses.replace(TERMS, enough_ms=100.0)
     choices = chosen_plain(found, AWAY + NEAR, terms)
     left = [one for one in choices if one.leaves is locality_choice.Leaves.NEARER_SLOWER]
-    assert 0.3 < len(left) / len(choices) <= locality_choice.MOST_SPILLED + 0.05
+    assert 0.3 < len(left) / len(choices) <= locality_choice.MAX_SPILLED + 0.05
     counts = collections.Counter(one.endpoint.id for one in left)
     assert len(counts) == len(AWAY)
     assert max(counts.values()) < 0.3 * len(left)
@@ -91,7 +91,7 @@
 
 def test_what_would_be_late_near_leaves_wholly():
     found = chooser()
-    found.tell("x", {"n0": at(44), "n1": at(44)})
+    found.report_loads("x", {"n0": at(44), "n1": at(44)})
     choices = chosen_plain(found, AWAY + NEAR)
     assert all(one.leaves is locality_choice.Leaves.NEARER_SLOWER for one in choices)
 
@@ -99,7 +99,7 @@
 def test_no_load_is_put_on_regions_that_need_their_places():
     found = chooser()
     loads = {one.id: at(3) for one in AWAY}
-    found.tell("x", {"n0": at(24), "n1": at(24)} | loads)
+    found.report_loads("x", {"n0": at(24), "n1": at(24)} | loads)
     terms = dataclasses.replace(TERMS, enough_ms=100.0)
     choices = chosen_plain(found, AWAY + NEAR, terms)
     assert {one.endpoint.data_centre for one in choices} == {"a"}
@@ -107,7 +107,7 @@
 
 def test_without_room_near_the_free_places_elsewhere_are_used_alike():
     found = chooser()
-    found.tell("x", {"s0": at(4), "s1": at(4), "s2": at(4)})
+    found.report_loads("x", {"s0": at(4), "s1": at(4), "s2": at(4)})
     choices = chosen_plain(found, AWAY)
     assert all(one.leaves is locality_choice.Leaves.NO_ROOM_NEAR for one in choices)
     counts = collections.Counter(one.endpoint.id for one in choices)
@@ -134,7 +134,7 @@
 
 def test_a_repeat_stays_in_the_region_while_it_has_room():
     found = chooser()
-    found.tell("x", {"n0": at(24), "n1": at(24)})
+    found.report_loads("x", {"n0": at(24), "n1": at(24)})
     again = dataclasses.replace(TERMS, enough_ms=100.0, repeated=True)
     assert {one.endpoint.id for one in chosen_plain(found, AWAY + NEAR, again)} == {"n0"}
     assert len({one.endpoint.id for one in chosen_plain(found, AWAY, again)}) == len(AWAY)
@@ -142,7 +142,7 @@
 
 def test_a_repeat_leaves_if_the_region_cannot_make_its_deadline():
     found = chooser()
-    found.tell("x", {"n0": at(44), "n1": at(44)})
+    found.report_loads("x", {"n0": at(44), "n1": at(44)})
     again = locality_choice.Terms(time_left_ms=300.0, repeated=True)
     assert all(one.leaves is not None for one in chosen_plain(found, AWAY + NEAR, again))
 
@@ -171,14 +171,14 @@
     loads = {one.id: at(4, 6_000.0) for one in NEAR_ENGINES}
     [[owner]] = engine_record.owners(AWAY_ENGINES, endpoint_choice.part_keys((SHARED,)), 1)
     busy = chooser()
-    busy.tell("x", loads)
+    busy.report_loads("x", loads)
     late = dataclasses.replace(TERMS, late_ms=300.0)
     choice = busy.choose_engine(AWAY_ENGINES + NEAR_ENGINES, *prompt, 3, late)
     assert choice is not None
     assert choice.endpoint.id == owner
-    assert choice.way_ms == 120.0
+    assert choice.network_ms == 120.0
     fast = chooser()
-    fast.tell("x", loads)
+    fast.report_loads("x", loads)
     fast.speed("s").typical.value = 0.006
     choice = fast.choose_engine(AWAY_ENGINES + NEAR_ENGINES, *prompt, 3, late)
     assert choice is not None and choice.leaves is None
--- a/plumarch/routing/relative_latency.py
+++ b/plumarch/routing/relative_latency.py
@@ -191,7 +191,7 @@
         ]
         return quick + open_slow
 
-    def keep_only(self, endpoints: set[str]) -> None:
+    def retain(self, endpoints: set[str]) -> None:
         """Forget endpoints that no longer exist."""
         for name in [name for name in self.known if name not in endpoints]:
             del self.known[name]
--- a/plumarch/routing/return_times.py
+++ b/plumarch/routing/return_times.py
@@ -8,11 +8,11 @@
 import math
 import random
 
-LEAST_MS = 50.0
+MIN_MS = 50.0
 """A caller's way to another node and back takes some ms; sooner it finds the same load. A
 judgement: half a typical plain request's run on the sheets."""
 
-LONGEST_MS = 5_000.0
+MAX_MS = 5_000.0
 """What is expected later than this is not known well enough to name it; a judgement: a booted
 engine and its first queue."""
 
@@ -50,5 +50,5 @@
 
 def spread(wait_ms: float, rng: random.Random) -> float:
     """Return a return time within its bounds, lengthened at random, in whole ms."""
-    bounded = min(LONGEST_MS, max(LEAST_MS, wait_ms))
+    bounded = min(MAX_MS, max(MIN_MS, wait_ms))
     return float(math.ceil(bounded * (1.0 + rng.uniform(0.0, SPREAD))))
--- a/plumarch/routing/return_times_test.py
+++ b/plumarch/routing/return_times_test.py
@@ -20,5 +20,5 @@
     found = [return_times.spread(1_000.0, rng) for _ in range(50)]
     assert all(1_000.0 <= one <= 1_300.0 for one in found)
     assert len(set(found)) > 25
-    assert return_times.spread(-5.0, rng) >= return_times.LEAST_MS
-    assert return_times.spread(1e9, rng) <= return_times.LONGEST_MS * (1 + return_times.SPREAD)
+    assert return_times.spread(-5.0, rng) >= return_times.MIN_MS
+    assert return_times.spread(1e9, rng) <= return_times.MAX_MS * (1 + return_times.SPREAD)
--- a/plumarch/standins/engine_cloud.py
+++ b/plumarch/standins/engine_cloud.py
@@ -17,7 +17,7 @@
     """
 
     id: str
-    place: engine_pools.Place
+    place: engine_pools.Pool
     ready_ms: int
     ends_ms: int | None = None
 
@@ -50,7 +50,7 @@
         """Let firm engines run by data centre, as operators started them."""
         for name, count in firm.items():
             for _ in range(count):
-                self._start(engine_pools.Place(name, False), 0)
+                self._start(engine_pools.Pool(name, False), 0)
 
     def order(self, order: records.EngineOrder) -> bool:
         """Take an order in.
@@ -58,7 +58,7 @@
         Returns:
           Whether it was refused, since there are no reclaimable ones.
         """
-        place = engine_pools.Place(order.data_centre, order.spot)
+        place = engine_pools.Pool(order.data_centre, order.spot)
         kept = [one for one in self.engines if one.place == place and one.ends_ms is None]
         now = self.clock.now()
         for one in sorted(kept, key=lambda one: one.ready_ms)[order.count :]:
@@ -80,7 +80,7 @@
         now = self.clock.now()
         self.none_until_ms[data_centre] = now + self.notice_ms + none_for_ms
         for one in self.engines:
-            if one.place == engine_pools.Place(data_centre, True):
+            if one.place == engine_pools.Pool(data_centre, True):
                 booting = one.ready_ms > now
                 one.ends_ms = now if booting else min(one.ends_ms or now, now) + self.notice_ms
 
@@ -113,7 +113,7 @@
             if one.ready_ms <= now
         ]
 
-    def _start(self, place: engine_pools.Place, boot_ms: int) -> None:
+    def _start(self, place: engine_pools.Pool, boot_ms: int) -> None:
         self.started += 1
         engine = Engine(f"e{self.started}", place, self.clock.now() + boot_ms)
         self.engines.append(engine)
--- a/plumarch/standins/gossip_fleet.py
+++ b/plumarch/standins/gossip_fleet.py
@@ -230,7 +230,7 @@
             return
         if not node.frozen:
             node.tell_round()
-        self.schedule(rounds.NEWS_MS, lambda: self._round(node))
+        self.schedule(rounds.ROUND_INTERVAL_MS, lambda: self._round(node))
 
     def carry(self, sender: Node, datagram: bytes, address: str) -> None:
         """Carry a datagram to where it is sent, unless something is in its way."""
@@ -244,10 +244,10 @@
         self.region_bytes += len(datagram) * between
         if self.cut(sender, found) or self.rng.random() < self.lose:
             return
-        way_ms = REGION_MS if between else FAR_MS if far else NEAR_MS
+        network_ms = REGION_MS if between else FAR_MS if far else NEAR_MS
         for _ in range(1 + (self.rng.random() < self.double)):
             self.schedule(
-                way_ms + self.rng.uniform(0, self.late_ms),
+                network_ms + self.rng.uniform(0, self.late_ms),
                 lambda: self._arrive(found, datagram, sender.address),
             )
 
--- a/plumarch/standins/region_replay.py
+++ b/plumarch/standins/region_replay.py
@@ -235,6 +235,6 @@
                 load = total.setdefault(name, endpoint_choice.Load())
                 load.running += running
                 load.prompt_tokens += tokens
-        node.chooser.tell("fleet", total)
+        node.chooser.report_loads("fleet", total)
 
     return hear
--- a/plumarch/standins/store_replay.py
+++ b/plumarch/standins/store_replay.py
@@ -120,19 +120,19 @@
         while self.node.frozen:
             await asyncio.sleep(STEP_MS / 1000.0)
 
-    def _configuration(self, after: int) -> ports.ConfigurationNews:
+    def _configuration(self, after: int) -> ports.ConfigurationUpdate:
         found = None
         if self.store.configured_at > after:
             limits = traffic.CallerLimits()
             found = routing_table.Configuration(self.store.version, (), (), (), limits)
-        return ports.ConfigurationNews(found, self.store.revision)
+        return ports.ConfigurationUpdate(found, self.store.revision)
 
-    async def list_configuration(self) -> ports.ConfigurationNews:
+    async def list_configuration(self) -> ports.ConfigurationUpdate:
         """Read the configuration."""
         await self._call("list configuration", LIST_LIMIT_MS)
         return self._configuration(-1)
 
-    async def watch_configuration(self, revision: int, wait_ms: int) -> ports.ConfigurationNews:
+    async def watch_configuration(self, revision: int, wait_ms: int) -> ports.ConfigurationUpdate:
         """Wait for a newer configuration."""
         await self._call("watch configuration", wait_ms + WATCH_MARGIN_MS)
         await self._wait(lambda: self.store.configured_at, revision, wait_ms)
@@ -144,7 +144,7 @@
         found = tuple(endpoint for _, endpoint in self.store.endpoints.values())
         return ports.EndpointList(found, self.store.revision)
 
-    async def watch_endpoints(self, revision: int, wait_ms: int) -> ports.EndpointNews:
+    async def watch_endpoints(self, revision: int, wait_ms: int) -> ports.EndpointUpdate:
         """Wait for changes of endpoints."""
         await self._call("watch endpoints", wait_ms + WATCH_MARGIN_MS)
         entries = self.store.endpoints
@@ -155,20 +155,20 @@
             for at, one in entries.values()
             if at > revision
         ]
-        return ports.EndpointNews(tuple(changes), self.store.revision)
+        return ports.EndpointUpdate(tuple(changes), self.store.revision)
 
     async def list_records(self, kind: str, stale: bool = False) -> ports.RecordList:
         """Read all records of a kind."""
         await self._call("list records" + " (stale)" * stale, LIST_LIMIT_MS)
         return ports.RecordList(self._records(kind, 0), self.store.revision)
 
-    async def watch_records(self, kind: str, revision: int, wait_ms: int) -> ports.RecordNews:
+    async def watch_records(self, kind: str, revision: int, wait_ms: int) -> ports.RecordUpdate:
         """Wait for changes of records of a kind."""
         await self._call("watch records", wait_ms + WATCH_MARGIN_MS)
         await self._wait(lambda: self._records_changed(kind), revision, wait_ms)
         removed = self.store.removed.items()
         gone = [name for (of, name), at in removed if of == kind and at > revision]
-        return ports.RecordNews(self._records(kind, revision), tuple(gone), self.store.revision)
+        return ports.RecordUpdate(self._records(kind, revision), tuple(gone), self.store.revision)
 
     def _records_changed(self, kind: str) -> int:
         written = [one.revision for one in self._records(kind, 0)]
--- a/tests/bounds_test.py
+++ b/tests/bounds_test.py
@@ -77,8 +77,8 @@
     for number in range(3):
         record = data.KeyRecord("w", str(number), "r", "a1#1", 1, data.KeyState.DONE)
         table.put(record, number)
-    assert table.expire(keys.KEEP_MS) == 0
-    assert table.expire(keys.KEEP_MS + 2) == 2
+    assert table.expire(keys.RETENTION_MS) == 0
+    assert table.expire(keys.RETENTION_MS + 2) == 2
     assert [record.key for record in table.listing()] == ["2"]
 
 
--- a/tests/ledger_test.py
+++ b/tests/ledger_test.py
@@ -122,7 +122,7 @@
         world.kill(name)
     world.run(20_000)
     early = world.call(other(scene), handover_test.ticket(scene, other(scene)))
-    world.run(keys.KEEP_MS)
+    world.run(keys.RETENTION_MS)
     late = call(world, other(scene), scene.key)
     world.run(3_000)
     assert ends(early) == ["unknown"]
