--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -17,7 +17,7 @@
         found = [
             e
             for e in serving
-            if e.name not in self.leaving and self.seen[e.name].in_flight < e.capacity
+            if e.name not in self.leaving and self.stats[e.name].in_flight < e.capacity
         ]
         return [e for e in found if e.name not in tried] or found
 
@@ -34,7 +34,7 @@
 
     def least_loaded(self, found: list[data.Endpoint]) -> data.Endpoint:
         """Return the endpoint with the fewest of this node's own requests."""
-        return min(found, key=lambda e: (self.seen[e.name].in_flight, e.name))
+        return min(found, key=lambda e: (self.stats[e.name].in_flight, e.name))
 
 
 class RoundRobin(Simple):
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -106,7 +106,8 @@
             lambda n: members.Member(f"node-{n}#1", "a", data.NodeState.LIVE, n), 2_000
         ),
         "endpoint": bytes_each(
-            lambda n: (endpoint(n), places.seen.setdefault(str(n), placement.Seen())), 2_000
+            lambda n: (endpoint(n), places.stats.setdefault(str(n), placement.EndpointStats())),
+            2_000,
         ),
         "workspace": bytes_each(workspace_state, 500),
     }
--- a/plumarch/gateway/dispatch/attempts.py
+++ b/plumarch/gateway/dispatch/attempts.py
@@ -184,12 +184,12 @@
     state: fleet_state.FleetState, admitted: admission.Admitted, ready: list[traffic.Endpoint]
 ) -> list[traffic.Endpoint]:
     """Return the endpoints that can be reached, answer well, and have room."""
-    reachable = [one for one in ready if not state.reach.is_out(one.data_centre)]
+    reachable = [one for one in ready if not state.reach.is_excluded(one.data_centre)]
     usable = state.health.usable(reachable or ready)
     if endpoint_outcomes.wait_after_fall_ms(state, admitted, usable):
         return []
     demand = endpoint_outcomes.demand_of(admitted)
-    return state.limits.with_room(admitted.service, usable, state.chooser.running, demand)
+    return state.limits.with_capacity(admitted.service, usable, state.chooser.running, demand)
 
 
 def when_room(state: fleet_state.FleetState, admitted: admission.Admitted) -> float:
@@ -216,7 +216,7 @@
         running = state.chooser.total_running(ready)
         slots = sum(max(1, one.slots) for one in ready)
         run_ms = state.chooser.speed(admitted.service).run_ms.value
-        free_ms = return_times.when_a_place_is_free(running, slots, run_ms)
+        free_ms = return_times.when_slot_is_free(running, slots, run_ms)
         return max(free_ms, endpoint_outcomes.wait_after_fall_ms(state, admitted, ready))
     service = state.table.services.get(admitted.service) if state.table else None
     if service is not None and service.scaling is not None:
@@ -265,7 +265,7 @@
     if has_permit:
         state.measures.permits.add(admitted.service, "used")
         announced_rates.ask(state, endpoint, is_needed=False)
-    state.reach.try_again(endpoint.data_centre)
+    state.reach.begin_probe(endpoint.data_centre)
     _log_choice(state, admitted, progress, choice)
     time_left = admitted.ends_ms - state.clock.now()
     began_ms = state.clock.now()
@@ -286,7 +286,7 @@
     if not state.suspensions.since(began_ms):
         connect_ms = state.clock.now() - began_ms
         state.distances.connected(endpoint.data_centre, connect_ms)
-        state.health.paces.connected(endpoint.id, connect_ms)
+        state.health.latencies.connected(endpoint.id, connect_ms)
     try:
         check_time(state, admitted)
         _check_still_wanted(state, endpoint, has_permit)
@@ -383,7 +383,7 @@
         state.log.write(
             "data_centre_out",
             data_centre=endpoint.data_centre,
-            for_ms=reach.out_until_ms - state.clock.now(),
+            for_ms=reach.excluded_until_ms - state.clock.now(),
             failed=sorted(reach.failed),
         )
 
@@ -445,9 +445,9 @@
 
 def _why_it_leaves(progress: Progress, choice: endpoint_choice.Choice) -> str:
     """Return why a request leaves its region, or "" if it stays."""
-    if choice.leaves is None:
+    if choice.leave_reason is None:
         return ""
-    return "repeat" if progress.tried - {choice.endpoint.id} else choice.leaves.value
+    return "repeat" if progress.tried - {choice.endpoint.id} else choice.leave_reason.value
 
 
 async def read_head(
--- a/plumarch/gateway/dispatch/endpoint_outcomes.py
+++ b/plumarch/gateway/dispatch/endpoint_outcomes.py
@@ -45,7 +45,7 @@
 
     Attributes:
       demand: what it asks of the endpoint.
-      number: of `EndpointPaces.sent`, or None if it is not known how long an answer should take.
+      number: of `Latencies.sent`, or None if it is not known how long an answer should take.
     """
 
     endpoint: traffic.Endpoint
@@ -83,11 +83,11 @@
     Those of other regions are idle mostly, and look quick by that. Whether a region as a whole is
     too slow is weighed by the choice.
     """
-    paces, running = state.health.paces, state.chooser.running
-    near, away = locality_choice.near_and_away(endpoints, state.distances)
+    latencies, running = state.health.latencies, state.chooser.running
+    near, away = locality_choice.local_and_remote(endpoints, state.distances)
     if len(near) < MIN_COMPARED:
-        return paces.without_slow(endpoints, running)
-    return paces.without_slow(near, running) + paces.without_slow(away, running)
+        return latencies.without_slow(endpoints, running)
+    return latencies.without_slow(near, running) + latencies.without_slow(away, running)
 
 
 def wait_after_fall_ms(
@@ -100,7 +100,7 @@
     if crash is None:
         return 0.0
     left = [one for one in endpoints if one.id != crash.endpoint]
-    if len(left) >= crash_guard.MANY_OTHERS:
+    if len(left) >= crash_guard.UNLIMITED_PEERS:
         return 0.0
     running = state.chooser.total_running(left)
     slots = sum(max(1, one.slots) for one in left)
@@ -120,7 +120,7 @@
     expected_ms = _expected_ms(state, admitted, choice)
     number = None
     if expected_ms is not None:
-        number = state.health.paces.sent(endpoint.id, expected_ms)
+        number = state.health.latencies.sent(endpoint.id, expected_ms)
     return Given(endpoint, demand, number)
 
 
@@ -194,10 +194,10 @@
 def first_byte(state: fleet_state.FleetState, one: Given) -> None:
     """Note that an endpoint's answer began."""
     running = state.chooser.running(one.endpoint.id)
-    state.limits.bore(one.endpoint, running)
+    state.limits.observe_load(one.endpoint, running)
     if one.number is None:
         return
-    took = state.health.paces.answered(one.endpoint.id, one.number)
+    took = state.health.latencies.answered(one.endpoint.id, one.number)
     if took is not None:
         state.limits.answered(one.endpoint, running, took, one.demand.is_engine)
         _log_limit(state, one.endpoint)
@@ -234,14 +234,14 @@
     """Note that an endpoint could not be connected to."""
     elsewhere = _elsewhere(state, endpoint)
     endpoint = _as_told(state, endpoint)
-    _note_crash(state, endpoint, state.limits.unreached(endpoint, elsewhere))
+    _note_crash(state, endpoint, state.limits.connect_failed(endpoint, elsewhere))
 
 
 def ended(state: fleet_state.FleetState, one: Given) -> None:
     """Note that a request is over at an endpoint."""
     state.limits.ended(one.endpoint, one.demand)
     if one.number is not None:
-        state.health.paces.ended(one.endpoint.id, one.number)
+        state.health.latencies.ended(one.endpoint.id, one.number)
 
 
 def _as_told(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> traffic.Endpoint:
@@ -273,7 +273,7 @@
         "endpoint_fell",
         endpoint=endpoint.id,
         service=endpoint.service,
-        held=crash.held,
+        held=crash.running,
         weight=round(crash.weight),
         slots=crash.slots,
         elsewhere=crash.elsewhere,
--- a/plumarch/gateway/dispatch/region_attempts_test.py
+++ b/plumarch/gateway/dispatch/region_attempts_test.py
@@ -227,7 +227,7 @@
     away = [endpoint(f"far{number}", "c") for number in range(8)]
     state = state_with(steady, endpoint("e0", "a"), endpoint("e1", "a"), *away)
     for name in slow.split():
-        state.health.paces.known[name] = relative_latency.Pace(mean=4.0)
+        state.health.latencies.known[name] = relative_latency.EndpointLatency(mean=4.0)
     chosen = {
         choice.endpoint.id
         for _ in range(20)
@@ -239,7 +239,7 @@
 def test_an_only_endpoint_of_the_region_is_slow_against_those_elsewhere():
     steady = clock.ManualClock()
     state = state_with(steady, endpoint("e0", "a"), endpoint("e1", "c"), endpoint("e2", "c"))
-    state.health.paces.known["e0"] = relative_latency.Pace(mean=4.0)
+    state.health.latencies.known["e0"] = relative_latency.EndpointLatency(mean=4.0)
     choice = attempts.choose(state, admitted(steady), attempts.Progress())
     assert choice is not None
     assert choice.endpoint.id != "e0"
--- a/plumarch/gateway/gossip/speed_reports.py
+++ b/plumarch/gateway/gossip/speed_reports.py
@@ -40,4 +40,4 @@
             continue
         work = engine_speed.ReadingWork(one.units, one.unread)
         report = engine_speed.SpeedReport(one.us_per_token / US_PER_MS, one.seen, one.nodes, work)
-        state.chooser.speed(one.service).hear(source, report, now)
+        state.chooser.speed(one.service).receive(source, report, now)
--- a/plumarch/gateway/gossip/version_reports.py
+++ b/plumarch/gateway/gossip/version_reports.py
@@ -26,7 +26,7 @@
             one.step,
             one.vetoed,
         )
-        for one in state.splits.told()
+        for one in state.splits.to_publish()
     ]
 
 
--- a/plumarch/gateway/pressure_test.py
+++ b/plumarch/gateway/pressure_test.py
@@ -120,7 +120,7 @@
     assert attempts.choose(state, admitted(0), tried) is not None
     assert attempts.choose(state, admitted(2), tried) is None
     back_in_ms = attempts.when_room(state, admitted(2))
-    assert 0 < back_in_ms < crash_guard.GROWS_MS
+    assert 0 < back_in_ms < crash_guard.RAMP_MS
     time.advance_to(math.ceil(back_in_ms))
     assert attempts.choose(state, admitted(2), tried) is not None
 
--- a/plumarch/gateway/suspension_test.py
+++ b/plumarch/gateway/suspension_test.py
@@ -119,7 +119,7 @@
     state = one.state
     for endpoint in state.registry.ready("s"):
         assert state.health.record(endpoint.id) == 0.0, where
-        assert state.health.paces.score(endpoint.id) < 2.0, where
-        assert not state.reach.is_out(endpoint.data_centre), where
+        assert state.health.latencies.score(endpoint.id) < 2.0, where
+        assert not state.reach.is_excluded(endpoint.data_centre), where
     for mean in state.answer_times.by_route.values():
         assert mean.value < LENGTHS_MS[0], where
--- a/plumarch/node/dispatch.py
+++ b/plumarch/node/dispatch.py
@@ -148,7 +148,7 @@
         would wait for one of its long answers to end.
         """
         request = run.request
-        total, used = self.places.owned_places(request)
+        total, used = self.places.owned_capacity(request)
         if total - used > total * ROOM_SHARE:
             return False
         weights = self.queue.weights
@@ -297,7 +297,7 @@
         if not delivered:
             run.handed_over = run.handed_over_before
         if not delivered and event.rest_ms:
-            self.places.rest(endpoint, event.rest_ms)
+            self.places.back_off(endpoint, event.rest_ms)
         elif not delivered:
             self.places.unreachable(endpoint)
         self.ctx.note(request, "fail", f"attempt {run.attempt()}", event.why)
--- a/plumarch/node/node.py
+++ b/plumarch/node/node.py
@@ -345,7 +345,7 @@
         if state == self.shared_out:
             return
         self.shared_out = state
-        self.placement.share_out({name: self.membership.data_centre(name) for name in live})
+        self.placement.assign_owners({name: self.membership.data_centre(name) for name in live})
 
     def _take_lost_again(self) -> None:
         """Take up copies whose home was lost before they arrived here."""
--- a/plumarch/routing/concurrency_limit.py
+++ b/plumarch/routing/concurrency_limit.py
@@ -20,7 +20,7 @@
 """Answers that take this many times the usual time are late; a queue of twice the places, which
 calm times allow, makes them take up to three times as long."""
 
-LATE_PAUSE_MS = 200
+LATE_INTERVAL_MS = 200
 """Late answers lower the limit once in this time: those that were sent together come together."""
 
 RECOVERY_MS = 4_000.0
@@ -45,13 +45,13 @@
       most: what it may hold in calm times.
     """
 
-    most: float
+    maximum: float
 
     def value(self, now: int) -> float:
         """Return how much it may hold now."""
         ...
 
-    def answered(self, held: float, took: float, now: int) -> None:
+    def answered(self, running: float, took: float, now: int) -> None:
         """Take in how long a first byte took.
 
         Args:
@@ -60,11 +60,11 @@
         """
         ...
 
-    def refused(self, held: float, now: int) -> None:
+    def refused(self, running: float, now: int) -> None:
         """Take in that it refused a request as too much, while it held so many."""
         ...
 
-    def crashed(self, held: float, now: int) -> None:
+    def crashed(self, running: float, now: int) -> None:
         """Take in that it fell over, while it held so many."""
         ...
 
@@ -99,8 +99,8 @@
       ceiling: what it may hold at most until `ceiling_until_ms`, after a fall.
     """
 
-    least: float
-    most: float
+    minimum: float
+    maximum: float
     low: float = 0.0
     lowered_ms: int | None = None
     ceiling: float = 0.0
@@ -109,30 +109,30 @@
 
     def value(self, now: int) -> float:
         """Return how much it may hold now."""
-        top = min(self.most, self.ceiling) if now < self.ceiling_until_ms else self.most
+        top = min(self.maximum, self.ceiling) if now < self.ceiling_until_ms else self.maximum
         if self.lowered_ms is None or self.low >= top:
             return top
         grown = min(1.0, (now - self.lowered_ms) / RECOVERY_MS)
         return self.low + (top - self.low) * grown
 
-    def answered(self, held: float, took: float, now: int) -> None:
+    def answered(self, running: float, took: float, now: int) -> None:
         """Come down a little while answers are late and more requests are held than places."""
         self.times.observe(took)
-        if held <= self.least or not self.times.are_late():
+        if running <= self.minimum or not self.times.are_late():
             return
-        if self.lowered_ms is None or now - self.lowered_ms >= LATE_PAUSE_MS:
-            self._lower(LATE_DECREASE * self.value(now), now)
+        if self.lowered_ms is None or now - self.lowered_ms >= LATE_INTERVAL_MS:
+            self._decrease_to(LATE_DECREASE * self.value(now), now)
 
-    def refused(self, held: float, now: int) -> None:
+    def refused(self, running: float, now: int) -> None:
         """Come down below what it held."""
-        self._lower(min(self.value(now), DECREASE * held), now)
+        self._decrease_to(min(self.value(now), DECREASE * running), now)
 
-    def crashed(self, held: float, now: int) -> None:
+    def crashed(self, running: float, now: int) -> None:
         """Come down below what it held, and stay there for long."""
-        self.ceiling = max(self.least, DECREASE * held)
+        self.ceiling = max(self.minimum, DECREASE * running)
         self.ceiling_until_ms = now + CRASH_RETENTION_MS
-        self._lower(DECREASE * self.ceiling, now)
+        self._decrease_to(DECREASE * self.ceiling, now)
 
-    def _lower(self, value: float, now: int) -> None:
-        self.low = max(self.least, value)
+    def _decrease_to(self, value: float, now: int) -> None:
+        self.low = max(self.minimum, value)
         self.lowered_ms = now
--- a/plumarch/routing/concurrency_limit_test.py
+++ b/plumarch/routing/concurrency_limit_test.py
@@ -21,8 +21,8 @@
       ceiling: what it may hold at most until `ceiling_until_ms`, after a fall.
     """
 
-    least: float
-    most: float
+    minimum: float
+    maximum: float
     current: float = 0.0
     ceiling: float = 0.0
     ceiling_until_ms: int = 0
@@ -31,36 +31,36 @@
     )
 
     def __post_init__(self) -> None:
-        self.current = self.most
+        self.current = self.maximum
 
     def value(self, now: int) -> float:
         """Return how much it may hold now."""
-        top = min(self.most, self.ceiling) if now < self.ceiling_until_ms else self.most
+        top = min(self.maximum, self.ceiling) if now < self.ceiling_until_ms else self.maximum
         return min(top, self.current)
 
-    def answered(self, held: float, took: float, now: int) -> None:
+    def answered(self, running: float, took: float, now: int) -> None:
         """Follow the gradient, with a tolerance of what a calm queue takes."""
         self.times.observe(took)
         gradient = concurrency_limit.LATE_FACTOR * self.times.usual / max(0.01, self.times.recent)
-        if held <= self.least:
+        if running <= self.minimum:
             gradient = 1.0
         wanted = self.current * min(1.0, gradient) + self.current**0.5
         moved = self.current + concurrency_limit.RECENT_WEIGHT * (wanted - self.current)
-        self.current = min(self.most, max(self.least, moved))
+        self.current = min(self.maximum, max(self.minimum, moved))
 
-    def refused(self, held: float, now: int) -> None:
+    def refused(self, running: float, now: int) -> None:
         """Come down below what it held."""
-        self.current = max(self.least, min(self.current, concurrency_limit.DECREASE * held))
+        self.current = max(self.minimum, min(self.current, concurrency_limit.DECREASE * running))
 
-    def crashed(self, held: float, now: int) -> None:
+    def crashed(self, running: float, now: int) -> None:
         """Come down below what it held, and stay there for long."""
-        self.ceiling = max(self.least, concurrency_limit.DECREASE * held)
+        self.ceiling = max(self.minimum, concurrency_limit.DECREASE * running)
         self.ceiling_until_ms = now + concurrency_limit.CRASH_RETENTION_MS
-        self.current = max(self.least, concurrency_limit.DECREASE * self.ceiling)
+        self.current = max(self.minimum, concurrency_limit.DECREASE * self.ceiling)
 
 
 SLOTS = 8
-MOST = 24.0
+MAXIMUM = 24.0
 TARGET_MS = 400
 RUN_MS = 100.0
 STEP_MS = 5
@@ -115,7 +115,7 @@
 
 
 @dataclasses.dataclass
-class Held:
+class Running:
     """A request at the endpoint."""
 
     sent_ms: int
@@ -126,16 +126,16 @@
 def replay(build: Build, pattern: Pattern, seed: int = 1) -> Result:
     """Play a load against one endpoint that works on SLOTS at once, the oldest first."""
     rng = random.Random(seed)
-    limit = build(float(SLOTS), MOST)
+    limit = build(float(SLOTS), MAXIMUM)
     found = Result()
-    held: collections.deque[Held] = collections.deque()
+    running: collections.deque[Running] = collections.deque()
     up_from = 0
     for now in range(0, LASTS_MS, STEP_MS):
-        for one in list(held)[:SLOTS]:
+        for one in list(running)[:SLOTS]:
             one.left_ms -= STEP_MS
             if one.left_ms <= 0:
-                held.remove(one)
-                limit.answered(len(held) + 1, (now - one.sent_ms) / RUN_MS, now)
+                running.remove(one)
+                limit.answered(len(running) + 1, (now - one.sent_ms) / RUN_MS, now)
                 if now - one.sent_ms <= TARGET_MS:
                     found.good += 1
                 else:
@@ -144,36 +144,36 @@
             continue
         weight = 4.0 if rng.random() < pattern.heavy else 1.0
         left_ms = pattern.run_ms(now) * rng.uniform(0.5, 1.5)
-        if now < up_from or len(held) >= limit.value(now):
+        if now < up_from or len(running) >= limit.value(now):
             found.refused_by_limit += 1
-        elif len(held) >= pattern.places:
+        elif len(running) >= pattern.places:
             found.refused_by_endpoint += 1
-            limit.refused(len(held), now)
+            limit.refused(len(running), now)
         else:
-            held.append(Held(now, weight, left_ms))
-        if sum(one.weight for one in held) >= pattern.crashes_at:
-            limit.crashed(len(held), now)
+            running.append(Running(now, weight, left_ms))
+        if sum(one.weight for one in running) >= pattern.crashes_at:
+            limit.crashed(len(running), now)
             found.crashes += 1
-            found.lost += len(held)
-            held.clear()
+            found.lost += len(running)
+            running.clear()
             up_from = now + RESTART_MS
     return found
 
 
 @pytest.mark.parametrize("name", list(BOTH))
 def test_in_calm_times_the_limit_stays_at_its_most(name):
-    limit = BOTH[name](float(SLOTS), MOST)
+    limit = BOTH[name](float(SLOTS), MAXIMUM)
     rng = random.Random(2)
     for now in range(0, 60_000, 20):
         limit.answered(rng.randrange(SLOTS + 1), rng.expovariate(1.0), now)
-        assert limit.value(now) == MOST
+        assert limit.value(now) == MAXIMUM
 
 
 @pytest.mark.parametrize("name", list(BOTH))
 def test_it_stays_between_its_bounds_whatever_comes(name):
     for seed in range(20):
         rng = random.Random(seed)
-        limit = BOTH[name](float(SLOTS), MOST)
+        limit = BOTH[name](float(SLOTS), MAXIMUM)
         now = 0
         for _ in range(300):
             now += rng.randrange(500)
@@ -184,23 +184,23 @@
                 limit.refused(rng.uniform(0, 40), now)
             else:
                 limit.crashed(rng.uniform(0, 40), now)
-            assert SLOTS <= limit.value(now) <= MOST
+            assert SLOTS <= limit.value(now) <= MAXIMUM
 
 
 def test_after_a_refusal_it_recovers_with_time_alone():
-    limit = concurrency_limit.AdditiveIncrease(float(SLOTS), MOST)
+    limit = concurrency_limit.AdditiveIncrease(float(SLOTS), MAXIMUM)
     limit.refused(12.0, 0)
     assert limit.value(0) == pytest.approx(9.6)
-    assert limit.value(round(concurrency_limit.RECOVERY_MS)) == MOST
+    assert limit.value(round(concurrency_limit.RECOVERY_MS)) == MAXIMUM
 
 
 def test_what_made_it_fall_is_not_tried_again_for_long():
-    limit = concurrency_limit.AdditiveIncrease(float(SLOTS), MOST)
+    limit = concurrency_limit.AdditiveIncrease(float(SLOTS), MAXIMUM)
     limit.crashed(18.0, 0)
     recovered = round(concurrency_limit.RECOVERY_MS)
     assert limit.value(recovered) == pytest.approx(14.4)
     assert limit.value(concurrency_limit.CRASH_RETENTION_MS - 1) == pytest.approx(14.4)
-    assert limit.value(concurrency_limit.CRASH_RETENTION_MS) == MOST
+    assert limit.value(concurrency_limit.CRASH_RETENTION_MS) == MAXIMUM
 
 
 def totals(name: str) -> Result:
--- a/plumarch/routing/crash_guard.py
+++ b/plumarch/routing/crash_guard.py
@@ -11,28 +11,28 @@
 from plumarch.core import clock
 from plumarch.routing import concurrency_limit
 
-FIRST_SHARE = 0.25
+INITIAL_FRACTION = 0.25
 """Part of what the fallen endpoint held that the others may take on at once. With four others or
 more each gets a sixteenth of its load, which is less than loads differ anyhow."""
 
-MANY_OTHERS = 16
+UNLIMITED_PEERS = 16
 """Others of a service among which the whole load of a fallen endpoint is let in at once: each gets
-a sixteenth of it at most, as with FIRST_SHARE among four."""
+a sixteenth of it at most, as with INITIAL_FRACTION among four."""
 
-GROWS_MS = 4_000
+RAMP_MS = 4_000
 """Time in which the rest of it is let in: a caller that was turned away comes back within it."""
 
 RANK_STEP = 0.05
 """Part of the room that each rank leaves to the more urgent ones."""
 
-MIN_PART = 0.5
+MIN_RANK_FRACTION = 0.5
 """The least urgent ranks still get this part of the room, so that none is starved."""
 
-LOST_TOGETHER_MS = 250
+LOSS_WINDOW_MS = 250
 """Connections of an endpoint that are lost within this time are lost together: a crash ends all at
 once, and this is a connect's time limit, within which a process sees them end."""
 
-LOSSES = 2
+CRASH_LOSSES = 2
 """Connections lost together that are a fall. One alone may be the fault of its own request."""
 
 
@@ -48,7 +48,7 @@
     """
 
     first_ms: int
-    held: int
+    running: int
     weight: float
     count: int = 0
 
@@ -67,7 +67,7 @@
 
     endpoint: str
     at_ms: int
-    held: int
+    running: int
     weight: float
     slots: int
     elsewhere: int
@@ -77,7 +77,7 @@
 
         One that fell with less was lost for another reason, or by what its requests weighed.
         """
-        return self.held > self.slots
+        return self.running > self.slots
 
 
 @dataclasses.dataclass(slots=True)
@@ -96,7 +96,7 @@
     per_slot: float | None = None
     weight: float | None = None
     learned_ms: int = 0
-    borne: float = 0.0
+    max_sustained_weight: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -111,7 +111,7 @@
     services: dict[str, ServiceCrashes] = dataclasses.field(default_factory=dict)
     losses: dict[str, Losses] = dataclasses.field(default_factory=dict)
 
-    def lost(self, endpoint: str, held: int, weight: float) -> Losses | None:
+    def lost(self, endpoint: str, running: int, weight: float) -> Losses | None:
         """Count a connection that ended while its request ran.
 
         Args:
@@ -121,33 +121,33 @@
         """
         now = self.clock.now()
         losses = self.losses.get(endpoint)
-        if losses is None or now - losses.first_ms > LOST_TOGETHER_MS:
-            losses = self.losses[endpoint] = Losses(now, held, weight)
+        if losses is None or now - losses.first_ms > LOSS_WINDOW_MS:
+            losses = self.losses[endpoint] = Losses(now, running, weight)
         losses.count += 1
-        return losses if losses.count == LOSSES else None
+        return losses if losses.count == CRASH_LOSSES else None
 
-    def unreached(self, endpoint: str) -> Losses | None:
+    def connect_failed(self, endpoint: str) -> Losses | None:
         """Take in that an endpoint can't be connected to.
 
         Returns:
           What was lost, if it had lost one connection just before; that makes it a fall.
         """
         losses = self.losses.get(endpoint)
-        if losses is None or losses.count >= LOSSES:
+        if losses is None or losses.count >= CRASH_LOSSES:
             return None
-        if self.clock.now() - losses.first_ms > LOST_TOGETHER_MS:
+        if self.clock.now() - losses.first_ms > LOSS_WINDOW_MS:
             return None
-        losses.count = LOSSES
+        losses.count = CRASH_LOSSES
         return losses
 
-    def lives(self, endpoint: str) -> None:
+    def note_answer(self, endpoint: str) -> None:
         """Take in an answer: what the endpoint lost before it was no fall."""
         self.losses.pop(endpoint, None)
 
-    def bore(self, service: str, weight: float) -> None:
+    def observe_load(self, service: str, weight: float) -> None:
         """Take in that an endpoint answered well while its requests weighed so much."""
         crashes = self.services.setdefault(service, ServiceCrashes())
-        crashes.borne = max(weight, crashes.borne)
+        crashes.max_sustained_weight = max(weight, crashes.max_sustained_weight)
 
     def crashed(self, service: str, crash: Crash) -> None:
         """Take in a fall.
@@ -156,14 +156,16 @@
         go to the others at once.
         """
         crashes = self.services.setdefault(service, ServiceCrashes())
-        by_weight = crash.weight > crashes.borne > 0
+        by_weight = crash.weight > crashes.max_sustained_weight > 0
         if not crash.by_count() and not by_weight:
             return
         crashes.learned_ms = crash.at_ms
         if crash.by_count():
-            crashes.per_slot = concurrency_limit.DECREASE * crash.held / max(1, crash.slots)
+            crashes.per_slot = concurrency_limit.DECREASE * crash.running / max(1, crash.slots)
         if by_weight:
-            crashes.weight = max(crashes.borne, concurrency_limit.DECREASE * crash.weight)
+            crashes.weight = max(
+                crashes.max_sustained_weight, concurrency_limit.DECREASE * crash.weight
+            )
         crashes.last = crash
 
     def per_slot(self, service: str) -> float | None:
@@ -184,7 +186,7 @@
         crashes = self._learned(service)
         if crashes is None or crashes.weight is None:
             return None
-        return max(crashes.weight, crashes.borne)
+        return max(crashes.weight, crashes.max_sustained_weight)
 
     def _learned(self, service: str) -> ServiceCrashes | None:
         crashes = self.services.get(service)
@@ -200,7 +202,7 @@
         crashes = self.services.get(service)
         if crashes is None or crashes.last is None:
             return None
-        return crashes.last if self.clock.now() - crashes.last.at_ms < GROWS_MS else None
+        return crashes.last if self.clock.now() - crashes.last.at_ms < RAMP_MS else None
 
     def wait_ms(self, service: str, running: int, slots: int, rank: int) -> float:
         """Return in how many ms a service takes on a request of a rank; 0 is now.
@@ -214,12 +216,12 @@
         if crash is None or running < slots:
             return 0.0
         age_ms = self.clock.now() - crash.at_ms
-        part = max(MIN_PART, 1.0 - RANK_STEP * rank)
-        wanted_share = (running + 1 - crash.elsewhere) / (part * max(1, crash.held))
-        if wanted_share <= FIRST_SHARE:
+        fraction = max(MIN_RANK_FRACTION, 1.0 - RANK_STEP * rank)
+        wanted_fraction = (running + 1 - crash.elsewhere) / (fraction * max(1, crash.running))
+        if wanted_fraction <= INITIAL_FRACTION:
             return 0.0
-        grown_ms = (wanted_share - FIRST_SHARE) / (1.0 - FIRST_SHARE) * GROWS_MS
-        return max(0.0, min(float(GROWS_MS), grown_ms) - age_ms)
+        ramp_ms = (wanted_fraction - INITIAL_FRACTION) / (1.0 - INITIAL_FRACTION) * RAMP_MS
+        return max(0.0, min(float(RAMP_MS), ramp_ms) - age_ms)
 
     def retain(self, endpoints: set[str]) -> None:
         """Forget losses of endpoints that no longer exist."""
--- a/plumarch/routing/data_centre_reach.py
+++ b/plumarch/routing/data_centre_reach.py
@@ -32,17 +32,17 @@
 
     Attributes:
       failed: endpoints that could not be connected to since the last connection that came up.
-      out_until_ms: none of its endpoints gets work before then.
+      excluded_until_ms: none of its endpoints gets work before then.
       pauses: how often it was left out since then.
       trying: whether a connection tries it again just now.
-      beyond_ms: what its distance adds to each pause.
+      extra_ms: what its distance adds to each pause.
     """
 
     failed: set[str] = dataclasses.field(default_factory=set)
-    out_until_ms: int = 0
+    excluded_until_ms: int = 0
     pauses: int = 0
-    trying: bool = False
-    beyond_ms: int = 0
+    probing: bool = False
+    extra_ms: int = 0
 
 
 @dataclasses.dataclass(slots=True)
@@ -57,11 +57,11 @@
         """Note a connection that came up."""
         self.known.pop(data_centre, None)
 
-    def failed(self, data_centre: str, endpoint: str, beyond_ms: float = 0.0) -> bool:
+    def failed(self, data_centre: str, endpoint: str, extra_ms: float = 0.0) -> bool:
         """Note a connection that did not come up in time.
 
         Args:
-          beyond_ms: by how much longer a connection there may take than one within the region; a
+          extra_ms: by how much longer a connection there may take than one within the region; a
             pause is longer by PAUSE_CONNECTS times as much.
         Returns:
           Whether the data centre is left out from now on.
@@ -70,26 +70,26 @@
             return False
         reach = self.known.setdefault(data_centre, Reach())
         reach.failed.add(endpoint)
-        reach.beyond_ms = round(PAUSE_CONNECTS * beyond_ms)
+        reach.extra_ms = round(PAUSE_CONNECTS * extra_ms)
         now = self.clock.now()
-        if now < reach.out_until_ms and not reach.trying:
+        if now < reach.excluded_until_ms and not reach.probing:
             return False
-        reach.trying = False
+        reach.probing = False
         if len(reach.failed) < FAILURES_IN_ROW and not reach.pauses:
             return False
         pause_ms = min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2**reach.pauses)
-        reach.out_until_ms = now + pause_ms + reach.beyond_ms
+        reach.excluded_until_ms = now + pause_ms + reach.extra_ms
         reach.pauses += 1
         return True
 
-    def is_out(self, data_centre: str) -> bool:
+    def is_excluded(self, data_centre: str) -> bool:
         """Return whether a data centre is left out now."""
         reach = self.known.get(data_centre)
-        return reach is not None and self.clock.now() < reach.out_until_ms
+        return reach is not None and self.clock.now() < reach.excluded_until_ms
 
-    def try_again(self, data_centre: str) -> None:
+    def begin_probe(self, data_centre: str) -> None:
         """Leave a data centre out until the connection that tries it again has ended."""
         reach = self.known.get(data_centre)
-        if reach is not None and reach.pauses and self.clock.now() >= reach.out_until_ms:
-            reach.trying = True
-            reach.out_until_ms = self.clock.now() + FIRST_PAUSE_MS + reach.beyond_ms
+        if reach is not None and reach.pauses and self.clock.now() >= reach.excluded_until_ms:
+            reach.probing = True
+            reach.excluded_until_ms = self.clock.now() + FIRST_PAUSE_MS + reach.extra_ms
--- a/plumarch/routing/data_centre_reach_test.py
+++ b/plumarch/routing/data_centre_reach_test.py
@@ -11,17 +11,17 @@
 def test_two_endpoints_in_a_row_leave_the_data_centre_out():
     reach = reach_of(clock.ManualClock())
     assert not reach.failed("b", "b1")
-    assert not reach.is_out("b")
+    assert not reach.is_excluded("b")
     assert reach.failed("b", "b2")
-    assert reach.is_out("b")
-    assert not reach.is_out("c")
+    assert reach.is_excluded("b")
+    assert not reach.is_excluded("c")
 
 
 def test_one_endpoint_alone_does_not():
     reach = reach_of(clock.ManualClock())
     for _ in range(10):
         reach.failed("b", "b1")
-    assert not reach.is_out("b")
+    assert not reach.is_excluded("b")
 
 
 def test_a_connection_between_them_clears_the_first():
@@ -29,14 +29,14 @@
     reach.failed("b", "b1")
     reach.connected("b")
     reach.failed("b", "b2")
-    assert not reach.is_out("b")
+    assert not reach.is_excluded("b")
 
 
 def test_the_own_data_centre_is_never_left_out():
     reach = reach_of(clock.ManualClock())
     for number in range(5):
         reach.failed("a", f"a{number}")
-    assert not reach.is_out("a")
+    assert not reach.is_excluded("a")
 
 
 def test_one_connection_tries_again_and_the_others_wait_for_it():
@@ -45,11 +45,11 @@
     reach.failed("b", "b1")
     reach.failed("b", "b2")
     time.advance_to(time.now() + data_centre_reach.FIRST_PAUSE_MS)
-    assert not reach.is_out("b")
-    reach.try_again("b")
-    assert reach.is_out("b")
+    assert not reach.is_excluded("b")
+    reach.begin_probe("b")
+    assert reach.is_excluded("b")
     reach.connected("b")
-    assert not reach.is_out("b")
+    assert not reach.is_excluded("b")
 
 
 def test_pauses_grow_while_it_stays_cut_off():
@@ -58,11 +58,11 @@
     reach.failed("b", "b1")
     reach.failed("b", "b2")
     for _ in range(10):
-        time.advance_to(reach.known["b"].out_until_ms)
-        reach.try_again("b")
+        time.advance_to(reach.known["b"].excluded_until_ms)
+        reach.begin_probe("b")
         time.advance_to(time.now() + 250)
         assert reach.failed("b", "b1")
-    left = reach.known["b"].out_until_ms - time.now()
+    left = reach.known["b"].excluded_until_ms - time.now()
     assert left == data_centre_reach.MAX_PAUSE_MS
 
 
@@ -72,6 +72,6 @@
     for name in ("b1", "b2"):
         reach.failed("b", name, 120.0)
     time.advance_to(data_centre_reach.FIRST_PAUSE_MS + 359)
-    assert reach.is_out("b")
+    assert reach.is_excluded("b")
     time.advance_to(data_centre_reach.FIRST_PAUSE_MS + 360)
-    assert not reach.is_out("b")
+    assert not reach.is_excluded("b")
--- a/plumarch/routing/distance.py
+++ b/plumarch/routing/distance.py
@@ -37,21 +37,21 @@
 """Round trips until the first byte of an answer: one opens the connection, one carries the request;
 no connection is used twice."""
 
-CONNECTS_KEPT = 16
+CONNECT_SAMPLES = 16
 """Connections to a data centre that its round trip is judged by: few enough that another way
 there shows after a dozen sends, enough that a busy minute doesn't look like distance."""
 
 MIN_CONNECTS = 3
 """Connections before which the prior stands: a first one may have waited for a busy process."""
 
-LOW_RANK = 1
+ESTIMATE_RANK = 1
 """Which of the kept connections is taken for the way, the shortest being 0: waiting only ever adds
 to a way, and one that is too short to be true (an address that an endpoint nearer by has taken
 over) is passed over."""
 
 
 @dataclasses.dataclass(slots=True)
-class MeasuredWay:
+class RoundTripEstimate:
     """The last connections to the endpoints of a data centre.
 
     Attributes:
@@ -60,7 +60,7 @@
     """
 
     connects_ms: collections.deque[float] = dataclasses.field(
-        default_factory=lambda: collections.deque(maxlen=CONNECTS_KEPT)
+        default_factory=lambda: collections.deque(maxlen=CONNECT_SAMPLES)
     )
     round_trip_ms: float | None = None
 
@@ -68,7 +68,7 @@
         """Take in a connection that came up."""
         self.connects_ms.append(connect_ms)
         if len(self.connects_ms) >= MIN_CONNECTS:
-            self.round_trip_ms = sorted(self.connects_ms)[LOW_RANK]
+            self.round_trip_ms = sorted(self.connects_ms)[ESTIMATE_RANK]
 
 
 @dataclasses.dataclass(slots=True)
@@ -85,7 +85,7 @@
     clock: clock.Clock
     own: str
     regions: Mapping[str, str] = dataclasses.field(default_factory=dict)
-    measured: dict[str, MeasuredWay] = dataclasses.field(default_factory=dict)
+    measured: dict[str, RoundTripEstimate] = dataclasses.field(default_factory=dict)
     unnamed: set[str] = dataclasses.field(default_factory=set)
 
     def region_of(self, data_centre: str) -> str:
@@ -117,16 +117,16 @@
 
     def connected(self, data_centre: str, connect_ms: float) -> None:
         """Take in how long a connection to an endpoint took to come up: one round trip."""
-        way = self.measured.get(data_centre)
-        if way is None:
-            way = self.measured[data_centre] = MeasuredWay()
-        way.connected(connect_ms)
+        estimate = self.measured.get(data_centre)
+        if estimate is None:
+            estimate = self.measured[data_centre] = RoundTripEstimate()
+        estimate.connected(connect_ms)
 
     def round_trip_ms(self, data_centre: str) -> float:
         """Return the expected time there and back, in ms."""
-        way = self.measured.get(data_centre)
-        if way is not None and way.round_trip_ms is not None:
-            return way.round_trip_ms
+        estimate = self.measured.get(data_centre)
+        if estimate is not None and estimate.round_trip_ms is not None:
+            return estimate.round_trip_ms
         return PRIOR_ROUND_TRIP_MS[self.locality(data_centre)]
 
     def beyond_region_ms(self, data_centre: str) -> float:
--- a/plumarch/routing/distance_test.py
+++ b/plumarch/routing/distance_test.py
@@ -55,7 +55,7 @@
     found = distances()
     for number in range(200):
         found.connected("c", 60.0 if number % 4 == 0 else 60.0 + 37.0 * (number % 7))
-        if number > distance.CONNECTS_KEPT:
+        if number > distance.CONNECT_SAMPLES:
             assert found.round_trip_ms("c") == 60.0
 
 
@@ -71,7 +71,7 @@
     found = distances()
     for _ in range(50):
         found.connected("c", 60.0)
-    for _ in range(distance.CONNECTS_KEPT):
+    for _ in range(distance.CONNECT_SAMPLES):
         found.connected("c", 140.0)
     assert found.round_trip_ms("c") == 140.0
 
--- a/plumarch/routing/endpoint_backoff.py
+++ b/plumarch/routing/endpoint_backoff.py
@@ -18,9 +18,9 @@
 its own is tried again after this, one request for each refusal."""
 
 
-def bounded_ms(asked_ms: float) -> int:
+def bounded_ms(retry_after_ms: float) -> int:
     """Return for how long a Retry-After is kept to."""
-    return math.ceil(min(asked_ms, MAX_MS))
+    return math.ceil(min(retry_after_ms, MAX_MS))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/plumarch/routing/endpoint_choice.py
+++ b/plumarch/routing/endpoint_choice.py
@@ -25,7 +25,7 @@
 """What another data centre of the region costs: bytes between data centres are priced, and the
 round trip between them is some 2 ms."""
 
-HELD_BY_OWNERS = (0.8, 0.5)
+OWNER_CACHE_FRACTIONS = (0.8, 0.5)
 """Part of a prompt that the engines chosen by hashing are expected to hold, the first one first:
 what the first has no room for goes to the second, by all nodes alike."""
 
@@ -59,7 +59,7 @@
       considered: how many endpoints there were.
       network_ms: what it spends on the way, if the endpoint is of another region.
       expected_ms: when its answer or first token is expected, with the way.
-      free_places: slots there that nothing is known to take.
+      free_slots: slots there that nothing is known to take.
       leaves: why it leaves the region, or None if it stays.
     """
 
@@ -71,8 +71,8 @@
     capacity_wait_ms: float = 0.0
     network_ms: float = 0.0
     expected_ms: float = 0.0
-    free_places: int = 0
-    leaves: locality_choice.Leaves | None = None
+    free_slots: int = 0
+    leave_reason: locality_choice.LeaveReason | None = None
 
     def tokens_to_read(self) -> float:
         """Return the prompt tokens to be read before the first token."""
@@ -173,12 +173,12 @@
         Args:
           seed: breaks ties, differently for each request.
         """
-        near, away = locality_choice.near_and_away(candidates, self.distances)
-        best = self._least_loaded(near, seed, len(candidates))
-        if locality_choice.stays(best, away, terms, seed):
+        local, remote = locality_choice.local_and_remote(candidates, self.distances)
+        best = self._least_loaded(local, seed, len(candidates))
+        if locality_choice.stays_local(best, remote, terms, seed):
             return best
-        options = [self._plain_choice(one, len(candidates)) for one in away]
-        return _taken(*locality_choice.choose(best, options, terms, seed))
+        options = [self._plain_choice(one, len(candidates)) for one in remote]
+        return _with_reason(*locality_choice.choose(best, options, terms, seed))
 
     def _least_loaded(
         self, candidates: Sequence[traffic.Endpoint], seed: int, considered: int
@@ -200,7 +200,7 @@
         slots = max(1, endpoint.slots)
         work_ms = self.work.expected_ms(endpoint.service)
         capacity_wait_ms = max(0, running + 1 - slots) * work_ms / slots
-        network_ms = self._way_ms(endpoint.data_centre)
+        network_ms = self._network_ms(endpoint.data_centre)
         return Choice(
             endpoint,
             running / slots,
@@ -209,7 +209,7 @@
             capacity_wait_ms=capacity_wait_ms,
             network_ms=network_ms,
             expected_ms=network_ms + capacity_wait_ms + work_ms,
-            free_places=max(0, slots - running),
+            free_slots=max(0, slots - running),
         )
 
     def choose_engine(
@@ -226,31 +226,37 @@
           parts: the prompt's parts, in order; the last one may be the request's own.
           prompt_tokens: the whole prompt.
         """
-        near, away = locality_choice.near_and_away(candidates, self.distances)
+        local, remote = locality_choice.local_and_remote(candidates, self.distances)
         keys = part_keys(parts)
-        owned = keys[: _shared_count(parts, prompt_tokens)]
+        owned = keys[: _shared_part_count(parts, prompt_tokens)]
         prompt = engine_record.Prompt(
-            parts, keys, prompt_tokens, engine_record.owners(near, owned, len(HELD_BY_OWNERS))
+            parts,
+            keys,
+            prompt_tokens,
+            engine_record.owners(local, owned, len(OWNER_CACHE_FRACTIONS)),
         )
         best: Choice | None = None
         least: Weighed | None = None
-        for weighed in self._weigh(self._shuffled(near, seed), prompt):
+        for weighed in self._weigh(self._shuffled(local, seed), prompt):
             if least is None or weighed[1] < least[1]:
                 least = weighed
         if least is not None:
             best = self._engine_choice(least, len(candidates), 0.0)
-        if locality_choice.stays(best, away, terms, seed):
+        if locality_choice.stays_local(best, remote, terms, seed):
             return best
         options: list[Choice] = []
-        ways = {name: self._way_ms(name) for name in dict.fromkeys(one.data_centre for one in away)}
-        for region in locality_choice.by_region(away, self.distances):
+        latencies_ms = {
+            name: self._network_ms(name)
+            for name in dict.fromkeys(one.data_centre for one in remote)
+        }
+        for region in locality_choice.by_region(remote, self.distances):
             there = dataclasses.replace(
-                prompt, owners=engine_record.owners(region, owned, len(HELD_BY_OWNERS))
+                prompt, owners=engine_record.owners(region, owned, len(OWNER_CACHE_FRACTIONS))
             )
             for weighed in self._weigh(region, there):
-                network_ms = ways[weighed[0].data_centre]
+                network_ms = latencies_ms[weighed[0].data_centre]
                 options.append(self._engine_choice(weighed, len(candidates), network_ms))
-        return _taken(*locality_choice.choose(best, options, terms, seed))
+        return _with_reason(*locality_choice.choose(best, options, terms, seed))
 
     def _weigh(
         self, candidates: Iterable[traffic.Endpoint], prompt: engine_record.Prompt
@@ -264,7 +270,9 @@
             speed = self.speed(endpoint.service)
             unread = tokens
             if name in owning or name in records:
-                unread -= engine_record.held(name, records.get(name), prompt, HELD_BY_OWNERS)
+                unread -= engine_record.cached_tokens(
+                    name, records.get(name), prompt, OWNER_CACHE_FRACTIONS
+                )
             capacity_wait_ms = speed.capacity_wait_ms(load.running, endpoint.slots)
             cost = speed.reading_ms(unread + load.prompt_tokens) + capacity_wait_ms
             cost += RUNNING_MS * load.running + self._other_centre(endpoint) * OTHER_CENTRE_MS
@@ -290,7 +298,7 @@
         """Return 1 for another data centre of the region; that of another region has its way."""
         return 0 if endpoint.data_centre == self.data_centre else 1
 
-    def _way_ms(self, data_centre: str) -> float:
+    def _network_ms(self, data_centre: str) -> float:
         return self.distances.network_ms(data_centre) if self.distances else 0.0
 
     def _shuffled(
@@ -345,12 +353,14 @@
             del self.records[name]
 
 
-def _taken(choice: Choice | None, why: locality_choice.Leaves | None) -> Choice | None:
+def _with_reason(choice: Choice | None, why: locality_choice.LeaveReason | None) -> Choice | None:
     """Return a choice with the reason for which it leaves the region, if it does."""
-    return choice if choice is None or why is None else dataclasses.replace(choice, leaves=why)
+    return (
+        choice if choice is None or why is None else dataclasses.replace(choice, leave_reason=why)
+    )
 
 
-def _shared_count(parts: Sequence[traffic.PromptPart], prompt_tokens: int) -> int:
+def _shared_part_count(parts: Sequence[traffic.PromptPart], prompt_tokens: int) -> int:
     """Return how many parts others may share: all but the last one of a prompt named whole."""
     named = sum(part.tokens for part in parts)
     return len(parts) - 1 if len(parts) > 1 and named >= prompt_tokens else len(parts)
--- a/plumarch/routing/endpoint_choice_test.py
+++ b/plumarch/routing/endpoint_choice_test.py
@@ -77,7 +77,7 @@
         parts = (PARTS[0], traffic.PromptPart(name, 3_000))
         choice = chooser().choose_engine(many, (*parts, OWN), 5_500, 0)
         assert choice.endpoint.id == owners_of(parts, many)[0]
-        assert choice.unread_tokens == 5_500 - endpoint_choice.HELD_BY_OWNERS[0] * 5_000
+        assert choice.unread_tokens == 5_500 - endpoint_choice.OWNER_CACHE_FRACTIONS[0] * 5_000
 
 
 def test_a_part_that_is_the_requests_own_has_no_owner():
--- a/plumarch/routing/endpoint_health.py
+++ b/plumarch/routing/endpoint_health.py
@@ -22,7 +22,7 @@
 DECAY = 0.75
 """Weight of the past in the failure rate, at each answer."""
 
-WORST_RATE = 0.5
+MAX_FAILURE_RATE = 0.5
 FIRST_EJECTION_MS = 2_000
 MAX_EJECTION_MS = 15_000
 
@@ -30,14 +30,14 @@
 """Weight of the past in the record, at each answer; some twenty answers tell an endpoint that
 fails one in seven from a sound one."""
 
-RECORD_FORGOTTEN_MS = 20_000.0
+RECORD_HALF_LIFE_MS = 20_000.0
 """Half of a record is forgotten in this time, so that an endpoint that was mended is tried again;
 by then a process has been restarted."""
 
-FORGETTABLE = 0.01
+NEGLIGIBLE = 0.01
 """A record with a smaller part of failures says nothing."""
 
-GREY = 0.06
+WORSE_MARGIN = 0.06
 """Part of failures by which a record must be worse than the best one before first sends avoid an
 endpoint: one or two failures in twenty answers."""
 
@@ -45,7 +45,7 @@
 """How long an endpoint is left out that is not at its address: an entry that an earlier process
 wrote late stands for the length of its lease, some seconds."""
 
-NO_BETTER = 0.02
+EQUAL_MARGIN = 0.02
 """Records that differ by less are alike."""
 
 
@@ -55,14 +55,14 @@
 
     Attributes:
       rate: decayed part of its answers that failed.
-      out_until_ms: it gets no work before then.
+      ejected_until_ms: it gets no work before then.
       record: part of its answers that failed, over more answers; all failures weigh alike.
       recorded_ms: when it last answered.
     """
 
     in_row: int = 0
     rate: float = 0.0
-    out_until_ms: int = 0
+    ejected_until_ms: int = 0
     ejections: int = 0
     record: float = 0.0
     recorded_ms: int = 0
@@ -89,10 +89,10 @@
     suspensions: suspension.Suspensions
     known: dict[str, Health] = dataclasses.field(default_factory=dict)
     absences: dict[str, Absence] = dataclasses.field(default_factory=dict)
-    paces: relative_latency.EndpointPaces = dataclasses.field(init=False)
+    latencies: relative_latency.Latencies = dataclasses.field(init=False)
 
     def __post_init__(self) -> None:
-        self.paces = relative_latency.EndpointPaces(self.clock, self.suspensions)
+        self.latencies = relative_latency.Latencies(self.clock, self.suspensions)
 
     def success(self, endpoint: str) -> None:
         """Count a sound answer."""
@@ -102,7 +102,7 @@
         health.in_row = 0
         health.rate *= DECAY
         self._record(health, failed=False)
-        if health.rate < 0.05 and health.record < FORGETTABLE:
+        if health.rate < 0.05 and health.record < NEGLIGIBLE:
             del self.known[endpoint]
 
     def failure(self, endpoint: str, weight: float = 1.0) -> bool:
@@ -118,28 +118,28 @@
         self._record(health, failed=True)
         if weight >= 1.0:
             health.in_row += 1
-        if health.in_row < FAILURES_IN_ROW and health.rate < WORST_RATE:
+        if health.in_row < FAILURES_IN_ROW and health.rate < MAX_FAILURE_RATE:
             return False
         now = self.clock.now()
-        if now < health.out_until_ms:
+        if now < health.ejected_until_ms:
             return False
-        time_out = min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2**health.ejections)
+        ejection_ms = min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2**health.ejections)
         health.ejections = min(health.ejections + 1, 8)
-        health.out_until_ms = now + time_out
+        health.ejected_until_ms = now + ejection_ms
         health.in_row = 0
         health.rate = 0.25
         return True
 
     def _record(self, health: Health, failed: bool) -> None:
         now = self.clock.now()
-        before = _faded(health, now)
+        before = _decayed(health, now)
         health.record = before * RECORD_DECAY + (1.0 - RECORD_DECAY if failed else 0.0)
         health.recorded_ms = now
 
     def record(self, endpoint: str) -> float:
         """Return which part of an endpoint's answers failed lately."""
         health = self.known.get(endpoint)
-        return _faded(health, self.clock.now()) if health is not None else 0.0
+        return _decayed(health, self.clock.now()) if health is not None else 0.0
 
     def best(
         self,
@@ -159,7 +159,7 @@
         records = {
             one.id: self.record(one.id) if one.id in self.known else 0.0 for one in endpoints
         }
-        bound = min(records.values(), default=0.0) + (NO_BETTER if repeated else GREY)
+        bound = min(records.values(), default=0.0) + (EQUAL_MARGIN if repeated else WORSE_MARGIN)
         better = [one for one in endpoints if records[one.id] <= bound]
         if repeated or any(running(one.id) < one.slots for one in better):
             return better
@@ -174,7 +174,7 @@
         """Return the endpoints that are not left out, or all present ones if too many would be."""
         now = self.clock.now()
         present = [one for one in endpoints if not self._is_absent(one, now)]
-        found = [one for one in present if not self._out(one.id, now)]
+        found = [one for one in present if not self._is_ejected(one.id, now)]
         return found if 2 * len(found) >= len(present) else present
 
     def _is_absent(self, endpoint: traffic.Endpoint, now: int) -> bool:
@@ -183,9 +183,9 @@
             return False
         return absence.address == endpoint.address and now < absence.until_ms
 
-    def _out(self, endpoint: str, now: int) -> bool:
+    def _is_ejected(self, endpoint: str, now: int) -> bool:
         health = self.known.get(endpoint)
-        return health is not None and now < health.out_until_ms
+        return health is not None and now < health.ejected_until_ms
 
     def retain(self, endpoints: set[str]) -> None:
         """Forget endpoints that no longer exist."""
@@ -193,8 +193,8 @@
             del self.known[name]
         for name in [name for name in self.absences if name not in endpoints]:
             del self.absences[name]
-        self.paces.retain(endpoints)
+        self.latencies.retain(endpoints)
 
 
-def _faded(health: Health, now: int) -> float:
-    return health.record * math.pow(0.5, (now - health.recorded_ms) / RECORD_FORGOTTEN_MS)
+def _decayed(health: Health, now: int) -> float:
+    return health.record * math.pow(0.5, (now - health.recorded_ms) / RECORD_HALF_LIFE_MS)
--- a/plumarch/routing/endpoint_health_test.py
+++ b/plumarch/routing/endpoint_health_test.py
@@ -103,7 +103,7 @@
         health.failure("e0", 0.3)
         health.success("e0")
     assert len(health.best(endpoints(3), idle, repeated=False)) == 2
-    time.advance_to(5 * round(endpoint_health.RECORD_FORGOTTEN_MS))
+    time.advance_to(5 * round(endpoint_health.RECORD_HALF_LIFE_MS))
     assert len(health.best(endpoints(3), idle, repeated=False)) == 3
 
 
--- a/plumarch/routing/endpoint_limits.py
+++ b/plumarch/routing/endpoint_limits.py
@@ -28,16 +28,16 @@
 """What a byte of a body weighs against a prompt token, for endpoints that read no prompts: a token
 of text is about four bytes."""
 
-EXPECTED_OUT = 0.5
+EXPECTED_OUTPUT_FRACTION = 0.5
 """Part of the most tokens asked for that an answer holds, on average over its run."""
 
 MEAN_WEIGHT = 0.05
 """Weight of a request in the mean that stands for requests of other nodes; some twenty."""
 
-TOLD_PAUSE_MS = 1_000
+LOG_INTERVAL_MS = 1_000
 """A changed limit is told once in this time for each endpoint, so that logs stay readable."""
 
-TOLD_CHANGE = 0.1
+LOG_MIN_CHANGE = 0.1
 """Part by which a limit must have changed to be told."""
 
 
@@ -59,26 +59,26 @@
 PLAIN = Demand()
 
 
-def demand(prompt_tokens: int, most_out: int, body_bytes: int, rank: int = 0) -> Demand:
+def demand(prompt_tokens: int, max_output_tokens: int, body_bytes: int, rank: int = 0) -> Demand:
     """Return what a request asks of an endpoint.
 
     Args:
-      most_out: the most tokens that its answer may have.
+      max_output_tokens: the most tokens that its answer may have.
     """
     if prompt_tokens:
-        return Demand(prompt_tokens + EXPECTED_OUT * most_out, True, rank)
+        return Demand(prompt_tokens + EXPECTED_OUTPUT_FRACTION * max_output_tokens, True, rank)
     return Demand(body_bytes / BYTES_PER_TOKEN, False, rank)
 
 
 @dataclasses.dataclass(slots=True)
-class Held:
+class OwnLoad:
     """What this node's requests at one endpoint are, and weigh."""
 
     requests: int = 0
     weight: float = 0.0
 
 
-NOTHING = Held()
+NO_OWN_LOAD = OwnLoad()
 """Stands for endpoints that hold none of this node's requests; never changed."""
 
 
@@ -102,7 +102,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToldLimit:
+class LoggedLimit:
     """A learned limit that was logged, and when."""
 
     limit: float
@@ -130,14 +130,14 @@
     )
     services: dict[str, traffic.Service] = dataclasses.field(default_factory=dict)
     learned: dict[str, concurrency_limit.ConcurrencyLimit] = dataclasses.field(default_factory=dict)
-    held: dict[str, Held] = dataclasses.field(default_factory=dict)
+    own_load: dict[str, OwnLoad] = dataclasses.field(default_factory=dict)
     mean_weight: dict[str, float] = dataclasses.field(default_factory=dict)
-    told: dict[str, ToldLimit] = dataclasses.field(default_factory=dict)
+    logged: dict[str, LoggedLimit] = dataclasses.field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.crashes = crash_guard.CrashGuard(self.clock)
 
-    def with_room(
+    def with_capacity(
         self,
         service: str,
         endpoints: Sequence[traffic.Endpoint],
@@ -155,15 +155,15 @@
         found = []
         for endpoint in endpoints:
             now_running = running(endpoint.id)
-            has_place = now_running < min(endpoint.slots, bounds.connections)
-            if not has_place and now_running >= self.requests(endpoint, bounds):
+            has_free_slot = now_running < min(endpoint.slots, bounds.connections)
+            if not has_free_slot and now_running >= self.requests(endpoint, bounds):
                 continue
             # Prompts share parts, so that the cache holds more of them than their weights tell:
             # what a free place may hold is judged by falls only.
-            most = bounds.weight_by_crashes if has_place else bounds.weight
-            if most < math.inf and now_running > 0:
+            maximum = bounds.weight_by_crashes if has_free_slot else bounds.weight
+            if maximum < math.inf and now_running > 0:
                 weight = self.weight_at(endpoint, now_running) + demand.weight
-                if weight > most:
+                if weight > maximum:
                     continue
             found.append(endpoint)
         return found
@@ -174,23 +174,23 @@
         weight = math.inf
         if service is not None and service.engine is not None and service.engine.cache_tokens:
             weight = CACHE_FACTOR * service.engine.cache_tokens
-        by_falls = self.crashes.weight(name)
+        by_crashes = self.crashes.weight(name)
         per_slot = self.crashes.per_slot(name)
         return Bounds(
             per_slot=ENGINE_QUEUE_FACTOR if is_engine else QUEUE_FACTOR,
             per_slot_by_crashes=math.inf if per_slot is None else per_slot,
             connections=float(service.connection_limit or math.inf) if service else math.inf,
-            weight=weight if by_falls is None else min(weight, by_falls),
-            weight_by_crashes=math.inf if by_falls is None else by_falls,
+            weight=weight if by_crashes is None else min(weight, by_crashes),
+            weight_by_crashes=math.inf if by_crashes is None else by_crashes,
         )
 
     def requests(self, endpoint: traffic.Endpoint, bounds: Bounds) -> float:
         """Return how many requests an endpoint is given at once."""
-        most = min(bounds.per_slot, bounds.per_slot_by_crashes) * max(1, endpoint.slots)
+        maximum = min(bounds.per_slot, bounds.per_slot_by_crashes) * max(1, endpoint.slots)
         learned = self.learned.get(endpoint.id)
         if learned is not None:
-            most = min(most, learned.value(self.clock.now()))
-        return min(most, bounds.connections)
+            maximum = min(maximum, learned.value(self.clock.now()))
+        return min(maximum, bounds.connections)
 
     def weight_at(self, endpoint: traffic.Endpoint, running: int) -> float:
         """Return what the requests at an endpoint weigh: this node's own, and others' by the mean.
@@ -198,32 +198,32 @@
         Args:
           running: requests of all nodes there.
         """
-        own = self.held.get(endpoint.id, NOTHING)
+        own = self.own_load.get(endpoint.id, NO_OWN_LOAD)
         others = max(0, running - own.requests)
         return own.weight + others * self.mean_weight.get(endpoint.service, 0.0)
 
     def sent(self, endpoint: traffic.Endpoint, demand: Demand) -> None:
         """Count a request sent."""
-        held = self.held.setdefault(endpoint.id, Held())
-        held.requests += 1
-        held.weight += demand.weight
+        own_load = self.own_load.setdefault(endpoint.id, OwnLoad())
+        own_load.requests += 1
+        own_load.weight += demand.weight
         mean = self.mean_weight.setdefault(endpoint.service, demand.weight)
         self.mean_weight[endpoint.service] = mean + MEAN_WEIGHT * (demand.weight - mean)
 
     def ended(self, endpoint: traffic.Endpoint, demand: Demand) -> None:
         """Count a request as over."""
-        held = self.held.get(endpoint.id)
-        if held is None:
+        own_load = self.own_load.get(endpoint.id)
+        if own_load is None:
             return
-        held.requests -= 1
-        held.weight -= demand.weight
-        if held.requests <= 0:
-            del self.held[endpoint.id]
+        own_load.requests -= 1
+        own_load.weight -= demand.weight
+        if own_load.requests <= 0:
+            del self.own_load[endpoint.id]
 
-    def bore(self, endpoint: traffic.Endpoint, running: int) -> None:
+    def observe_load(self, endpoint: traffic.Endpoint, running: int) -> None:
         """Take in that an endpoint answers while it holds so many requests."""
-        self.crashes.lives(endpoint.id)
-        self.crashes.bore(endpoint.service, self.weight_at(endpoint, running))
+        self.crashes.note_answer(endpoint.id)
+        self.crashes.observe_load(endpoint.service, self.weight_at(endpoint, running))
 
     def answered(
         self, endpoint: traffic.Endpoint, running: int, took: float, is_engine: bool
@@ -254,13 +254,13 @@
             return None
         now = self.clock.now()
         value = limit.value(now)
-        told = self.told.get(endpoint.id)
-        before = told.limit if told is not None else limit.most
-        if abs(value - before) < TOLD_CHANGE * before:
+        logged = self.logged.get(endpoint.id)
+        before = logged.limit if logged is not None else limit.maximum
+        if abs(value - before) < LOG_MIN_CHANGE * before:
             return None
-        if told is not None and now - told.at_ms < TOLD_PAUSE_MS:
+        if logged is not None and now - logged.at_ms < LOG_INTERVAL_MS:
             return None
-        self.told[endpoint.id] = ToldLimit(value, now)
+        self.logged[endpoint.id] = LoggedLimit(value, now)
         return value
 
     def lowered(self, endpoints: Mapping[str, traffic.Endpoint]) -> dict[str, float]:
@@ -274,7 +274,7 @@
             service = self.services.get(endpoint.service)
             is_engine = service is not None and service.engine is not None
             limit = self.requests(endpoint, self.bounds(endpoint.service, is_engine))
-            if limit < most_requests(endpoint, is_engine):
+            if limit < max_requests(endpoint, is_engine):
                 found[name] = limit
         return found
 
@@ -290,24 +290,26 @@
           The fall, if that shows that the endpoint fell.
         """
         losses = self.crashes.lost(endpoint.id, running, self.weight_at(endpoint, running))
-        return self._fell(endpoint, losses, elsewhere)
+        return self._crashed(endpoint, losses, elsewhere)
 
-    def unreached(self, endpoint: traffic.Endpoint, elsewhere: int) -> crash_guard.Crash | None:
+    def connect_failed(
+        self, endpoint: traffic.Endpoint, elsewhere: int
+    ) -> crash_guard.Crash | None:
         """Take in that an endpoint can't be connected to; like `lost`."""
-        return self._fell(endpoint, self.crashes.unreached(endpoint.id), elsewhere)
+        return self._crashed(endpoint, self.crashes.connect_failed(endpoint.id), elsewhere)
 
-    def _fell(
+    def _crashed(
         self, endpoint: traffic.Endpoint, losses: crash_guard.Losses | None, elsewhere: int
     ) -> crash_guard.Crash | None:
         if losses is None or endpoint.state is traffic.EndpointState.DRAINING:
             return None
         now = self.clock.now()
         crash = crash_guard.Crash(
-            endpoint.id, now, losses.held, losses.weight, endpoint.slots, elsewhere
+            endpoint.id, now, losses.running, losses.weight, endpoint.slots, elsewhere
         )
         learned = self.learned.get(endpoint.id)
         if learned is not None and crash.by_count():
-            learned.crashed(crash.held, now)
+            learned.crashed(crash.running, now)
         self.crashes.crashed(endpoint.service, crash)
         return crash
 
@@ -316,20 +318,20 @@
     ) -> concurrency_limit.ConcurrencyLimit:
         found = self.learned.get(endpoint.id)
         if found is None:
-            least = float(max(1, endpoint.slots))
-            most = most_requests(endpoint, is_engine)
-            found = self.learned[endpoint.id] = self.build(least, most)
+            minimum = float(max(1, endpoint.slots))
+            maximum = max_requests(endpoint, is_engine)
+            found = self.learned[endpoint.id] = self.build(minimum, maximum)
         return found
 
     def retain(self, endpoints: set[str]) -> None:
         """Forget endpoints that no longer exist."""
         for name in [name for name in self.learned if name not in endpoints]:
             del self.learned[name]
-            self.told.pop(name, None)
+            self.logged.pop(name, None)
         self.crashes.retain(endpoints)
 
 
-def most_requests(endpoint: traffic.Endpoint, is_engine: bool) -> float:
+def max_requests(endpoint: traffic.Endpoint, is_engine: bool) -> float:
     """Return how many requests an endpoint is given in calm times."""
     factor = ENGINE_QUEUE_FACTOR if is_engine else QUEUE_FACTOR
     return factor * max(1, endpoint.slots)
--- a/plumarch/routing/endpoint_limits_test.py
+++ b/plumarch/routing/endpoint_limits_test.py
@@ -26,7 +26,7 @@
     demand: endpoint_limits.Demand = endpoint_limits.PLAIN,
     name: str = "e0",
 ) -> bool:
-    return bool(found.with_room("s", [endpoint(name)], lambda _: running, demand))
+    return bool(found.with_capacity("s", [endpoint(name)], lambda _: running, demand))
 
 
 def advance(found: endpoint_limits.EndpointLimits, to_ms: int) -> None:
@@ -40,7 +40,7 @@
     for now in range(0, 30_000, 10):
         advance(found, now)
         running = rng.randrange(SLOTS + 1)
-        found.bore(endpoint(), running)
+        found.observe_load(endpoint(), running)
         found.answered(endpoint(), running, rng.expovariate(1.0), False)
         assert has_room(found, 23)
         assert not has_room(found, 24)
@@ -59,7 +59,7 @@
     found = limits(traffic.Service("s", engine=model))
     assert has_room(found, 0, endpoint_limits.demand(50_000, 0, 0))
     for _ in range(SLOTS + 4):
-        running = found.held.get("e0", endpoint_limits.NOTHING).requests
+        running = found.own_load.get("e0", endpoint_limits.NO_OWN_LOAD).requests
         assert has_room(found, running, PROMPT)
         found.sent(endpoint(), PROMPT)
     assert not has_room(found, SLOTS + 4, PROMPT)
@@ -124,7 +124,7 @@
     light, heavy = endpoint_limits.demand(500, 0, 0), endpoint_limits.demand(6_000, 0, 0)
     for _ in range(4):
         found.sent(endpoint("e1"), light)
-    found.bore(endpoint("e1"), 4)
+    found.observe_load(endpoint("e1"), 4)
     for _ in range(3):
         found.sent(endpoint(), heavy)
     found.lost(endpoint(), 3, 4)
@@ -154,4 +154,4 @@
     found.changed(endpoint())
     found.lost(endpoint(), 15, 30)
     found.retain(set())
-    assert not found.learned and not found.told and not found.crashes.losses
+    assert not found.learned and not found.logged and not found.crashes.losses
--- a/plumarch/routing/engine_record.py
+++ b/plumarch/routing/engine_record.py
@@ -8,7 +8,7 @@
 
 from plumarch.core import hashing, traffic
 
-RECORD_PARTS = 4_000
+MAX_PARTS = 4_000
 """Parts remembered for each engine; it bounds what a node holds for it."""
 
 
@@ -24,7 +24,7 @@
         """Remember a part."""
         self.parts[key] = now
         self.parts.move_to_end(key)
-        if len(self.parts) > RECORD_PARTS:
+        if len(self.parts) > MAX_PARTS:
             self.parts.popitem(last=False)
 
     def known(self, keys: Sequence[int]) -> int:
@@ -66,8 +66,8 @@
     return [[ids[name] for name in hashing.highest(key, names, count)] for key in keys]
 
 
-def held(
-    endpoint: str, record: EngineRecord | None, prompt: Prompt, likely_parts: Sequence[float]
+def cached_tokens(
+    endpoint: str, record: EngineRecord | None, prompt: Prompt, likely_fractions: Sequence[float]
 ) -> float:
     """Return the tokens that an engine is expected to hold from the prompt's start.
 
@@ -75,7 +75,7 @@
 
     Args:
       record: what this node sent to it.
-      likely_parts: part that an owner is expected to hold of what this node never sent to it, the
+      likely_fractions: fraction of an unsent prefix that each owner is expected to hold, the
         first owner's first.
     """
     known = record.known(prompt.keys) if record is not None else 0
@@ -85,5 +85,5 @@
     for part, owning in zip(prompt.parts[known:], prompt.owners[known:], strict=False):
         tokens += part.tokens
         if endpoint in owning:
-            likely = max(likely, likely_parts[owning.index(endpoint)] * tokens)
+            likely = max(likely, likely_fractions[owning.index(endpoint)] * tokens)
     return certain + likely
--- a/plumarch/routing/engine_speed.py
+++ b/plumarch/routing/engine_speed.py
@@ -34,26 +34,26 @@
 """Requests with less to read say how long a first token takes besides reading; those with more
 say how long reading takes."""
 
-LOWEST_MS_PER_TOKEN = 0.002
-HIGHEST_MS_PER_TOKEN = 1.0
+MIN_MS_PER_TOKEN = 0.002
+MAX_MS_PER_TOKEN = 1.0
 """Between these a learned time to read a token stays, in ms: three times as fast as the fastest
 engines on the sheets (0.0064), and far slower than any. Judgements against nonsense."""
 
-LOWEST_BASE_MS = 5.0
-HIGHEST_BASE_MS = 500.0
+MIN_BASE_MS = 5.0
+MAX_BASE_MS = 500.0
 """The same for the time to a first token; the sheets' engines take 26 ms and more."""
 
-FIRST_SEEN = 9
+EXACT_MEDIAN_COUNT = 9
 """Observations of which a median is kept exactly; then it follows in steps. So a node knows the
 speed of engines of any kind by its first prompts, and a fleet within seconds."""
 
-LAST_STEP = 0.04
+MIN_STEP = 0.04
 """Smallest step of a median on a logarithmic scale: 25 observations on one side move it by a factor
 of e. Steps shrink from 0.4 / 3 to it with the root of the observations. A judgement."""
 
 FIRST_STEP = 0.4
 
-KNOWN_BY_EACH = 1.0
+KNOWN_PER_NODE = 1.0
 """First tokens that a node of a fleet saw on average, from which on what all learned is near
 enough, if they are KNOWN_AFTER at least: engines of any speed are then known within a third
 (engine_speed_test)."""
@@ -89,12 +89,12 @@
     def observe(self, found: float) -> None:
         """Take in an observation."""
         self.seen += 1
-        if self.seen <= FIRST_SEEN:
+        if self.seen <= EXACT_MEDIAN_COUNT:
             bisect.insort(self.first, found)
             median = self.first[(self.seen - 1) // 2]
             self.value = min(self.highest, max(self.lowest, median))
             return
-        step = max(LAST_STEP, FIRST_STEP / math.sqrt(self.seen))
+        step = max(MIN_STEP, FIRST_STEP / math.sqrt(self.seen))
         moved = self.value * math.exp(step if found > self.value else -step)
         self.value = min(self.highest, max(self.lowest, moved))
 
@@ -118,11 +118,11 @@
 
 
 def _base() -> RunningMedian:
-    return RunningMedian(START_BASE_MS, LOWEST_BASE_MS, HIGHEST_BASE_MS)
+    return RunningMedian(START_BASE_MS, MIN_BASE_MS, MAX_BASE_MS)
 
 
 def _per_token() -> RunningMedian:
-    return RunningMedian(START_MS_PER_TOKEN, LOWEST_MS_PER_TOKEN, HIGHEST_MS_PER_TOKEN)
+    return RunningMedian(START_MS_PER_TOKEN, MIN_MS_PER_TOKEN, MAX_MS_PER_TOKEN)
 
 
 def _read() -> RunningMean:
@@ -179,7 +179,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeardReport:
+class ReceivedReport:
     """A report, and when it was heard."""
 
     report: SpeedReport
@@ -203,7 +203,7 @@
     base_ms: RunningMedian = dataclasses.field(default_factory=_base)
     typical: RunningMedian = dataclasses.field(default_factory=_per_token)
     idle: RunningMedian = dataclasses.field(default_factory=_per_token)
-    heard: dict[str, HeardReport] = dataclasses.field(default_factory=dict)
+    received: dict[str, ReceivedReport] = dataclasses.field(default_factory=dict)
     read_ms: RunningMean = dataclasses.field(default_factory=_read)
     read_tokens: RunningMean = dataclasses.field(default_factory=_tokens)
     run_ms: RunningMean = dataclasses.field(default_factory=_run)
@@ -229,7 +229,7 @@
     def mean_ms_per_token(self) -> float:
         """Return how long a prompt token takes on average now; long prompts weigh more."""
         mean = self.read_ms.value / max(1.0, self.read_tokens.value)
-        return min(HIGHEST_MS_PER_TOKEN, max(LOWEST_MS_PER_TOKEN, mean))
+        return min(MAX_MS_PER_TOKEN, max(MIN_MS_PER_TOKEN, mean))
 
     def ended(self, run_ms: float) -> None:
         """Learn from how long a request held its place."""
@@ -239,9 +239,9 @@
         """Return whether this node saw enough by itself."""
         return self.typical.seen >= KNOWN_AFTER
 
-    def hear(self, source: str, report: SpeedReport, now: int) -> None:
+    def receive(self, source: str, report: SpeedReport, now: int) -> None:
         """Take in what a node or the nodes of a data centre learned."""
-        self.heard[source] = HeardReport(report, now)
+        self.received[source] = ReceivedReport(report, now)
 
     def report(
         self,
@@ -258,15 +258,15 @@
           counts_in: whether what a source told is part of it.
         """
         for name in [
-            name for name, one in self.heard.items() if now - one.at_ms > REPORT_RETENTION_MS
+            name for name, one in self.received.items() if now - one.at_ms > REPORT_RETENTION_MS
         ]:
-            del self.heard[name]
+            del self.received[name]
         own = SpeedReport(self.idle.value, self.idle.seen, 1, work)
-        heard = [one.report for name, one in self.heard.items() if counts_in(name)]
-        reports = [own, *heard]
+        received = [one.report for name, one in self.received.items() if counts_in(name)]
+        reports = [own, *received]
         seen = sum(one.seen for one in reports)
         nodes = sum(one.nodes for one in reports)
-        for one in heard:
+        for one in received:
             work = work.plus(one.work)
         if not seen:
             return SpeedReport(self.idle.value, 0, nodes, work)
@@ -277,7 +277,7 @@
         """Return what all learned, to plan by, or None while it isn't enough."""
         report = self.report(now, work)
         is_known = self.idle.seen >= KNOWN_AFTER or (
-            report.seen >= KNOWN_AFTER and report.seen >= KNOWN_BY_EACH * report.nodes
+            report.seen >= KNOWN_AFTER and report.seen >= KNOWN_PER_NODE * report.nodes
         )
         return report if is_known else None
 
--- a/plumarch/routing/engine_speed_test.py
+++ b/plumarch/routing/engine_speed_test.py
@@ -67,10 +67,10 @@
     speed = engine_speed.EngineSpeed()
     for _ in range(300):
         speed.first_token(1_000, 10_000_000)
-    assert speed.typical.value <= engine_speed.HIGHEST_MS_PER_TOKEN
+    assert speed.typical.value <= engine_speed.MAX_MS_PER_TOKEN
     for _ in range(600):
         speed.first_token(1_000_000, 0)
-    assert speed.typical.value >= engine_speed.LOWEST_MS_PER_TOKEN
+    assert speed.typical.value >= engine_speed.MIN_MS_PER_TOKEN
 
 
 def test_a_full_engine_is_waited_for_as_long_as_its_places_take():
--- a/plumarch/routing/locality_choice.py
+++ b/plumarch/routing/locality_choice.py
@@ -20,23 +20,23 @@
 """Part of the expected time that must be gained before a request leaves its region: learned times
 are not surer than that, and bytes between regions are dear."""
 
-MAX_SPILLED = 0.5
+MAX_SPILL_FRACTION = 0.5
 """Part of the requests that leave at most while the region answers in time: what is taken away
 shows in the figures a second later only, and the region's endpoints stay in use until then."""
 
-SPARE_PLACES = 0.25
+MIN_SPARE_FRACTION = 0.25
 """Part of an endpoint's slots that must be free for spill-over to it: they are kept for callers of
 its own region, so that one region's load doesn't make the next one spill over in turn."""
 
-NEAR_EQUAL = 0.25
+EQUAL_MARGIN = 0.25
 """Endpoints expected within this part more than the best count as equally good."""
 
 
-class Leaves(enum.Enum):
+class LeaveReason(enum.Enum):
     """Why a request leaves its region."""
 
-    NO_ROOM_NEAR = "no_room_near"
-    NEARER_SLOWER = "nearer_slower"
+    NO_LOCAL_CAPACITY = "no_room_near"
+    REMOTE_FASTER = "nearer_slower"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
         ...
 
     @property
-    def free_places(self) -> int:
+    def free_slots(self) -> int:
         """Slots there that nothing is known to take."""
         ...
 
@@ -87,18 +87,18 @@
 AnyOption = TypeVar("AnyOption", bound=Option)
 
 
-def near_and_away(
+def local_and_remote(
     candidates: Sequence[traffic.Endpoint], distances: distance.Distances | None
 ) -> tuple[Sequence[traffic.Endpoint], Sequence[traffic.Endpoint]]:
     """Return the endpoints of the own region, and all others."""
     if distances is None or not distances.regions:
         return candidates, ()
-    near: list[traffic.Endpoint] = []
-    away: list[traffic.Endpoint] = []
+    local: list[traffic.Endpoint] = []
+    remote: list[traffic.Endpoint] = []
     own = distances.own_region()
     for one in candidates:
-        (near if distances.region_of(one.data_centre) == own else away).append(one)
-    return near, away
+        (local if distances.region_of(one.data_centre) == own else remote).append(one)
+    return local, remote
 
 
 def by_region(
@@ -112,13 +112,15 @@
     return list(regions.values())
 
 
-def stays(best: Option | None, away: Sequence[traffic.Endpoint], terms: Terms, seed: int) -> bool:
+def stays_local(
+    best: Option | None, remote: Sequence[traffic.Endpoint], terms: Terms, seed: int
+) -> bool:
     """Return whether the region's best endpoint is taken without a look at other regions.
 
     A repeated request stays as well, since the region has room. So do those that don't belong to
     the part that may leave, whatever the other regions have.
     """
-    if not away:
+    if not remote:
         return True
     if best is None:
         return False
@@ -126,12 +128,12 @@
         return True
     if best.expected_ms > min(terms.late_ms, terms.time_left_ms):
         return False
-    return best.expected_ms <= terms.enough_ms or _fraction(seed, "leaves") >= MAX_SPILLED
+    return best.expected_ms <= terms.enough_ms or _fraction(seed, "leaves") >= MAX_SPILL_FRACTION
 
 
 def choose(
-    best: AnyOption | None, away: Iterable[AnyOption], terms: Terms, seed: int
-) -> tuple[AnyOption | None, Leaves | None]:
+    best: AnyOption | None, remote: Iterable[AnyOption], terms: Terms, seed: int
+) -> tuple[AnyOption | None, LeaveReason | None]:
     """Choose between the region's best endpoint and those of other regions.
 
     Args:
@@ -141,16 +143,16 @@
       The choice, and why it leaves the region if it does. There is no choice if the region has
       none and none elsewhere can answer in time.
     """
-    in_time = [one for one in away if one.expected_ms <= terms.time_left_ms]
+    in_time = [one for one in remote if one.expected_ms <= terms.time_left_ms]
     if best is None:
-        return _drawn(in_time, seed), Leaves.NO_ROOM_NEAR
+        return _draw(in_time, seed), LeaveReason.NO_LOCAL_CAPACITY
     spare = [one for one in in_time if _has_spare(one, terms)]
     if not spare:
         return best, None
     soonest_ms = min(one.expected_ms for one in spare)
-    if _fraction(seed, "leaves") >= spilled_part(best.expected_ms, soonest_ms, terms):
+    if _fraction(seed, "leaves") >= spill_fraction(best.expected_ms, soonest_ms, terms):
         return best, None
-    return _drawn(spare, seed), Leaves.NEARER_SLOWER
+    return _draw(spare, seed), LeaveReason.REMOTE_FASTER
 
 
 def _has_spare(option: Option, terms: Terms) -> bool:
@@ -158,33 +160,33 @@
 
     Those must find free places, and be answered soon enough.
     """
-    if option.free_places <= SPARE_PLACES * option.endpoint.slots:
+    if option.free_slots <= MIN_SPARE_FRACTION * option.endpoint.slots:
         return False
     return not terms.enough_ms or option.expected_ms - option.network_ms <= terms.enough_ms
 
 
-def spilled_part(near_ms: float, away_ms: float, terms: Terms) -> float:
+def spill_fraction(local_ms: float, remote_ms: float, terms: Terms) -> float:
     """Return the part of requests that leave the region.
 
     Args:
-      near_ms: when an answer is expected from the region's best endpoint.
-      away_ms: when one is expected from the best of other regions.
+      local_ms: when an answer is expected from the region's best endpoint.
+      remote_ms: when one is expected from the best of other regions.
     """
-    gain = 1.0 - away_ms / max(1.0, near_ms)
+    gain = 1.0 - remote_ms / max(1.0, local_ms)
     if gain < MIN_GAIN:
         return 0.0
-    if near_ms > min(terms.late_ms, terms.time_left_ms):
+    if local_ms > min(terms.late_ms, terms.time_left_ms):
         return 1.0
-    return min(MAX_SPILLED, gain)
+    return min(MAX_SPILL_FRACTION, gain)
 
 
-def _drawn(options: Sequence[AnyOption], seed: int) -> AnyOption | None:
+def _draw(options: Sequence[AnyOption], seed: int) -> AnyOption | None:
     """Return one of the about equally good options, drawn by their free places."""
     if not options:
         return None
-    bound_ms = (1.0 + NEAR_EQUAL) * min(one.expected_ms for one in options)
+    bound_ms = (1.0 + EQUAL_MARGIN) * min(one.expected_ms for one in options)
     equal = [one for one in options if one.expected_ms <= bound_ms]
-    weights = [max(1, one.free_places) for one in equal]
+    weights = [max(1, one.free_slots) for one in equal]
     point = _fraction(seed, "endpoint") * sum(weights)
     for one, weight in zip(equal, weights, strict=True):
         point -= weight
--- a/plumarch/routing/locality_choice_test.py
+++ b/plumarch/routing/locality_choice_test.py
@@ -82,8 +82,8 @@
     found.report_loads("x", {"n0": at(24), "n1": at(24)})
     terms = dataclasses.replace(TERMS, enough_ms=100.0)
     choices = chosen_plain(found, AWAY + NEAR, terms)
-    left = [one for one in choices if one.leaves is locality_choice.Leaves.NEARER_SLOWER]
-    assert 0.3 < len(left) / len(choices) <= locality_choice.MAX_SPILLED + 0.05
+    left = [one for one in choices if one.leave_reason is locality_choice.LeaveReason.REMOTE_FASTER]
+    assert 0.3 < len(left) / len(choices) <= locality_choice.MAX_SPILL_FRACTION + 0.05
     counts = collections.Counter(one.endpoint.id for one in left)
     assert len(counts) == len(AWAY)
     assert max(counts.values()) < 0.3 * len(left)
@@ -93,7 +93,7 @@
     found = chooser()
     found.report_loads("x", {"n0": at(44), "n1": at(44)})
     choices = chosen_plain(found, AWAY + NEAR)
-    assert all(one.leaves is locality_choice.Leaves.NEARER_SLOWER for one in choices)
+    assert all(one.leave_reason is locality_choice.LeaveReason.REMOTE_FASTER for one in choices)
 
 
 def test_no_load_is_put_on_regions_that_need_their_places():
@@ -109,7 +109,7 @@
     found = chooser()
     found.report_loads("x", {"s0": at(4), "s1": at(4), "s2": at(4)})
     choices = chosen_plain(found, AWAY)
-    assert all(one.leaves is locality_choice.Leaves.NO_ROOM_NEAR for one in choices)
+    assert all(one.leave_reason is locality_choice.LeaveReason.NO_LOCAL_CAPACITY for one in choices)
     counts = collections.Counter(one.endpoint.id for one in choices)
     assert set(counts) >= {"s3", "e0", "e1", "e2", "e3"}
     assert max(counts.values()) < 0.35 * len(choices)
@@ -128,7 +128,7 @@
     hurried = locality_choice.Terms(time_left_ms=150.0)
     assert found.choose_plain(AWAY, 1, hurried) is None
     near = found.choose_plain(NEAR, 1, hurried)
-    assert near is not None and near.leaves is None
+    assert near is not None and near.leave_reason is None
     assert found.choose_engine(AWAY, (), 100, 1, hurried) is None
 
 
@@ -144,7 +144,7 @@
     found = chooser()
     found.report_loads("x", {"n0": at(44), "n1": at(44)})
     again = locality_choice.Terms(time_left_ms=300.0, repeated=True)
-    assert all(one.leaves is not None for one in chosen_plain(found, AWAY + NEAR, again))
+    assert all(one.leave_reason is not None for one in chosen_plain(found, AWAY + NEAR, again))
 
 
 SHARED = traffic.PromptPart("shared", 4_000)
@@ -163,7 +163,7 @@
             AWAY_ENGINES + NEAR_ENGINES, (shared, OWN), 4_500, seed, TERMS
         )
         assert choice is not None
-        assert (choice.endpoint.id, choice.leaves) == (owner, None)
+        assert (choice.endpoint.id, choice.leave_reason) == (owner, None)
 
 
 def test_another_regions_owner_is_taken_only_where_it_beats_reading_anew():
@@ -181,7 +181,7 @@
     fast.report_loads("x", loads)
     fast.speed("s").typical.value = 0.006
     choice = fast.choose_engine(AWAY_ENGINES + NEAR_ENGINES, *prompt, 3, late)
-    assert choice is not None and choice.leaves is None
+    assert choice is not None and choice.leave_reason is None
 
 
 def test_learned_work_does_not_grow_with_waiting():
--- a/plumarch/routing/ownership.py
+++ b/plumarch/routing/ownership.py
@@ -24,28 +24,30 @@
         groups.setdefault((endpoint.kind, endpoint.targets), []).append(endpoint)
     found: dict[str, str] = {}
     for group in groups.values():
-        found |= _share(sorted(group, key=lambda e: e.name), centre_of)
+        found |= _assign_evenly(sorted(group, key=lambda e: e.name), centre_of)
     return found
 
 
-def _share(group: list[data.Endpoint], centre_of: dict[str, str]) -> dict[str, str]:
+def _assign_evenly(group: list[data.Endpoint], centre_of: dict[str, str]) -> dict[str, str]:
     if not centre_of:
         return {}
-    least, more = divmod(len(group), len(centre_of))
+    least, rest = divmod(len(group), len(centre_of))
     load = dict.fromkeys(centre_of, 0)
     found: dict[str, str] = {}
     # Near nodes first, each up to an even share; what is left goes wherever there is room.
-    for limit in (least, least + 1 if more else least):
-        for near in (True, False):
+    for limit in (least, least + 1 if rest else least):
+        for same_centre in (True, False):
             for endpoint in group:
                 if endpoint.name not in found:
-                    nodes = _nodes_for(endpoint, centre_of, near)
+                    nodes = _eligible_nodes(endpoint, centre_of, same_centre)
                     _assign(endpoint, nodes, limit, load, found)
     return found
 
 
-def _nodes_for(endpoint: data.Endpoint, centre_of: dict[str, str], near: bool) -> list[str]:
-    if not near:
+def _eligible_nodes(
+    endpoint: data.Endpoint, centre_of: dict[str, str], same_centre: bool
+) -> list[str]:
+    if not same_centre:
         return list(centre_of)
     return [node for node, centre in centre_of.items() if centre == endpoint.data_centre]
 
--- a/plumarch/routing/placement.py
+++ b/plumarch/routing/placement.py
@@ -33,7 +33,7 @@
 UNREACHABLE_MS = 2_000
 """How long an endpoint that could not be connected to is used only if there is no other."""
 
-EJECT_SHARE = 0.3
+MAX_EJECTED_FRACTION = 0.3
 """At most this share of a target's endpoints is out at once."""
 
 SAMPLE = 32
@@ -45,7 +45,7 @@
 REPORT_AGE_MS = 15_000
 """A load report older than this says nothing."""
 
-SPILL_SHARE = 0.5
+SPILL_FRACTION = 0.5
 """An endpoint that another node owns is used only while reported under this share."""
 
 NOT_OWNED_MS = 200.0
@@ -56,12 +56,12 @@
 
 PREFIXES_LIMIT = 10_000
 
-SMOOTHING = 0.2
-MEASURED_LEAST = 5
+DELAY_WEIGHT = 0.2
+MIN_MEASUREMENTS = 5
 
 
 @dataclasses.dataclass(slots=True)
-class Seen:
+class EndpointStats:
     """What this node knows of an endpoint besides its description.
 
     Attributes:
@@ -76,17 +76,17 @@
     reported_ms: int = 0
     delay_ms: float = 0.0
     measured: int = 0
-    out_until_ms: int = 0
+    ejected_until_ms: int = 0
     unreachable_until_ms: int = 0
-    rests_until_ms: int = 0
+    backoff_until_ms: int = 0
     announced: float | None = None
     announced_ms: int = 0
     permits: token_bucket.TokenBucket | None = None
     cached: dict[int, int] = dataclasses.field(default_factory=dict)
 
-    def is_in(self, now: int) -> bool:
+    def is_usable(self, now: int) -> bool:
         """Return whether the endpoint is left out for no reason."""
-        return max(self.out_until_ms, self.unreachable_until_ms, self.rests_until_ms) <= now
+        return max(self.ejected_until_ms, self.unreachable_until_ms, self.backoff_until_ms) <= now
 
 
 class Placement:
@@ -95,12 +95,12 @@
     def __init__(self, ctx: context.Context) -> None:
         self.ctx = ctx
         self.endpoints: dict[str, data.Endpoint] = {}
-        self.seen: dict[str, Seen] = {}
+        self.stats: dict[str, EndpointStats] = {}
         self.leaving: dict[str, int] = {}
         self.by_target: dict[tuple[data.EndpointKind, str], list[data.Endpoint]] = {}
         self.by_prefix: dict[int, str] = {}
         self.owned: frozenset[str] = frozenset()
-        self.sharers = 1
+        self.live_nodes = 1
 
     def update(self, listed: tuple[data.Endpoint, ...]) -> list[str]:
         """Take in the platform's list.
@@ -111,14 +111,14 @@
         now_there = {endpoint.name: endpoint for endpoint in listed}
         gone = [name for name in self.endpoints if name not in now_there]
         for name in gone:
-            self.seen.pop(name, None)
+            self.stats.pop(name, None)
             self.leaving.pop(name, None)
         for name, endpoint in now_there.items():
             known = self.endpoints.get(name)
             if known is not None and known.address != endpoint.address:
-                self.seen.pop(name, None)
+                self.stats.pop(name, None)
                 self.leaving.pop(name, None)
-            self.seen.setdefault(name, Seen())
+            self.stats.setdefault(name, EndpointStats())
         self.endpoints = now_there
         self._index()
         return gone
@@ -129,7 +129,7 @@
             for target in endpoint.targets:
                 self.by_target.setdefault((endpoint.kind, target), []).append(endpoint)
 
-    def share_out(self, centre_of: dict[str, str]) -> None:
+    def assign_owners(self, centre_of: dict[str, str]) -> None:
         """Find out which endpoints this node admits requests to alone.
 
         Args:
@@ -142,7 +142,7 @@
         ]
         owners = ownership.owners(staying, centre_of)
         self.owned = frozenset(name for name, node in owners.items() if node == self.ctx.node)
-        self.sharers = max(1, len(centre_of))
+        self.live_nodes = max(1, len(centre_of))
 
     def leave(self, name: str, at_ms: int) -> bool:
         """Mark an endpoint as leaving: it gets no new work from now on.
@@ -157,23 +157,23 @@
 
     def report(self, report: data.LoadReport) -> None:
         """Take in a load report; it is some seconds old."""
-        seen = self.seen.get(report.endpoint)
-        if seen is not None:
-            seen.reported = report.running + report.queued
-            seen.reported_own = seen.in_flight
-            seen.reported_ms = self.ctx.now()
+        stats = self.stats.get(report.endpoint)
+        if stats is not None:
+            stats.reported = report.running + report.queued
+            stats.reported_own = stats.in_flight
+            stats.reported_ms = self.ctx.now()
 
     def started(self, name: str, prefix: int) -> None:
         """Count a request handed to an endpoint."""
-        seen = self.seen.setdefault(name, Seen())
-        seen.in_flight += 1
-        if seen.permits is not None:
-            seen.permits.take(1)
+        stats = self.stats.setdefault(name, EndpointStats())
+        stats.in_flight += 1
+        if stats.permits is not None:
+            stats.permits.take(1)
         if prefix:
-            seen.cached.pop(prefix, None)
-            seen.cached[prefix] = self.ctx.now()
-            if len(seen.cached) > CACHE_ENTRIES:
-                del seen.cached[next(iter(seen.cached))]
+            stats.cached.pop(prefix, None)
+            stats.cached[prefix] = self.ctx.now()
+            if len(stats.cached) > CACHE_ENTRIES:
+                del stats.cached[next(iter(stats.cached))]
             self.by_prefix.pop(prefix, None)
             self.by_prefix[prefix] = name
             if len(self.by_prefix) > PREFIXES_LIMIT:
@@ -181,25 +181,25 @@
 
     def ended(self, name: str) -> None:
         """Count a request that is no longer at an endpoint."""
-        seen = self.seen.get(name)
-        if seen is not None and seen.in_flight > 0:
-            seen.in_flight -= 1
+        stats = self.stats.get(name)
+        if stats is not None and stats.in_flight > 0:
+            stats.in_flight -= 1
 
     def unreachable(self, name: str) -> None:
         """Leave an endpoint alone for a while that could not even be connected to."""
-        seen = self.seen.get(name)
-        if seen is not None:
-            seen.unreachable_until_ms = self.ctx.now() + UNREACHABLE_MS
+        stats = self.stats.get(name)
+        if stats is not None:
+            stats.unreachable_until_ms = self.ctx.now() + UNREACHABLE_MS
 
-    def rest(self, name: str, rest_ms: float) -> None:
+    def back_off(self, name: str, backoff_ms: float) -> None:
         """Leave an endpoint alone for as long as it asked for when it refused a request.
 
         It runs little by refusing, and would be the best choice for the next request.
         """
-        seen = self.seen.get(name)
-        if seen is not None:
-            until_ms = self.ctx.now() + endpoint_backoff.bounded_ms(rest_ms)
-            seen.rests_until_ms = max(seen.rests_until_ms, until_ms)
+        stats = self.stats.get(name)
+        if stats is not None:
+            until_ms = self.ctx.now() + endpoint_backoff.bounded_ms(backoff_ms)
+            stats.backoff_until_ms = max(stats.backoff_until_ms, until_ms)
 
     def rate_announced(self, name: str, per_s: float | None, sent_ms: int) -> bool:
         """Apply the rate that an answer announces, or that it announces none.
@@ -209,53 +209,53 @@
         Returns:
           Whether that is another rate than before.
         """
-        seen = self.seen.get(name)
-        if seen is None or (per_s is None and sent_ms < seen.announced_ms):
+        stats = self.stats.get(name)
+        if stats is None or (per_s is None and sent_ms < stats.announced_ms):
             return False
         now = self.ctx.now()
-        changed = per_s != seen.announced
+        changed = per_s != stats.announced
         if per_s is None:
-            seen.permits = None
+            stats.permits = None
         else:
-            seen.announced_ms = now
+            stats.announced_ms = now
             if changed:
-                seen.permits = rate_allocator.new_bucket(per_s, now)
-        seen.announced = per_s
+                stats.permits = rate_allocator.new_bucket(per_s, now)
+        stats.announced = per_s
         return changed
 
     def measured(self, name: str, delay_ms: int) -> None:
         """Take in how long an endpoint took to its first answer."""
-        seen = self.seen.get(name)
-        if seen is None:
+        stats = self.stats.get(name)
+        if stats is None:
             return
-        seen.measured += 1
-        if seen.measured == 1 or seen.out_until_ms:
-            seen.delay_ms = float(delay_ms)
-            seen.out_until_ms = 0
+        stats.measured += 1
+        if stats.measured == 1 or stats.ejected_until_ms:
+            stats.delay_ms = float(delay_ms)
+            stats.ejected_until_ms = 0
         else:
-            seen.delay_ms += SMOOTHING * (delay_ms - seen.delay_ms)
-        self._eject_if_slow(name, seen)
+            stats.delay_ms += DELAY_WEIGHT * (delay_ms - stats.delay_ms)
+        self._eject_if_slow(name, stats)
 
-    def _eject_if_slow(self, name: str, seen: Seen) -> None:
+    def _eject_if_slow(self, name: str, stats: EndpointStats) -> None:
         endpoint = self.endpoints.get(name)
-        if endpoint is None or seen.measured < MEASURED_LEAST:
+        if endpoint is None or stats.measured < MIN_MEASUREMENTS:
             return
         peers = [e for e in self.endpoints.values() if e.targets == endpoint.targets]
         delays = sorted(
-            self.seen[p.name].delay_ms
+            self.stats[p.name].delay_ms
             for p in peers
-            if p.name != name and self.seen[p.name].measured >= MEASURED_LEAST
+            if p.name != name and self.stats[p.name].measured >= MIN_MEASUREMENTS
         )
         if len(delays) < 2:
             return
         median = delays[len(delays) // 2]
-        out = sum(1 for p in peers if self.seen[p.name].out_until_ms)
-        slow = seen.delay_ms > EJECT_FACTOR * max(median, 1.0)
-        if slow and out + 1 <= EJECT_SHARE * len(peers):
-            seen.out_until_ms = self.ctx.now() + EJECT_MS
-            seen.measured = 0
+        out = sum(1 for p in peers if self.stats[p.name].ejected_until_ms)
+        slow = stats.delay_ms > EJECT_FACTOR * max(median, 1.0)
+        if slow and out + 1 <= MAX_EJECTED_FRACTION * len(peers):
+            stats.ejected_until_ms = self.ctx.now() + EJECT_MS
+            stats.measured = 0
             self.ctx.count("endpoints_ejected", label=name)
-            self.ctx.note(None, "eject", name, f"{seen.delay_ms:.0f} ms against {median:.0f} ms")
+            self.ctx.note(None, "eject", name, f"{stats.delay_ms:.0f} ms against {median:.0f} ms")
 
     def choose(
         self, request: data.Request, allowed: frozenset[str], tried: frozenset[str] = frozenset()
@@ -270,11 +270,11 @@
           The endpoint with the best score, or None if no one has room; and all
           that were considered.
         """
-        alone = not self._serves_itself(request)
+        owns_none = not self._owns_usable(request)
         fit: list[tuple[float, str]] = []
         unfit: list[data.Considered] = []
         for endpoint in self._candidates(request, allowed):
-            note = self._unfit(endpoint, request, allowed, alone)
+            note = self._unfit(endpoint, request, allowed, owns_none)
             if note:
                 unfit.append(data.Considered(endpoint.name, -1.0, note))
                 continue
@@ -314,7 +314,7 @@
         endpoint: data.Endpoint,
         request: data.Request,
         allowed: frozenset[str],
-        alone: bool,
+        owns_none: bool,
     ) -> str:
         """Return why an endpoint can't take a request, or "" if it can.
 
@@ -328,41 +328,43 @@
             return "leaving"
         if allowed and endpoint.data_centre not in allowed:
             return "data centre not allowed"
-        seen = self.seen[endpoint.name]
-        if seen.out_until_ms > self.ctx.now():
+        stats = self.stats[endpoint.name]
+        if stats.ejected_until_ms > self.ctx.now():
             return "ejected as slow"
-        if seen.rests_until_ms > self.ctx.now():
+        if stats.backoff_until_ms > self.ctx.now():
             return "asked for rest"
-        if seen.permits is not None:
+        if stats.permits is not None:
             # The rate is the sum over all nodes; each endpoint has one owner, who can count it.
             if endpoint.name not in self.owned:
                 return "another node's, announces a rate"
-            if seen.permits.fill(self.ctx.now()) < 1.0:
+            if stats.permits.fill(self.ctx.now()) < 1.0:
                 return "its announced rate is used"
         if endpoint.name in self.owned:
-            if seen.in_flight >= self._room(endpoint, request):
+            if stats.in_flight >= self._admission_limit(endpoint, request):
                 return "full"
             return ""
-        if seen.in_flight >= max(1, endpoint.capacity // self.sharers):
+        if stats.in_flight >= max(1, endpoint.capacity // self.live_nodes):
             return "this node's share is used"
-        if alone or request.request_class is data.RequestClass.LOOKUP:
+        if owns_none or request.request_class is data.RequestClass.LOOKUP:
             return ""
-        age = self.ctx.now() - seen.reported_ms
-        if not seen.reported_ms or age > REPORT_AGE_MS:
+        age = self.ctx.now() - stats.reported_ms
+        if not stats.reported_ms or age > REPORT_AGE_MS:
             return "another node's, its load unknown"
-        if seen.reported > endpoint.capacity * SPILL_SHARE:
+        if stats.reported > endpoint.capacity * SPILL_FRACTION:
             return "another node's, in use"
         return ""
 
-    def _serves_itself(self, request: data.Request) -> bool:
+    def _owns_usable(self, request: data.Request) -> bool:
         """Return whether this node owns an endpoint of the target that can be used."""
         now = self.ctx.now()
         return any(
-            e.name in self.owned and e.name not in self.leaving and self.seen[e.name].is_in(now)
+            e.name in self.owned
+            and e.name not in self.leaving
+            and self.stats[e.name].is_usable(now)
             for e in self.by_target.get((request.kind, request.target), [])
         )
 
-    def _room(self, endpoint: data.Endpoint, request: data.Request) -> int:
+    def _admission_limit(self, endpoint: data.Endpoint, request: data.Request) -> int:
         """Return how many requests may be there before this one is turned away."""
         if request.request_class is data.RequestClass.LOOKUP:
             return endpoint.capacity
@@ -371,33 +373,33 @@
 
     def load(self, name: str) -> int:
         """Return the requests at an endpoint: own ones exactly, others' as last reported."""
-        seen = self.seen[name]
+        stats = self.stats[name]
         if name in self.owned:
-            return seen.in_flight
-        others = max(0, seen.reported - seen.reported_own)
-        return seen.in_flight + others
+            return stats.in_flight
+        others = max(0, stats.reported - stats.reported_own)
+        return stats.in_flight + others
 
     def _score(self, endpoint: data.Endpoint, request: data.Request) -> float:
-        seen = self.seen[endpoint.name]
+        stats = self.stats[endpoint.name]
         score = self.load(endpoint.name) * WAIT_MS_PER_REQUEST * 8 / endpoint.capacity
-        if request.kind is data.EndpointKind.ENGINE and request.prefix not in seen.cached:
+        if request.kind is data.EndpointKind.ENGINE and request.prefix not in stats.cached:
             score += request.prompt_tokens * PREFILL_MS_PER_TOKEN
         if endpoint.data_centre != self.ctx.data_centre:
             score += OTHER_DATA_CENTRE_MS
         if endpoint.name not in self.owned:
             score += NOT_OWNED_MS
-        if seen.unreachable_until_ms > self.ctx.now():
+        if stats.unreachable_until_ms > self.ctx.now():
             score += TRIED_MS
         return score + endpoint.price * PRICE_MS
 
-    def owned_places(self, request: data.Request) -> tuple[int, int]:
+    def owned_capacity(self, request: data.Request) -> tuple[int, int]:
         """Return the places of a target that this node admits to, and those in use."""
         total = 0
         used = 0
         for endpoint in self.by_target.get((request.kind, request.target), []):
             if endpoint.name in self.owned and endpoint.name not in self.leaving:
-                total += self._room(endpoint, request)
-                used += self.seen[endpoint.name].in_flight
+                total += self._admission_limit(endpoint, request)
+                used += self.stats[endpoint.name].in_flight
         return total, used
 
     def has_target(self, request: data.Request, allowed: frozenset[str]) -> bool:
--- a/plumarch/routing/placement_test.py
+++ b/plumarch/routing/placement_test.py
@@ -13,7 +13,7 @@
     ctx = context.Context("a1#1", "a", clock.ManualClock(1_000), random.Random(1))
     made = placement.Placement(ctx)
     made.update(endpoints)
-    made.share_out({"a1#1": "a"})
+    made.assign_owners({"a1#1": "a"})
     return made
 
 
@@ -71,7 +71,7 @@
 
 def test_a_slow_endpoint_is_ejected_and_probed_back() -> None:
     made = places(*(endpoint(name) for name in "vwxyz"))
-    for _ in range(placement.MEASURED_LEAST):
+    for _ in range(placement.MIN_MEASUREMENTS):
         for name in "wxyz":
             made.measured(name, 100)
         made.measured("v", 1_000)
@@ -86,9 +86,9 @@
 def test_no_more_than_a_share_is_ejected() -> None:
     made = places(*(endpoint(name) for name in "abcdefghij"))
     for name, delay in [(n, 100) for n in "efghij"] + [(n, 5_000) for n in "abcd"]:
-        for _ in range(placement.MEASURED_LEAST):
+        for _ in range(placement.MIN_MEASUREMENTS):
             made.measured(name, delay)
-    out = [name for name, seen in made.seen.items() if seen.out_until_ms]
+    out = [name for name, seen in made.stats.items() if seen.ejected_until_ms]
     assert len(out) == 3
 
 
@@ -109,7 +109,7 @@
 
 def test_other_nodes_endpoints_are_used_when_the_own_one_is_out() -> None:
     made = places(endpoint("x"), endpoint("y", data_centre="b"))
-    made.share_out({"a1#1": "a", "b1#1": "b"})
+    made.assign_owners({"a1#1": "a", "b1#1": "b"})
     assert made.owned == {"x"}
     assert chosen(made, chat()) == "x"
     made.unreachable("x")
@@ -118,7 +118,7 @@
 
 def test_another_nodes_endpoint_is_used_only_by_a_fresh_report_of_little_load() -> None:
     made = places(endpoint("x", capacity=1), endpoint("y", data_centre="b"))
-    made.share_out({"a1#1": "a", "b1#1": "b"})
+    made.assign_owners({"a1#1": "a", "b1#1": "b"})
     made.started("x", 0)
     assert chosen(made, chat()) == ""
     made.report(data.LoadReport("y", 1, 0))
--- a/plumarch/routing/relative_latency.py
+++ b/plumarch/routing/relative_latency.py
@@ -13,28 +13,27 @@
 
 from plumarch.core import clock, suspension, traffic
 
-SLOW = 2.5
+SLOW_RATIO = 2.5
 """Answers that take this many times as long as at the service's other endpoints make one slow;
 times of sound ones vary by less than that over a few answers."""
 
-HANGS = 4.0
+HANG_RATIO = 4.0
 """A request that is awaited for this many times as long as expected makes its endpoint slow. One
 request alone may be a long one, and is only avoided while others are free."""
 
-SLOW_CONNECT = 4.0
-"""A connect that takes this many times the endpoint's shortest, and SLOW_CONNECT_MS besides, counts
-as a slow answer: the endpoint accepts late, or its link loses packets."""
+SLOW_CONNECT_RATIO = 4.0
+"""A connect counts as slow above this multiple of the shortest one plus SLOW_CONNECT_MARGIN_MS."""
 
-SLOW_CONNECT_MS = 30.0
+SLOW_CONNECT_MARGIN_MS = 30.0
 """What a busy process may add to a short connect without fault of the endpoint."""
 
 WEIGHT = 0.25
 """Weight of an answer; two or three slow ones make an endpoint slow, one alone never does."""
 
-MOST = 6.0
+MAX_RATIO = 6.0
 """The longest time that counts, in multiples of what was expected: one answer proves no more."""
 
-FORGOTTEN_MS = 3_000.0
+HALF_LIFE_MS = 3_000.0
 """Half of what was found is forgotten in this time without answers, so that a slow endpoint is
 tried again with a request in some seconds."""
 
@@ -48,14 +47,14 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Pace:
+class EndpointLatency:
     """What is known of one endpoint.
 
     Attributes:
       mean: time of its answers, in multiples of what was expected.
       at_ms: when the mean was last changed; it fades from then on.
       shortest_connect_ms: of all its connects.
-      awaited: by the number that `EndpointPaces.sent` gave, the oldest first.
+      awaited: by the number that `Latencies.sent` gave, the oldest first.
     """
 
     mean: float = 1.0
@@ -65,7 +64,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class EndpointPaces:
+class Latencies:
     """How slow endpoints are.
 
     Attributes:
@@ -75,17 +74,17 @@
 
     clock: clock.Clock
     suspensions: suspension.Suspensions
-    known: dict[str, Pace] = dataclasses.field(default_factory=dict)
+    known: dict[str, EndpointLatency] = dataclasses.field(default_factory=dict)
     last: int = 0
 
     def connected(self, endpoint: str, took_ms: float) -> None:
         """Take in how long a connection took to come up."""
-        pace = self.known.setdefault(endpoint, Pace(at_ms=self.clock.now()))
-        shortest = pace.shortest_connect_ms
+        latency = self.known.setdefault(endpoint, EndpointLatency(at_ms=self.clock.now()))
+        shortest = latency.shortest_connect_ms
         if shortest is None or took_ms < shortest:
-            pace.shortest_connect_ms = took_ms
-        elif took_ms > SLOW_CONNECT_MS + SLOW_CONNECT * shortest:
-            self._observe(pace, SLOW_CONNECT)
+            latency.shortest_connect_ms = took_ms
+        elif took_ms > SLOW_CONNECT_MARGIN_MS + SLOW_CONNECT_RATIO * shortest:
+            self._observe(latency, SLOW_CONNECT_RATIO)
 
     def sent(self, endpoint: str, expected_ms: float) -> int:
         """Count a request sent.
@@ -93,9 +92,9 @@
         Returns:
           A number to end it by.
         """
-        pace = self.known.setdefault(endpoint, Pace(at_ms=self.clock.now()))
+        latency = self.known.setdefault(endpoint, EndpointLatency(at_ms=self.clock.now()))
         self.last += 1
-        pace.awaited[self.last] = Awaited(self.clock.now(), max(1.0, expected_ms))
+        latency.awaited[self.last] = Awaited(self.clock.now(), max(1.0, expected_ms))
         return self.last
 
     def answered(self, endpoint: str, number: int) -> float | None:
@@ -104,22 +103,22 @@
         Returns:
           How long it took, in multiples of what was expected, or None if it is not awaited.
         """
-        pace = self.known.get(endpoint)
-        awaited = pace.awaited.pop(number, None) if pace is not None else None
-        if pace is None or awaited is None or self.suspensions.since(awaited.sent_ms):
+        latency = self.known.get(endpoint)
+        awaited = latency.awaited.pop(number, None) if latency is not None else None
+        if latency is None or awaited is None or self.suspensions.since(awaited.sent_ms):
             return None
-        took = (self.clock.now() - awaited.sent_ms) / awaited.expected_ms
-        self._observe(pace, took)
-        return took
+        ratio = (self.clock.now() - awaited.sent_ms) / awaited.expected_ms
+        self._observe(latency, ratio)
+        return ratio
 
     def ended(self, endpoint: str, number: int) -> None:
         """Forget a request that is over; one that was given up without an answer was slow."""
-        pace = self.known.get(endpoint)
-        awaited = pace.awaited.pop(number, None) if pace is not None else None
-        if pace is not None and awaited is not None:
+        latency = self.known.get(endpoint)
+        awaited = latency.awaited.pop(number, None) if latency is not None else None
+        if latency is not None and awaited is not None:
             waited = self._waited_ms(awaited) / awaited.expected_ms
-            if waited > HANGS:
-                self._observe(pace, waited)
+            if waited > HANG_RATIO:
+                self._observe(latency, waited)
 
     def _waited_ms(self, awaited: Awaited) -> float:
         """Return how long this process has run and waited for a first byte."""
@@ -128,30 +127,30 @@
             since_ms = self.suspensions.woke_ms
         return self.clock.now() - since_ms
 
-    def _observe(self, pace: Pace, took: float) -> None:
+    def _observe(self, latency: EndpointLatency, ratio: float) -> None:
         now = self.clock.now()
-        before = self._faded(pace, now)
-        pace.mean = before + WEIGHT * (min(MOST, took) - before)
-        pace.at_ms = now
+        before = self._decayed(latency, now)
+        latency.mean = before + WEIGHT * (min(MAX_RATIO, ratio) - before)
+        latency.at_ms = now
 
-    def _faded(self, pace: Pace, now: int) -> float:
-        return 1.0 + (pace.mean - 1.0) * math.pow(0.5, (now - pace.at_ms) / FORGOTTEN_MS)
+    def _decayed(self, latency: EndpointLatency, now: int) -> float:
+        return 1.0 + (latency.mean - 1.0) * math.pow(0.5, (now - latency.at_ms) / HALF_LIFE_MS)
 
     def score(self, endpoint: str) -> float:
         """Return how slow an endpoint is, in multiples of what is expected."""
-        pace = self.known.get(endpoint)
-        if pace is None:
+        latency = self.known.get(endpoint)
+        if latency is None:
             return 1.0
-        score = pace.mean
-        if not pace.awaited and score <= SLOW:
+        score = latency.mean
+        if not latency.awaited and score <= SLOW_RATIO:
             return score
         now = self.clock.now()
         if score > 1.0:
-            score = self._faded(pace, now)
-        for oldest in pace.awaited.values():
+            score = self._decayed(latency, now)
+        for oldest in latency.awaited.values():
             waited = self._waited_ms(oldest) / oldest.expected_ms
-            if waited > HANGS:
-                score = max(score, min(MOST, waited))
+            if waited > HANG_RATIO:
+                score = max(score, min(MAX_RATIO, waited))
             break
         return score
 
@@ -162,10 +161,12 @@
         """
         known = self.known
         scores = {one.id: self.score(one.id) if one.id in known else 1.0 for one in endpoints}
-        if len(scores) < 2 or max(scores.values()) <= SLOW:
+        if len(scores) < 2 or max(scores.values()) <= SLOW_RATIO:
             return {}
-        usual = max(1.0, statistics.median_low(scores.values()))
-        return {name: score / usual for name, score in scores.items() if score > SLOW * usual}
+        median = max(1.0, statistics.median_low(scores.values()))
+        return {
+            name: score / median for name, score in scores.items() if score > SLOW_RATIO * median
+        }
 
     def without_slow(
         self, endpoints: Sequence[traffic.Endpoint], running: Callable[[str], int]
@@ -184,12 +185,12 @@
         quick = [one for one in endpoints if one.id not in slow]
         if any(running(one.id) < one.slots for one in quick):
             return quick
-        open_slow = [
+        usable_slow = [
             one
             for one in endpoints
             if one.id in slow and running(one.id) < one.slots / slow[one.id]
         ]
-        return quick + open_slow
+        return quick + usable_slow
 
     def retain(self, endpoints: set[str]) -> None:
         """Forget endpoints that no longer exist."""
--- a/plumarch/routing/relative_latency_test.py
+++ b/plumarch/routing/relative_latency_test.py
@@ -18,15 +18,15 @@
 
     def __init__(self) -> None:
         self.time = clock.ManualClock()
-        self.paces = relative_latency.EndpointPaces(self.time, suspension.Suspensions(self.time))
+        self.latencies = relative_latency.Latencies(self.time, suspension.Suspensions(self.time))
 
     def answer(self, endpoint: str, times: float) -> None:
-        number = self.paces.sent(endpoint, EXPECTED_MS)
+        number = self.latencies.sent(endpoint, EXPECTED_MS)
         self.time.advance_to(self.time.now() + round(times * EXPECTED_MS))
-        self.paces.answered(endpoint, number)
+        self.latencies.answered(endpoint, number)
 
     def ids(self, running: dict[str, int]) -> list[str]:
-        found = self.paces.without_slow(endpoints(3), lambda name: running.get(name, 0))
+        found = self.latencies.without_slow(endpoints(3), lambda name: running.get(name, 0))
         return [one.id for one in found]
 
 
@@ -65,27 +65,27 @@
 
 def test_an_endpoint_that_hangs_is_noticed_before_its_request_is_given_up():
     service = Service()
-    number = service.paces.sent("e0", EXPECTED_MS)
-    service.time.advance_to(round(relative_latency.HANGS * EXPECTED_MS) + 1)
+    number = service.latencies.sent("e0", EXPECTED_MS)
+    service.time.advance_to(round(relative_latency.HANG_RATIO * EXPECTED_MS) + 1)
     assert service.ids({}) == ["e1", "e2"]
-    service.paces.ended("e0", number)
+    service.latencies.ended("e0", number)
     service.time.advance_to(60_000)
     assert len(service.ids({})) == 3
 
 
 def test_slow_connects_count():
     service = Service()
-    service.paces.connected("e0", 2.0)
+    service.latencies.connected("e0", 2.0)
     for _ in range(10):
-        service.paces.connected("e0", 200.0)
+        service.latencies.connected("e0", 200.0)
     assert service.ids({}) == ["e1", "e2"]
 
 
 def test_far_endpoints_with_steady_connects_are_not_slow():
     service = Service()
     for _ in range(10):
-        service.paces.connected("e0", 80.0)
-        service.paces.connected("e1", 1.0)
+        service.latencies.connected("e0", 80.0)
+        service.latencies.connected("e1", 1.0)
     assert len(service.ids({})) == 3
 
 
--- a/plumarch/routing/return_times.py
+++ b/plumarch/routing/return_times.py
@@ -16,7 +16,7 @@
 """What is expected later than this is not known well enough to name it; a judgement: a booted
 engine and its first queue."""
 
-SPREAD = 0.3
+MAX_SPREAD = 0.3
 """Part by which return times are lengthened at random at most; a judgement: a third of a queue's
 drain spreads those who wait for it over as long as it takes to serve some of them."""
 
@@ -31,7 +31,7 @@
     return expected_ms - target_ms
 
 
-def when_a_place_is_free(running: int, slots: int, run_ms: float) -> float:
+def when_slot_is_free(running: int, slots: int, run_ms: float) -> float:
     """Return when the first of those that run at endpoints that are full is expected to end.
 
     Args:
@@ -51,4 +51,4 @@
 def spread(wait_ms: float, rng: random.Random) -> float:
     """Return a return time within its bounds, lengthened at random, in whole ms."""
     bounded = min(MAX_MS, max(MIN_MS, wait_ms))
-    return float(math.ceil(bounded * (1.0 + rng.uniform(0.0, SPREAD))))
+    return float(math.ceil(bounded * (1.0 + rng.uniform(0.0, MAX_SPREAD))))
--- a/plumarch/routing/return_times_test.py
+++ b/plumarch/routing/return_times_test.py
@@ -10,9 +10,9 @@
 
 
 def test_a_full_service_has_room_once_the_first_one_ends():
-    assert return_times.when_a_place_is_free(24, 24, 2_400.0) == 100.0
-    assert return_times.when_a_place_is_free(36, 24, 2_400.0) == 1_300.0
-    assert return_times.when_a_place_is_free(0, 0, 80.0) == 80.0
+    assert return_times.when_slot_is_free(24, 24, 2_400.0) == 100.0
+    assert return_times.when_slot_is_free(36, 24, 2_400.0) == 1_300.0
+    assert return_times.when_slot_is_free(0, 0, 80.0) == 80.0
 
 
 def test_times_are_bounded_and_those_of_many_callers_differ():
@@ -21,4 +21,4 @@
     assert all(1_000.0 <= one <= 1_300.0 for one in found)
     assert len(set(found)) > 25
     assert return_times.spread(-5.0, rng) >= return_times.MIN_MS
-    assert return_times.spread(1e9, rng) <= return_times.MAX_MS * (1 + return_times.SPREAD)
+    assert return_times.spread(1e9, rng) <= return_times.MAX_MS * (1 + return_times.MAX_SPREAD)
--- a/plumarch/routing/version_split.py
+++ b/plumarch/routing/version_split.py
@@ -10,16 +10,16 @@
 
 from plumarch.core import clock, hashing, rollouts, traffic
 
-HELD_BACK_MS = 3_000
+NEW_VERSION_DELAY_MS = 3_000
 """A version that a service never had gets nothing for this long, unless it is the only one: its
 endpoints may be told before the order to roll it out. That is how long the duties may be without
 a holder, who alone reads orders."""
 
-OLD_GO_MS = 6_000
+OLD_VERSION_DRAIN_MS = 6_000
 """For this long after a completion old endpoints get nothing: they stop at once, but their entries
 stay for up to three of their heartbeats, 3.6 s. Later a further version may come by itself."""
 
-TOLD_MS = 30_000
+PUBLISH_RETENTION_MS = 30_000
 """How long a split that is over is told on; a node silent for longer is forgotten."""
 
 
@@ -77,14 +77,14 @@
         running = rollouts.RolloutState.RUNNING
         return [one.split for one in self.known.values() if one.split.state is running]
 
-    def told(self) -> list[rollouts.VersionSplit]:
+    def to_publish(self) -> list[rollouts.VersionSplit]:
         """Return what is to be told to other nodes: what runs, or was over a while ago."""
         now = self.clock.now()
         running = rollouts.RolloutState.RUNNING
         return [
             one.split
             for one in self.known.values()
-            if one.split.state is running or now - one.at_ms < TOLD_MS
+            if one.split.state is running or now - one.at_ms < PUBLISH_RETENTION_MS
         ]
 
     def groups(
@@ -97,7 +97,7 @@
           repeated: whether it failed at an endpoint already; then it goes to the old version.
         """
         versions = {one.version for one in ready}
-        self._note(service, versions)
+        self._record_versions(service, versions)
         split = self.of(service)
         if split is None:
             return [self._without_new(service, versions, ready)]
@@ -107,14 +107,14 @@
             return [old]
         if split.state is rollouts.RolloutState.COMPLETED:
             age_ms = self.clock.now() - self.known[service].at_ms
-            return [list(ready) if age_ms >= OLD_GO_MS else new or old]
+            return [list(ready) if age_ms >= OLD_VERSION_DRAIN_MS else new or old]
         if split.share >= 1.0:
             return [new, old]
         if repeated or not new or not _is_chosen(split, request):
             return [old]
-        return [_as_loaded_as_old(new, split.share), old]
+        return [_equally_loaded(new, split.share), old]
 
-    def _note(self, service: str, versions: set[str]) -> None:
+    def _record_versions(self, service: str, versions: set[str]) -> None:
         seen = self.first_seen.setdefault(service, {})
         now = self.clock.now()
         for version in versions:
@@ -130,13 +130,13 @@
         if len(versions) < 2:
             return list(ready)
         seen = self.first_seen[service]
-        newest = max(versions, key=lambda version: (seen[version], _order(version)))
-        if self.clock.now() - seen[newest] >= HELD_BACK_MS:
+        newest = max(versions, key=lambda version: (seen[version], _version_order(version)))
+        if self.clock.now() - seen[newest] >= NEW_VERSION_DELAY_MS:
             return list(ready)
         return [one for one in ready if one.version != newest]
 
 
-def _order(version: str) -> tuple[int, str]:
+def _version_order(version: str) -> tuple[int, str]:
     """Return what versions are ordered by: v10 comes after v9."""
     digits = "".join(letter for letter in version if letter.isdigit())
     return int(digits or 0), version
@@ -147,7 +147,7 @@
     return point < split.share
 
 
-def _as_loaded_as_old(new: Sequence[traffic.Endpoint], share: float) -> list[traffic.Endpoint]:
+def _equally_loaded(new: Sequence[traffic.Endpoint], share: float) -> list[traffic.Endpoint]:
     """Return so many of the new endpoints that each is as busy as an old one.
 
     A version that is bad only under load would look good on endpoints that are all but idle.
--- a/plumarch/routing/version_split_test.py
+++ b/plumarch/routing/version_split_test.py
@@ -103,7 +103,7 @@
 
 def test_a_version_that_comes_long_after_a_completion_is_used():
     known = knowing(split(1.0, state=COMPLETED))
-    known.clock.advance_to(known.clock.now() + version_split.OLD_GO_MS)
+    known.clock.advance_to(known.clock.now() + version_split.OLD_VERSION_DRAIN_MS)
     assert {one.version for one in first_of(known, "q")} == {"v1", "v2"}
 
 
@@ -120,7 +120,7 @@
     known.clock.advance_to(20_000)
     assert known.groups("s", OLD + NEW, "q", repeated=False) == [OLD]
     assert known.groups("s", NEW, "q", repeated=False) == [NEW]
-    known.clock.advance_to(20_000 + version_split.HELD_BACK_MS)
+    known.clock.advance_to(20_000 + version_split.NEW_VERSION_DELAY_MS)
     assert known.groups("s", OLD + NEW, "q", repeated=False) == [OLD + NEW]
 
 
@@ -132,12 +132,12 @@
 
 def test_splits_are_told_while_they_run_and_for_a_while_after():
     known = knowing(split(0.5))
-    known.clock.advance_to(10 * version_split.TOLD_MS)
-    assert len(known.told()) == 1
+    known.clock.advance_to(10 * version_split.PUBLISH_RETENTION_MS)
+    assert len(known.to_publish()) == 1
     known.adopt(split(0.0, step=2, state=ROLLED_BACK))
-    assert len(known.told()) == 1
-    known.clock.advance_to(known.clock.now() + version_split.TOLD_MS)
-    assert known.told() == []
+    assert len(known.to_publish()) == 1
+    known.clock.advance_to(known.clock.now() + version_split.PUBLISH_RETENTION_MS)
+    assert known.to_publish() == []
 
 
 NEWS = strategies.lists(
--- a/plumarch/standins/region_replay.py
+++ b/plumarch/standins/region_replay.py
@@ -196,7 +196,7 @@
         is_engine = self.work.prompt_tokens > 0
         live = [one.endpoint for name, one in self.endpoints.items() if name not in self.gone]
         demand = endpoint_limits.Demand(is_engine=is_engine)
-        ready = self.limits.with_room(self.service, live, node.chooser.running, demand)
+        ready = self.limits.with_capacity(self.service, live, node.chooser.running, demand)
         seed = self.rng.randrange(1 << 30)
         if is_engine:
             tokens, terms = self.work.prompt_tokens, self.work.terms
--- a/tests/bounds_test.py
+++ b/tests/bounds_test.py
@@ -166,7 +166,7 @@
     places = world.hosts["a1"].node.placement
     for prefix in range(1, 10):
         places.started("a-engine-0", prefix)
-    assert list(places.seen["a-engine-0"].cached) == [8, 9]
+    assert list(places.stats["a-engine-0"].cached) == [8, 9]
     assert list(places.by_prefix) == [7, 8, 9]
 
 
