--- a/plumarch/routing/__init__.py
+++ b/plumarch/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Where a request runs."""
+"""Endpoint selection for requests."""
--- a/plumarch/routing/answer_times.py
+++ b/plumarch/routing/answer_times.py
@@ -1,30 +1,28 @@
-"""How long answers take, and whether one took far longer than it should."""
+"""Detects answers that take far longer than expected."""
 
 import dataclasses
 
 from plumarch.routing import engine_speed
 
 SLOW_FACTOR = 2.0
-"""A first event that takes this many times as long as an engine typically needs to read the whole
-prompt and what waits before it counts as far too late. The whole prompt, since a new engine holds
-no part of it yet: a version four times as slow is told by prompts with little in common."""
+"""A first event is slow above this multiple of the time to read the whole prompt and the queue
+ahead. The whole prompt counts, since a new engine has nothing cached."""
 
 SLOW_PLAIN_FACTOR = 2.5
-"""The same for a plain request, against the mean of its route; times there vary more: 2 in 100
-answers of lognormal times with a spread of 0.5 take longer."""
+"""The same for a plain answer, against the mean of its route; plain times vary more."""
 
 KNOWN_AFTER = 5
-"""Answers of a route from which on its mean says something. A judgement."""
+"""Answers of a route before its mean is used."""
 
 
 @dataclasses.dataclass(slots=True)
 class AnswerTimes:
-    """Mean times of plain routes, of the versions that serve already."""
+    """Mean answer times of plain routes, over the versions already in service."""
 
     by_route: dict[str, engine_speed.RunningMean] = dataclasses.field(default_factory=dict)
 
     def observe(self, route: str, took_ms: float) -> None:
-        """Take in how long a sound answer took."""
+        """Record the time of a successful answer."""
         mean = self.by_route.get(route)
         if mean is None:
             mean = self.by_route[route] = engine_speed.RunningMean(took_ms)
@@ -41,10 +39,10 @@
 def is_slow_first_event(
     speed: engine_speed.EngineSpeed, tokens: float, capacity_wait_ms: float, took_ms: float
 ) -> bool:
-    """Return whether a first event came far later than it should.
+    """Return whether a first event came far later than expected.
 
     Args:
-      tokens: of the whole prompt and of what waited before it.
+      tokens: of the whole prompt and of what was queued before it.
     """
     usual_ms = speed.base_ms.value + speed.reading_ms(tokens) + capacity_wait_ms
     return took_ms > SLOW_FACTOR * usual_ms
--- a/plumarch/routing/concurrency_limit.py
+++ b/plumarch/routing/concurrency_limit.py
@@ -1,71 +1,67 @@
-"""How many requests one endpoint is given at once, when it shows that it bears fewer.
+"""Limits the concurrent requests of an endpoint that shows signs of overload.
 
-Additive increase, multiplicative decrease, without I/O: the limit comes down at refusals, falls and
-answers that are far too late, and grows again with time. It goes neither below the places that the
-endpoint is known to have, nor above what it is given in calm times. The test compares it with a
-rule that follows the gradient of the time to the first byte (docs/design/pressure-endpoints.md).
+Additive increase, multiplicative decrease: the limit drops at rejections, crashes and late answers,
+and grows back with time, between the endpoint's slots and its limit without overload.
 """
 
 import dataclasses
 from typing import Protocol
 
 DECREASE = 0.8
-"""Part of what an endpoint held that it is given after it refused or fell: the next request must
-not bring it there again, and a fifth is as much as nodes differ in what they know of each other."""
+"""Factor on the load at a rejection or crash, with a margin for requests that other nodes sent."""
 
 LATE_DECREASE = 0.95
-"""The same after an answer that was far too late, which costs its caller less than a fall."""
+"""Factor after a late answer, which costs its caller less than a crash."""
 
 LATE_FACTOR = 3.0
-"""Answers that take this many times the usual time are late; a queue of twice the places, which
-calm times allow, makes them take up to three times as long."""
+"""Answers are late above this multiple of the usual time; the queue allowed without overload
+explains anything below."""
 
 LATE_INTERVAL_MS = 200
-"""Late answers lower the limit once in this time: those that were sent together come together."""
+"""Late answers lower the limit once per this time: requests sent together are late together."""
 
 RECOVERY_MS = 4_000.0
-"""The limit grows from its lowest to its highest in this time: callers that were turned away are
-back within seconds, and find what was found too much only once in that time."""
+"""Time in which the limit grows from its minimum to its maximum."""
 
 CRASH_RETENTION_MS = 60_000
-"""What made an endpoint fall isn't tried again for this long: a fall costs all that it held, a
-refusal one send."""
+"""A load that crashed an endpoint is not tried again for this long: a crash costs all its requests,
+a rejection only one."""
 
 USUAL_WEIGHT = 0.02
-"""Weight of an answer in the usual time; some fifty answers are what an endpoint usually takes."""
+"""Weight of an answer in the usual time."""
 
 RECENT_WEIGHT = 0.2
-"""Weight of an answer in the recent time; five answers show what callers get now."""
+"""Weight of an answer in the recent time."""
 
 
 class ConcurrencyLimit(Protocol):
-    """How much an endpoint may hold.
+    """Limit of the concurrent requests at an endpoint.
 
     Attributes:
-      most: what it may hold in calm times.
+      maximum: the limit without overload.
     """
 
     maximum: float
 
     def value(self, now: int) -> float:
-        """Return how much it may hold now."""
+        """Return the current limit."""
         ...
 
     def answered(self, running: float, took: float, now: int) -> None:
-        """Take in how long a first byte took.
+        """Handle a first byte.
 
         Args:
-          held: how many the endpoint held when it came.
-          took: the time, in multiples of what was expected of an endpoint of the service.
+          running: requests at the endpoint when it came.
+          took: its time, in multiples of what was expected of an endpoint of the service.
         """
         ...
 
     def refused(self, running: float, now: int) -> None:
-        """Take in that it refused a request as too much, while it held so many."""
+        """Handle a rejection of a request as too much, with so many running."""
         ...
 
     def crashed(self, running: float, now: int) -> None:
-        """Take in that it fell over, while it held so many."""
+        """Handle a crash with so many running."""
         ...
 
 
@@ -77,7 +73,7 @@
     recent: float = 1.0
 
     def observe(self, took: float) -> None:
-        """Take in a time; the usual one learns little from late answers, or it would follow."""
+        """Add a time; late ones are capped for the usual time, or it would follow them."""
         bounded = min(took, LATE_FACTOR * self.usual)
         self.usual += USUAL_WEIGHT * (bounded - self.usual)
         self.recent += RECENT_WEIGHT * (took - self.recent)
@@ -89,14 +85,14 @@
 
 @dataclasses.dataclass(slots=True)
 class AdditiveIncrease:
-    """Comes down by a part at bad signs, and grows evenly with time.
+    """Multiplicative decrease at signs of overload, linear increase with time.
 
     Attributes:
-      least: it never goes below this.
-      most: what it may hold in calm times.
-      low: what it came down to when it last did.
-      lowered_ms: when that was, or None before.
-      ceiling: what it may hold at most until `ceiling_until_ms`, after a fall.
+      minimum: lower bound of the limit.
+      maximum: the limit without overload.
+      low: the limit after the last decrease.
+      lowered_ms: when that was, or None.
+      ceiling: upper bound until `ceiling_until_ms`, after a crash.
     """
 
     minimum: float
@@ -108,7 +104,7 @@
     times: TimeMeans = dataclasses.field(default_factory=TimeMeans)
 
     def value(self, now: int) -> float:
-        """Return how much it may hold now."""
+        """Return the current limit."""
         top = min(self.maximum, self.ceiling) if now < self.ceiling_until_ms else self.maximum
         if self.lowered_ms is None or self.low >= top:
             return top
@@ -116,7 +112,7 @@
         return self.low + (top - self.low) * grown
 
     def answered(self, running: float, took: float, now: int) -> None:
-        """Come down a little while answers are late and more requests are held than places."""
+        """Lower the limit slightly while answers are late and more requests than slots run."""
         self.times.observe(took)
         if running <= self.minimum or not self.times.are_late():
             return
@@ -124,11 +120,11 @@
             self._decrease_to(LATE_DECREASE * self.value(now), now)
 
     def refused(self, running: float, now: int) -> None:
-        """Come down below what it held."""
+        """Lower the limit below the load at the rejection."""
         self._decrease_to(min(self.value(now), DECREASE * running), now)
 
     def crashed(self, running: float, now: int) -> None:
-        """Come down below what it held, and stay there for long."""
+        """Lower the limit below the load at the crash, for CRASH_RETENTION_MS."""
         self.ceiling = max(self.minimum, DECREASE * running)
         self.ceiling_until_ms = now + CRASH_RETENTION_MS
         self._decrease_to(DECREASE * self.ceiling, now)
--- a/plumarch/routing/crash_guard.py
+++ b/plumarch/routing/crash_guard.py
@@ -1,9 +1,7 @@
-"""What a service's other endpoints are given after one of them fell over.
+"""Limits what the other endpoints of a service are given after one of them crashed.
 
-An endpoint that falls gives its load back at once: its callers and this fleet repeat it, and the
-next endpoint may fall under it. So after a fall the service as a whole takes on a bounded share of
-what was lost, which grows again with time, urgent requests first. And what made one endpoint fall
-is kept from the others: they have as much memory as it had, as far as anybody knows.
+The load of a crashed endpoint is repeated at once and may crash the next one, so it is admitted
+gradually, urgent requests first. The load that caused the crash becomes a limit for the others.
 """
 
 import dataclasses
@@ -12,39 +10,38 @@
 from plumarch.routing import concurrency_limit
 
 INITIAL_FRACTION = 0.25
-"""Part of what the fallen endpoint held that the others may take on at once. With four others or
-more each gets a sixteenth of its load, which is less than loads differ anyhow."""
+"""Fraction of a crashed endpoint's requests that the others may take on at once."""
 
 UNLIMITED_PEERS = 16
-"""Others of a service among which the whole load of a fallen endpoint is let in at once: each gets
-a sixteenth of it at most, as with INITIAL_FRACTION among four."""
+"""With this many other endpoints the whole load is admitted at once: each gets a sixteenth of it at
+most, as with INITIAL_FRACTION among four."""
 
 RAMP_MS = 4_000
-"""Time in which the rest of it is let in: a caller that was turned away comes back within it."""
+"""Time over which the rest is admitted; rejected callers come back within it."""
 
 RANK_STEP = 0.05
-"""Part of the room that each rank leaves to the more urgent ones."""
+"""Fraction of the admitted load that each rank leaves to the more urgent ones."""
 
 MIN_RANK_FRACTION = 0.5
-"""The least urgent ranks still get this part of the room, so that none is starved."""
+"""The least urgent ranks still get this fraction, so that none is starved."""
 
 LOSS_WINDOW_MS = 250
-"""Connections of an endpoint that are lost within this time are lost together: a crash ends all at
-once, and this is a connect's time limit, within which a process sees them end."""
+"""Connections lost within this time count as lost together: a crash ends all at once, and a process
+sees them end within the connect timeout."""
 
 CRASH_LOSSES = 2
-"""Connections lost together that are a fall. One alone may be the fault of its own request."""
+"""Connections lost together that count as a crash; one alone may be caused by its request."""
 
 
 @dataclasses.dataclass(slots=True)
 class Losses:
-    """Connections that one endpoint lost lately.
+    """Connections that one endpoint lost recently.
 
     Attributes:
       first_ms: when the first of them was lost.
-      held: requests that it held then.
-      weight: what they weighed.
-      count: how many were lost since; LOSSES make a fall.
+      running: requests at the endpoint then.
+      weight: their weight, in tokens.
+      count: connections lost since; CRASH_LOSSES make a crash.
     """
 
     first_ms: int
@@ -55,14 +52,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Crash:
-    """An endpoint fell.
+    """A crash of an endpoint.
 
     Attributes:
       endpoint: its identifier.
-      held: requests that it held.
-      weight: what they weighed, in tokens.
-      slots: requests that it worked on at once.
-      elsewhere: requests that the service's other endpoints held then.
+      running: requests at the endpoint.
+      weight: their weight, in tokens.
+      slots: requests that it works on at once.
+      elsewhere: requests at the service's other endpoints then.
     """
 
     endpoint: str
@@ -73,23 +70,24 @@
     elsewhere: int
 
     def by_count(self) -> bool:
-        """Return whether it held more requests than it works on at once.
+        """Return whether it had more requests than slots.
 
-        One that fell with less was lost for another reason, or by what its requests weighed.
+        Otherwise the cause was their weight, or none of the load at all.
         """
         return self.running > self.slots
 
 
 @dataclasses.dataclass(slots=True)
 class ServiceCrashes:
-    """What falls taught about the endpoints of one service.
+    """What crashes showed of the endpoints of one service.
 
     Attributes:
-      last: the latest fall under more than endpoints bear every day.
-      per_slot: requests for each slot that an endpoint may hold, or None.
-      weight: what the requests of an endpoint may weigh, or None.
-      learned_ms: when the two before were learned; they are forgotten after CRASH_RETENTION_MS.
-      borne: the greatest weight under which an endpoint answered since this process started.
+      last: the latest crash under more load than endpoints regularly sustain.
+      per_slot: maximum requests for each slot of an endpoint, or None.
+      weight: maximum weight of an endpoint's requests, in tokens, or None.
+      learned_ms: when the two were learned; they expire after CRASH_RETENTION_MS.
+      max_sustained_weight: greatest weight under which an endpoint answered since this process
+        started.
     """
 
     last: Crash | None = None
@@ -101,10 +99,10 @@
 
 @dataclasses.dataclass(slots=True)
 class CrashGuard:
-    """Falls of endpoints, by service, and the losses by which they are noticed.
+    """Crashes by service, and the lost connections that reveal them.
 
     Attributes:
-      losses: connections lost lately, by endpoint identifier.
+      losses: recently lost connections, by endpoint identifier.
     """
 
     clock: clock.Clock
@@ -115,9 +113,9 @@
         """Count a connection that ended while its request ran.
 
         Args:
-          held: requests at the endpoint, with this one.
+          running: requests at the endpoint, including this one.
         Returns:
-          What was lost, once it shows that the endpoint fell; each fall is told once.
+          The losses once they amount to a crash; each crash is returned once.
         """
         now = self.clock.now()
         losses = self.losses.get(endpoint)
@@ -127,10 +125,10 @@
         return losses if losses.count == CRASH_LOSSES else None
 
     def connect_failed(self, endpoint: str) -> Losses | None:
-        """Take in that an endpoint can't be connected to.
+        """Handle a failed connect to an endpoint.
 
         Returns:
-          What was lost, if it had lost one connection just before; that makes it a fall.
+          The losses if a connection was lost just before, which makes it a crash.
         """
         losses = self.losses.get(endpoint)
         if losses is None or losses.count >= CRASH_LOSSES:
@@ -141,19 +139,19 @@
         return losses
 
     def note_answer(self, endpoint: str) -> None:
-        """Take in an answer: what the endpoint lost before it was no fall."""
+        """Handle an answer: earlier losses of the endpoint were no crash."""
         self.losses.pop(endpoint, None)
 
     def observe_load(self, service: str, weight: float) -> None:
-        """Take in that an endpoint answered well while its requests weighed so much."""
+        """Record the weight of the requests at an endpoint that answered."""
         crashes = self.services.setdefault(service, ServiceCrashes())
         crashes.max_sustained_weight = max(weight, crashes.max_sustained_weight)
 
     def crashed(self, service: str, crash: Crash) -> None:
-        """Take in a fall.
+        """Learn limits from a crash.
 
-        One under no more than endpoints bear every day is a loss like any other, and its load may
-        go to the others at once.
+        A crash under regularly sustained load teaches nothing, and its load may move to the others
+        at once.
         """
         crashes = self.services.setdefault(service, ServiceCrashes())
         by_weight = crash.weight > crashes.max_sustained_weight > 0
@@ -169,19 +167,16 @@
         crashes.last = crash
 
     def per_slot(self, service: str) -> float | None:
-        """Return how many requests for each slot an endpoint may hold by falls, or None.
-
-        It is 1 at least: a fall says nothing against an endpoint's slots.
-        """
+        """Return the maximum of requests per slot learned from crashes, at least 1, or None."""
         crashes = self._learned(service)
         if crashes is None or crashes.per_slot is None:
             return None
         return max(1.0, crashes.per_slot)
 
     def weight(self, service: str) -> float | None:
-        """Return what an endpoint's requests may weigh by what falls taught, or None.
+        """Return the maximum weight of an endpoint's requests learned from crashes, or None.
 
-        It is no less than what another one bore since.
+        It is no less than what another endpoint sustained since.
         """
         crashes = self._learned(service)
         if crashes is None or crashes.weight is None:
@@ -198,7 +193,7 @@
         return None
 
     def recent(self, service: str) -> Crash | None:
-        """Return the last fall of a service while its load is still let in by parts."""
+        """Return the last crash of a service while its load is still being admitted gradually."""
         crashes = self.services.get(service)
         if crashes is None or crashes.last is None:
             return None
@@ -208,7 +203,7 @@
         """Return in how many ms a service takes on a request of a rank; 0 is now.
 
         Args:
-          running: requests at all its endpoints that are left.
+          running: requests at all its remaining endpoints.
           slots: requests that they work on at once; below that nothing waits.
           rank: 0 is the most urgent.
         """
--- a/plumarch/routing/data_centre_reach.py
+++ b/plumarch/routing/data_centre_reach.py
@@ -1,10 +1,8 @@
-"""Which data centres can be reached from here, judged by connections to their endpoints.
+"""Excludes data centres that can't be reached, judged by connects to their endpoints.
 
-A data centre that is cut off fails all connections alike, and each takes until its time limit to
-fail. Endpoints are judged one by one (endpoint_health), and never more than half of them are left
-out; so a cut would cost every request a vain try or two. Here two failures in a row at endpoints
-of one data centre, with none that came up between them, leave all of it out for a while, and
-then one connection tries again.
+Endpoint health never ejects more than half of the endpoints, so a network partition would cost
+every request failed attempts. Two failed connects in a row exclude a data centre for a while, then
+one connect probes it.
 """
 
 import dataclasses
@@ -15,26 +13,24 @@
 """One failure may be a single endpoint's, two in a row without a success hardly are."""
 
 FIRST_PAUSE_MS = 700
-"""How long a data centre is left out at first; a judgement: three times the time that a
-connection may take."""
+"""How long a data centre is excluded at first."""
 
 PAUSE_CONNECTS = 3
-"""Connections' time limits that the first pause stands for; so it grows with the distance."""
+"""Connect timeouts that a pause covers, so that it grows with the distance."""
 
 MAX_PAUSE_MS = 2_800
-"""The pause doubles up to this; cuts end after some seconds, and a data centre that is back is
-then used again within as long."""
+"""The pause doubles up to this."""
 
 
 @dataclasses.dataclass(slots=True)
 class Reach:
-    """What is known of one data centre.
+    """State of one data centre.
 
     Attributes:
-      failed: endpoints that could not be connected to since the last connection that came up.
-      excluded_until_ms: none of its endpoints gets work before then.
-      pauses: how often it was left out since then.
-      trying: whether a connection tries it again just now.
+      failed: endpoints that could not be connected to since the last successful connect.
+      excluded_until_ms: none of its endpoints gets requests before then.
+      pauses: how often it was excluded since then.
+      probing: whether a probe is under way.
       extra_ms: what its distance adds to each pause.
     """
 
@@ -54,17 +50,17 @@
     known: dict[str, Reach] = dataclasses.field(default_factory=dict)
 
     def connected(self, data_centre: str) -> None:
-        """Note a connection that came up."""
+        """Record a successful connect."""
         self.known.pop(data_centre, None)
 
     def failed(self, data_centre: str, endpoint: str, extra_ms: float = 0.0) -> bool:
-        """Note a connection that did not come up in time.
+        """Record a failed connect.
 
         Args:
-          extra_ms: by how much longer a connection there may take than one within the region; a
-            pause is longer by PAUSE_CONNECTS times as much.
+          extra_ms: by how much a connect there may take longer than one within the region; pauses
+            grow by PAUSE_CONNECTS times as much.
         Returns:
-          Whether the data centre is left out from now on.
+          Whether the data centre is excluded now.
         """
         if data_centre == self.own:
             return False
@@ -83,12 +79,12 @@
         return True
 
     def is_excluded(self, data_centre: str) -> bool:
-        """Return whether a data centre is left out now."""
+        """Return whether a data centre is excluded."""
         reach = self.known.get(data_centre)
         return reach is not None and self.clock.now() < reach.excluded_until_ms
 
     def begin_probe(self, data_centre: str) -> None:
-        """Leave a data centre out until the connection that tries it again has ended."""
+        """Exclude a data centre until the probe has ended."""
         reach = self.known.get(data_centre)
         if reach is not None and reach.pauses and self.clock.now() >= reach.excluded_until_ms:
             reach.probing = True
--- a/plumarch/routing/distance.py
+++ b/plumarch/routing/distance.py
@@ -1,8 +1,7 @@
-"""How far a data centre is from this one: its region, and the round trip to it.
+"""Estimates the distance of data centres: their region and the round trip to them.
 
-Regions come from the settings. A data centre that they don't name is a region of its own, since
-nothing is known of the way to it. Round trips are measured by connections that are opened anyway;
-before the first one a prior by locality stands in.
+Regions come from the settings; a data centre that they don't name is a region of its own. Round
+trips are measured by regular connects; until then a prior by locality is used.
 """
 
 import collections
@@ -14,7 +13,7 @@
 
 
 class Locality(enum.IntEnum):
-    """How near a data centre is; the nearest first."""
+    """Locality of a data centre, the nearest first."""
 
     SAME_DATA_CENTRE = 0
     SAME_REGION = 1
@@ -30,33 +29,29 @@
     Locality.SAME_REGION: 2.0,
     Locality.OTHER_REGION: 60.0,
 }
-"""Round trips in ms before one was measured, as operators state them for links inside a data
-centre, between those of a region, and between regions some hundred kilometres apart."""
+"""Assumed round trips in ms until enough connects were measured."""
 
 FRESH_CONNECTION_ROUND_TRIPS = 2
-"""Round trips until the first byte of an answer: one opens the connection, one carries the request;
-no connection is used twice."""
+"""Round trips until the first byte of an answer: connect and request; none is reused."""
 
 CONNECT_SAMPLES = 16
-"""Connections to a data centre that its round trip is judged by: few enough that another way
-there shows after a dozen sends, enough that a busy minute doesn't look like distance."""
+"""Recent connects to a data centre that its round trip is estimated from."""
 
 MIN_CONNECTS = 3
-"""Connections before which the prior stands: a first one may have waited for a busy process."""
+"""Connects before the prior is replaced: a first one may have waited for a busy process."""
 
 ESTIMATE_RANK = 1
-"""Which of the kept connections is taken for the way, the shortest being 0: waiting only ever adds
-to a way, and one that is too short to be true (an address that an endpoint nearer by has taken
-over) is passed over."""
+"""Rank of the connect used as the estimate, the shortest being 0: waiting only ever adds to a round
+trip, and a single implausibly short one, such as a reused address nearby, is skipped."""
 
 
 @dataclasses.dataclass(slots=True)
 class RoundTripEstimate:
-    """The last connections to the endpoints of a data centre.
+    """Recent connects to the endpoints of a data centre.
 
     Attributes:
-      connects_ms: how long each took, the oldest first.
-      round_trip_ms: what follows from them, or None while they are too few.
+      connects_ms: durations, the oldest first.
+      round_trip_ms: the estimate, or None while there are too few.
     """
 
     connects_ms: collections.deque[float] = dataclasses.field(
@@ -65,7 +60,7 @@
     round_trip_ms: float | None = None
 
     def connected(self, connect_ms: float) -> None:
-        """Take in a connection that came up."""
+        """Record the duration of a connect."""
         self.connects_ms.append(connect_ms)
         if len(self.connects_ms) >= MIN_CONNECTS:
             self.round_trip_ms = sorted(self.connects_ms)[ESTIMATE_RANK]
@@ -78,8 +73,8 @@
     Attributes:
       own: the data centre of this node.
       regions: the region of each data centre; empty where all are of one region.
-      measured: ways to data centres that endpoints were connected to, by data centre.
-      unnamed: data centres without a region that were told by `is_first_unnamed`.
+      measured: round trips of data centres whose endpoints were connected to, by data centre.
+      unnamed: data centres without a region that `is_first_unnamed` reported.
     """
 
     clock: clock.Clock
@@ -97,7 +92,7 @@
         return self.region_of(self.own)
 
     def locality(self, data_centre: str) -> Locality:
-        """Return how near a data centre is."""
+        """Return the locality of a data centre."""
         if data_centre == self.own:
             return Locality.SAME_DATA_CENTRE
         if self.region_of(data_centre) == self.own_region():
@@ -109,21 +104,21 @@
         return self.region_of(data_centre) == self.own_region()
 
     def is_first_unnamed(self, data_centre: str) -> bool:
-        """Return whether a data centre without a region is met for the first time."""
+        """Return whether a data centre without a region is seen for the first time."""
         if not self.regions or data_centre in self.regions or data_centre in self.unnamed:
             return False
         self.unnamed.add(data_centre)
         return True
 
     def connected(self, data_centre: str, connect_ms: float) -> None:
-        """Take in how long a connection to an endpoint took to come up: one round trip."""
+        """Record the duration of a connect to an endpoint: one round trip."""
         estimate = self.measured.get(data_centre)
         if estimate is None:
             estimate = self.measured[data_centre] = RoundTripEstimate()
         estimate.connected(connect_ms)
 
     def round_trip_ms(self, data_centre: str) -> float:
-        """Return the expected time there and back, in ms."""
+        """Return the expected round trip in ms."""
         estimate = self.measured.get(data_centre)
         if estimate is not None and estimate.round_trip_ms is not None:
             return estimate.round_trip_ms
@@ -132,11 +127,10 @@
     def beyond_region_ms(self, data_centre: str) -> float:
         """Return the round trip to a data centre of another region; 0 within the region.
 
-        Time limits and learned times grow by it. Inside a region the ways are shorter than what a
-        busy process adds to them, and nothing depends on them.
+        Time limits and learned times grow by it. Within a region the latency is negligible.
         """
         return 0.0 if self.is_in_region(data_centre) else self.round_trip_ms(data_centre)
 
     def network_ms(self, data_centre: str) -> float:
-        """Return what a request on a fresh connection spends on the way to another region."""
+        """Return the network latency of a request to another region on a fresh connection."""
         return FRESH_CONNECTION_ROUND_TRIPS * self.beyond_region_ms(data_centre)
--- a/plumarch/routing/endpoint_backoff.py
+++ b/plumarch/routing/endpoint_backoff.py
@@ -1,10 +1,7 @@
-"""Endpoints that refused a request with a Retry-After: they get nothing until that time is over.
+"""Keeps requests away from endpoints that rejected one with a Retry-After.
 
-An endpoint that sheds its load runs little, and so looks like the best choice. Without this each
-further request is sent there first, is refused, and costs one of the fleet's repeats.
-
-An endpoint asks each node for this by itself, by what it gets from there. So it is not reported to
-other nodes.
+An endpoint that sheds load runs few requests, and would look like the best choice. A backoff
+applies to the node that was told, so it is not reported to other nodes.
 """
 
 import dataclasses
@@ -14,22 +11,21 @@
 from plumarch.core import clock, traffic
 
 MAX_MS = 600_000
-"""The longest backoff that is kept. Endpoints ask for seconds; one that names a day by a fault of
-its own is tried again after this, one request for each refusal."""
+"""Maximum backoff, against endpoints that name an excessive one by mistake."""
 
 
 def bounded_ms(retry_after_ms: float) -> int:
-    """Return for how long a Retry-After is kept to."""
+    """Return a Retry-After limited to MAX_MS."""
     return math.ceil(min(retry_after_ms, MAX_MS))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Backoff:
-    """What an endpoint asked for.
+    """The backoff of an endpoint.
 
     Attributes:
       id: the incarnation that a request was sent to.
-      alive_ms: time of day at which the process that asked for it was alive for certain.
+      alive_ms: time of day at which the process that sent it was certainly alive.
       until_ms: when it ends, by the steady clock.
     """
 
@@ -40,7 +36,7 @@
 
 @dataclasses.dataclass(slots=True)
 class EndpointBackoff:
-    """The backoffs that last, by what the endpoints call themselves."""
+    """Current backoffs, by endpoint name."""
 
     clock: clock.Clock
     known: dict[str, Backoff] = dataclasses.field(default_factory=dict)
@@ -48,13 +44,13 @@
     def note_retry_after(
         self, endpoint: traffic.Endpoint, alive_ms: int, retry_after_ms: float
     ) -> int:
-        """Note that an endpoint refused a request with a Retry-After.
+        """Record a rejection with a Retry-After.
 
         Args:
-          alive_ms: time of day at which the connection to the process that refused came up.
+          alive_ms: time of day at which the connection to the rejecting process was established.
           retry_after_ms: the time that it names.
         Returns:
-          How long it gets nothing from now on, in ms.
+          The remaining backoff in ms.
         """
         now = self.clock.now()
         self.known = {name: one for name, one in self.known.items() if one.until_ms > now}
@@ -66,14 +62,14 @@
         return until_ms - now
 
     def left_ms(self, endpoint: traffic.Endpoint) -> int:
-        """Return how much longer an endpoint gets nothing; 0 if it takes requests."""
+        """Return the remaining backoff of an endpoint in ms; 0 if it takes requests."""
         one = self.known.get(endpoint.called())
         if one is None or not endpoint.is_meant(one.id, one.alive_ms):
             return 0
         return max(0, one.until_ms - self.clock.now())
 
     def lasting(self, endpoints: Iterable[traffic.Endpoint]) -> dict[str, int]:
-        """Return how much longer endpoints get nothing, by identifier, without the others."""
+        """Return the remaining backoffs in ms, by identifier of the endpoint."""
         left = {one.id: self.left_ms(one) for one in endpoints}
         return {name: ms for name, ms in left.items() if ms}
 
@@ -84,5 +80,5 @@
         return [one for one in endpoints if not self.left_ms(one)]
 
     def first_left_ms(self, endpoints: Iterable[traffic.Endpoint]) -> int:
-        """Return when the first of endpoints takes requests again; 0 if one of them does."""
+        """Return the shortest remaining backoff in ms; 0 if an endpoint takes requests."""
         return min((self.left_ms(one) for one in endpoints), default=0)
--- a/plumarch/routing/endpoint_choice.py
+++ b/plumarch/routing/endpoint_choice.py
@@ -1,11 +1,8 @@
-"""Which endpoint a request goes to.
-
-Plain services: the least loaded one of the region. Engines: the one of the region that is
-expected to give the first token soonest, from the prompt tokens that wait there and from the
-parts of the prompt that it is expected to hold. What an engine holds is guessed from this
-node's own record, and for what this node never sent by rendezvous hashing among the engines of
-its region, which leads all nodes to the same one without a message. Whether a request leaves
-the region is weighed in ms (locality_choice).
+"""Chooses the endpoint of a request.
+
+Plain services: the least loaded local one. Engines: the local one with the earliest expected first
+token, by queued prompt tokens and by the prompt parts it is expected to have cached
+(engine_record). Whether a request leaves the region is decided in locality_choice.
 """
 
 import dataclasses
@@ -15,24 +12,22 @@
 from plumarch.routing import distance, engine_record, engine_speed, locality_choice, work_times
 
 OTHER_CENTRE_LOAD = 0.15
-"""What another data centre of the region costs, in parts of an endpoint's load."""
+"""Cost of another data centre of the region, as a fraction of an endpoint's load."""
 
 RUNNING_MS = 1.5
-"""What a running request delays a new one's first token by. Measured as 60 prompt tokens at
-engines that read 32 in a ms; it also keeps places free evenly."""
+"""Delay of a first token by each running request; it also spreads requests evenly."""
 
 OTHER_CENTRE_MS = 2.5
-"""What another data centre of the region costs: bytes between data centres are priced, and the
-round trip between them is some 2 ms."""
+"""Cost of another data centre of the region: its round trip and the price of traffic."""
 
 OWNER_CACHE_FRACTIONS = (0.8, 0.5)
-"""Part of a prompt that the engines chosen by hashing are expected to hold, the first one first:
-what the first has no room for goes to the second, by all nodes alike."""
+"""Fraction of a prompt that the engines selected by hashing are expected to have cached, first
+choice first; the second takes what the first has no capacity for."""
 
 
 @dataclasses.dataclass(slots=True)
 class Load:
-    """What waits and runs at one endpoint.
+    """Requests at one endpoint.
 
     Attributes:
       running: requests sent and not finished.
@@ -44,23 +39,23 @@
 
 
 NO_LOAD = Load()
-"""Stands for what nothing is known of; never changed."""
+"""Stands for an unknown load; never changed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """An endpoint, and what made it the choice.
+    """A chosen endpoint and the figures behind the choice.
 
     Attributes:
       cost: load of a plain endpoint, or ms until the first token as far as engines differ.
       unread_tokens: prompt tokens that it is expected to have to read.
       waiting_tokens: prompt tokens of others that it has to read before.
-      capacity_wait_ms: how long the request waits for a place there.
-      considered: how many endpoints there were.
-      network_ms: what it spends on the way, if the endpoint is of another region.
-      expected_ms: when its answer or first token is expected, with the way.
-      free_slots: slots there that nothing is known to take.
-      leaves: why it leaves the region, or None if it stays.
+      capacity_wait_ms: expected wait for a slot there.
+      considered: number of candidates.
+      network_ms: network latency, if the endpoint is remote.
+      expected_ms: expected time to the answer or first token, network latency included.
+      free_slots: slots not known to be in use.
+      leave_reason: why the request leaves the region, or None if it stays.
     """
 
     endpoint: traffic.Endpoint
@@ -80,8 +75,8 @@
 
 
 Weighed = tuple[traffic.Endpoint, float, float, Load, float]
-"""An engine, its cost in ms, the prompt tokens that it doesn't hold, its load, and the wait for a
-place there in ms."""
+"""An engine, its cost in ms, the prompt tokens that it has to read, its load, and the wait for a
+slot in ms."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -89,14 +84,14 @@
     """Loads of endpoints, and the choice among them.
 
     Attributes:
-      own: load that this node put on endpoints, by identifier.
-      reported_loads: load that others report, by who reports it and endpoint identifier.
-      others: the sum of what is told, by endpoint identifier. It is kept up to date with each
-        report, so that a choice costs as much in a large fleet as in a small one.
-      records: parts of prompts sent to engines, by identifier.
+      own: load from this node, by endpoint identifier.
+      reported_loads: load that others report, by source and endpoint identifier.
+      others: the sum of the reported loads, by endpoint identifier; updated with each report,
+        so that the cost of a choice does not grow with the fleet.
+      records: prompt parts sent to engines, by identifier.
       speeds: what is known of the engines of each service.
       work: how long plain services work on a request.
-      distances: how far data centres are; all are of one region if not given.
+      distances: distances of data centres; if None, all are of one region.
     """
 
     clock: clock.Clock
@@ -117,14 +112,14 @@
         return known
 
     def report_loads(self, source: str, loads: dict[str, Load]) -> None:
-        """Take in all that a source reports; replaces what it reported before."""
+        """Replace all loads that a source reported."""
         self.forget(source)
         self.reported_loads[source] = loads
         for endpoint, load in loads.items():
             self._add(endpoint, load.running, load.prompt_tokens)
 
     def report_load(self, source: str, endpoint: str, load: Load) -> None:
-        """Take in what a source reports of one endpoint."""
+        """Replace the load that a source reported of one endpoint."""
         loads = self.reported_loads.setdefault(source, {})
         before = loads.get(endpoint, NO_LOAD)
         loads[endpoint] = load
@@ -135,7 +130,7 @@
         )
 
     def forget(self, source: str) -> None:
-        """Drop what a source reported."""
+        """Drop the loads that a source reported."""
         for endpoint, load in self.reported_loads.pop(source, {}).items():
             self._add(endpoint, -load.running, -load.prompt_tokens)
 
@@ -195,7 +190,7 @@
         return dataclasses.replace(self._plain_choice(best, considered), cost=least)
 
     def _plain_choice(self, endpoint: traffic.Endpoint, considered: int) -> Choice:
-        """Return a plain endpoint as a choice, with when its answer is expected."""
+        """Return a plain endpoint as a choice, with its expected time."""
         running = self.running(endpoint.id)
         slots = max(1, endpoint.slots)
         work_ms = self.work.expected_ms(endpoint.service)
@@ -224,7 +219,7 @@
 
         Args:
           parts: the prompt's parts, in order; the last one may be the request's own.
-          prompt_tokens: the whole prompt.
+          prompt_tokens: of the complete prompt.
         """
         local, remote = locality_choice.local_and_remote(candidates, self.distances)
         keys = part_keys(parts)
@@ -261,7 +256,7 @@
     def _weigh(
         self, candidates: Iterable[traffic.Endpoint], prompt: engine_record.Prompt
     ) -> Iterator[Weighed]:
-        """Yield the engines of one region with their costs, the way there not counted."""
+        """Yield the engines of one region with their costs, without network latency."""
         owning = {name for names in prompt.owners for name in names}
         tokens, records = float(prompt.tokens), self.records
         for endpoint in candidates:
@@ -279,7 +274,7 @@
             yield endpoint, cost, unread, load, capacity_wait_ms
 
     def _engine_choice(self, weighed: Weighed, considered: int, network_ms: float) -> Choice:
-        """Return an engine as a choice, with when its first token is expected."""
+        """Return an engine as a choice, with the expected time of its first token."""
         endpoint, cost, unread, load, capacity_wait_ms = weighed
         cost += network_ms
         return Choice(
@@ -295,7 +290,7 @@
         )
 
     def _other_centre(self, endpoint: traffic.Endpoint) -> int:
-        """Return 1 for another data centre of the region; that of another region has its way."""
+        """Return 1 for a data centre other than this node's, else 0."""
         return 0 if endpoint.data_centre == self.data_centre else 1
 
     def _network_ms(self, data_centre: str) -> float:
@@ -315,7 +310,7 @@
         self.remember(choice, parts)
 
     def remember(self, choice: Choice, parts: Sequence[traffic.PromptPart]) -> None:
-        """Remember which parts an engine was sent."""
+        """Record the parts that an engine was sent."""
         if parts:
             record = self.records.setdefault(choice.endpoint.id, engine_record.EngineRecord())
             now = self.clock.now()
@@ -329,10 +324,10 @@
             load.prompt_tokens = max(0.0, load.prompt_tokens - choice.unread_tokens)
 
     def answered(self, choice: Choice, took_ms: float) -> None:
-        """Learn from a plain answer how long the service works on a request.
+        """Record how long a plain service took to answer.
 
         Args:
-          took_ms: since it was sent, without the way to another region.
+          took_ms: since it was sent, without network latency to another region.
         """
         self.work.answered(choice.endpoint.service, took_ms, choice.capacity_wait_ms)
 
@@ -348,20 +343,20 @@
             del self.own[choice.endpoint.id]
 
     def retain(self, endpoints: set[str]) -> None:
-        """Forget what engines held that no longer exist."""
+        """Drop the records of engines that no longer exist."""
         for name in [name for name in self.records if name not in endpoints]:
             del self.records[name]
 
 
 def _with_reason(choice: Choice | None, why: locality_choice.LeaveReason | None) -> Choice | None:
-    """Return a choice with the reason for which it leaves the region, if it does."""
+    """Return a choice with the reason for leaving the region, if it does."""
     return (
         choice if choice is None or why is None else dataclasses.replace(choice, leave_reason=why)
     )
 
 
 def _shared_part_count(parts: Sequence[traffic.PromptPart], prompt_tokens: int) -> int:
-    """Return how many parts others may share: all but the last one of a prompt named whole."""
+    """Return how many parts others may share: not the last one if the parts cover the prompt."""
     named = sum(part.tokens for part in parts)
     return len(parts) - 1 if len(parts) > 1 and named >= prompt_tokens else len(parts)
 
--- a/plumarch/routing/endpoint_health.py
+++ b/plumarch/routing/endpoint_health.py
@@ -1,14 +1,8 @@
-"""Which endpoints to leave out for a while, judged by answers to real requests.
+"""Ejects endpoints for a while, judged by answers to real requests.
 
-An endpoint is left out after several failures in a row, or when most of its recent answers
-failed, for a time that doubles with each relapse. Never more than half of a service's
-endpoints are left out: beyond that the failures are likely not the endpoints' own.
-
-One that fails some of its requests, and answers others in between, is never left out. Its record
-over more answers shows it, and requests go to those with a better one while they are free.
-
-One answer that another process has its address proves that an endpoint is not there: it is left
-out whatever is left.
+At most half of a service's endpoints are ejected: beyond that, the cause is likely elsewhere. One
+that fails only some requests is not ejected, but avoided while endpoints with a better record are
+free. One whose address belongs to another process is always left out.
 """
 
 import dataclasses
@@ -27,36 +21,33 @@
 MAX_EJECTION_MS = 15_000
 
 RECORD_DECAY = 0.95
-"""Weight of the past in the record, at each answer; some twenty answers tell an endpoint that
-fails one in seven from a sound one."""
+"""Weight of the past in the record, at each answer."""
 
 RECORD_HALF_LIFE_MS = 20_000.0
-"""Half of a record is forgotten in this time, so that an endpoint that was mended is tried again;
-by then a process has been restarted."""
+"""Half-life of a record, so that a repaired endpoint is tried again."""
 
 NEGLIGIBLE = 0.01
-"""A record with a smaller part of failures says nothing."""
+"""A record with a smaller fraction of failures is dropped."""
 
 WORSE_MARGIN = 0.06
-"""Part of failures by which a record must be worse than the best one before first sends avoid an
-endpoint: one or two failures in twenty answers."""
+"""First attempts avoid an endpoint whose record is worse than the best by this fraction."""
 
 ABSENT_MS = 10_000
-"""How long an endpoint is left out that is not at its address: an entry that an earlier process
-wrote late stands for the length of its lease, some seconds."""
+"""How long an endpoint that is not at its address is left out: the lease of an entry that an
+earlier process wrote late."""
 
 EQUAL_MARGIN = 0.02
-"""Records that differ by less are alike."""
+"""Records that differ by less count as equal."""
 
 
 @dataclasses.dataclass(slots=True)
 class Health:
-    """What is known of one endpoint.
+    """State of one endpoint.
 
     Attributes:
-      rate: decayed part of its answers that failed.
-      ejected_until_ms: it gets no work before then.
-      record: part of its answers that failed, over more answers; all failures weigh alike.
+      rate: decayed fraction of its answers that failed.
+      ejected_until_ms: it gets no requests before then.
+      record: fraction of its answers that failed, over more answers; all failures weigh alike.
       recorded_ms: when it last answered.
     """
 
@@ -70,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Absence:
-    """Where an endpoint was found not to be, and until when that is believed."""
+    """An address where an endpoint was not found, and until when that is assumed."""
 
     address: str
     until_ms: int
@@ -82,7 +73,7 @@
 
     Attributes:
       absences: endpoints that were not at their address.
-      paces: how slow endpoints are.
+      latencies: relative latencies of endpoints.
     """
 
     clock: clock.Clock
@@ -95,7 +86,7 @@
         self.latencies = relative_latency.Latencies(self.clock, self.suspensions)
 
     def success(self, endpoint: str) -> None:
-        """Count a sound answer."""
+        """Count a successful answer."""
         health = self.known.get(endpoint)
         if health is None:
             return
@@ -111,7 +102,7 @@
         Args:
           weight: below 1 for a failure that may not be the endpoint's fault.
         Returns:
-          Whether it is left out from now on.
+          Whether the endpoint is ejected now.
         """
         health = self.known.setdefault(endpoint, Health())
         health.rate = health.rate * DECAY + weight * (1.0 - DECAY)
@@ -137,7 +128,7 @@
         health.recorded_ms = now
 
     def record(self, endpoint: str) -> float:
-        """Return which part of an endpoint's answers failed lately."""
+        """Return the decayed fraction of an endpoint's answers that failed."""
         health = self.known.get(endpoint)
         return _decayed(health, self.clock.now()) if health is not None else 0.0
 
@@ -147,12 +138,12 @@
         running: Callable[[str], int],
         repeated: bool,
     ) -> list[traffic.Endpoint]:
-        """Return the endpoints that a request had better go to, by their records.
+        """Return the endpoints with the better records.
 
         Args:
           running: requests at an endpoint.
-          repeated: whether the request failed already: then only the best records will do.
-            Otherwise those much worse are left out, while a better one has a free place.
+          repeated: whether the request failed already: then only the best records count. Otherwise
+            much worse ones are left out, while a better one has a free slot.
         """
         if not self.known:
             return list(endpoints)
@@ -171,7 +162,7 @@
         self.absences[endpoint.id] = Absence(endpoint.address, until_ms)
 
     def usable(self, endpoints: Sequence[traffic.Endpoint]) -> list[traffic.Endpoint]:
-        """Return the endpoints that are not left out, or all present ones if too many would be."""
+        """Return the endpoints that are not ejected, or all present ones if too many would be."""
         now = self.clock.now()
         present = [one for one in endpoints if not self._is_absent(one, now)]
         found = [one for one in present if not self._is_ejected(one.id, now)]
--- a/plumarch/routing/endpoint_limits.py
+++ b/plumarch/routing/endpoint_limits.py
@@ -1,8 +1,7 @@
-"""How much an endpoint is given at once: what it bears, as far as is known.
+"""Limits what an endpoint is given at once.
 
-Its places come from the registry and the configuration, and so do its limit of connections and
-the tokens that its cache holds. What it bears beyond them is learned: by its refusals, by falls,
-and by answers that come far too late.
+Slots, connections and cache size are configured; lower limits are learned from rejections, crashes
+and late answers.
 """
 
 import dataclasses
@@ -16,34 +15,31 @@
 """Requests at a plain endpoint, in multiples of its slots, before it counts as full."""
 
 ENGINE_QUEUE_FACTOR = 1.5
-"""The same at engines, where a request waits for one of many places; how long it is expected to
-wait counts among the costs, and a wait beyond its target refuses it. A judgement: half a batch
-is as long as a target lets anything wait."""
+"""The same at engines; lower, since the expected wait is also part of their cost."""
 
 CACHE_FACTOR = 1.5
-"""Tokens that an engine is given, in multiples of what its cache holds: as many requests wait
-beside those that run, and the parts that prompts share are counted in each of them."""
+"""Tokens that an engine is given, in multiples of its cache: requests also wait, and shared prompt
+parts are counted once per request."""
 
 BYTES_PER_TOKEN = 4
-"""What a byte of a body weighs against a prompt token, for endpoints that read no prompts: a token
-of text is about four bytes."""
+"""Bytes of a body that weigh as much as a prompt token."""
 
 EXPECTED_OUTPUT_FRACTION = 0.5
-"""Part of the most tokens asked for that an answer holds, on average over its run."""
+"""Expected mean output of a running request, as a fraction of its maximum output tokens."""
 
 MEAN_WEIGHT = 0.05
-"""Weight of a request in the mean that stands for requests of other nodes; some twenty."""
+"""Weight of a request in the mean that stands for requests of other nodes."""
 
 LOG_INTERVAL_MS = 1_000
-"""A changed limit is told once in this time for each endpoint, so that logs stay readable."""
+"""A changed limit is logged at most once per this time for each endpoint."""
 
 LOG_MIN_CHANGE = 0.1
-"""Part by which a limit must have changed to be told."""
+"""Relative change from which a limit is logged."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """What a request asks of an endpoint.
+    """What a request requires of an endpoint.
 
     Attributes:
       weight: in tokens: those of its prompt and expected answer, or its body's.
@@ -60,10 +56,10 @@
 
 
 def demand(prompt_tokens: int, max_output_tokens: int, body_bytes: int, rank: int = 0) -> Demand:
-    """Return what a request asks of an endpoint.
+    """Return what a request requires of an endpoint.
 
     Args:
-      max_output_tokens: the most tokens that its answer may have.
+      max_output_tokens: maximum tokens of its answer.
     """
     if prompt_tokens:
         return Demand(prompt_tokens + EXPECTED_OUTPUT_FRACTION * max_output_tokens, True, rank)
@@ -72,26 +68,26 @@
 
 @dataclasses.dataclass(slots=True)
 class OwnLoad:
-    """What this node's requests at one endpoint are, and weigh."""
+    """Number and weight of this node's requests at one endpoint."""
 
     requests: int = 0
     weight: float = 0.0
 
 
 NO_OWN_LOAD = OwnLoad()
-"""Stands for endpoints that hold none of this node's requests; never changed."""
+"""Stands for endpoints without requests of this node; never changed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """What each endpoint of a service is given at once; infinite where nothing is known.
+    """Limits of each endpoint of a service; infinite where nothing is known.
 
     Attributes:
-      per_slot: requests for each slot, in calm times.
-      per_slot_by_crashes: the same, by what falls taught.
+      per_slot: requests per slot without overload.
+      per_slot_by_crashes: the same, learned from crashes.
       connections: requests, each of which has a connection.
-      weight: what its requests may weigh together, in tokens.
-      weight_by_crashes: the same, by what falls taught.
+      weight: total weight of its requests, in tokens.
+      weight_by_crashes: the same, learned from crashes.
     """
 
     per_slot: float
@@ -111,16 +107,16 @@
 
 @dataclasses.dataclass(slots=True)
 class EndpointLimits:
-    """What endpoints bear.
+    """Configured and learned limits of endpoints.
 
     Attributes:
-      crashes: what falls taught about each service.
-      build: makes the learned limit of an endpoint, of its slots and its limit in calm times.
+      crashes: what crashes showed of each service.
+      build: makes the learned limit of an endpoint, from its slots and its limit without overload.
       services: services by name, as configured.
-      learned: limits of endpoints that refused, fell or answered, by identifier.
-      held: this node's requests, by endpoint identifier.
+      learned: limits of endpoints that rejected, crashed or answered, by identifier.
+      own_load: this node's requests, by endpoint identifier.
       mean_weight: of a request of each service; stands for those of other nodes.
-      told: limits that were logged, by endpoint identifier.
+      logged: limits that were logged, by endpoint identifier.
     """
 
     clock: clock.Clock
@@ -144,12 +140,12 @@
         running: Callable[[str], int],
         demand: Demand = PLAIN,
     ) -> list[traffic.Endpoint]:
-        """Return the endpoints of a service that may be given a further request.
+        """Return the endpoints of a service that have capacity for one more request.
 
-        A learned limit of requests never goes below an endpoint's slots.
+        A learned limit never goes below an endpoint's slots.
 
         Args:
-          running: requests of all nodes that run or wait at an endpoint, as far as known.
+          running: known requests of all nodes that run or wait at an endpoint.
         """
         bounds = self.bounds(service, demand.is_engine)
         found = []
@@ -158,8 +154,8 @@
             has_free_slot = now_running < min(endpoint.slots, bounds.connections)
             if not has_free_slot and now_running >= self.requests(endpoint, bounds):
                 continue
-            # Prompts share parts, so that the cache holds more of them than their weights tell:
-            # what a free place may hold is judged by falls only.
+            # Prompts share parts, so their weights overstate the use of the cache: with a free
+            # slot only the limit learned from crashes applies.
             maximum = bounds.weight_by_crashes if has_free_slot else bounds.weight
             if maximum < math.inf and now_running > 0:
                 weight = self.weight_at(endpoint, now_running) + demand.weight
@@ -169,7 +165,7 @@
         return found
 
     def bounds(self, name: str, is_engine: bool) -> Bounds:
-        """Return what each endpoint of a service is given, by what is known of the service."""
+        """Return the limits of each endpoint of a service."""
         service = self.services.get(name)
         weight = math.inf
         if service is not None and service.engine is not None and service.engine.cache_tokens:
@@ -185,7 +181,7 @@
         )
 
     def requests(self, endpoint: traffic.Endpoint, bounds: Bounds) -> float:
-        """Return how many requests an endpoint is given at once."""
+        """Return the maximum of concurrent requests of an endpoint."""
         maximum = min(bounds.per_slot, bounds.per_slot_by_crashes) * max(1, endpoint.slots)
         learned = self.learned.get(endpoint.id)
         if learned is not None:
@@ -193,7 +189,7 @@
         return min(maximum, bounds.connections)
 
     def weight_at(self, endpoint: traffic.Endpoint, running: int) -> float:
-        """Return what the requests at an endpoint weigh: this node's own, and others' by the mean.
+        """Return the weight of the requests at an endpoint; those of other nodes count by the mean.
 
         Args:
           running: requests of all nodes there.
@@ -221,34 +217,34 @@
             del self.own_load[endpoint.id]
 
     def observe_load(self, endpoint: traffic.Endpoint, running: int) -> None:
-        """Take in that an endpoint answers while it holds so many requests."""
+        """Handle an answer with so many requests at the endpoint."""
         self.crashes.note_answer(endpoint.id)
         self.crashes.observe_load(endpoint.service, self.weight_at(endpoint, running))
 
     def answered(
         self, endpoint: traffic.Endpoint, running: int, took: float, is_engine: bool
     ) -> None:
-        """Take in how long a first byte took.
+        """Handle a first byte.
 
         Args:
           running: requests there when it came.
-          took: in multiples of what was expected.
+          took: its time in multiples of the expected time.
         """
         self._learned_limit(endpoint, is_engine).answered(running, took, self.clock.now())
 
     def refused(self, endpoint: traffic.Endpoint, running: int, is_engine: bool) -> None:
-        """Take in that an endpoint refused a request as too much.
+        """Handle a rejection of a request as too much.
 
-        One that refuses while it has places does so for another reason.
+        An endpoint with free slots rejects for another reason, which is ignored.
 
         Args:
-          running: requests there besides the one that it refused.
+          running: requests there besides the rejected one.
         """
         if running >= endpoint.slots:
             self._learned_limit(endpoint, is_engine).refused(running, self.clock.now())
 
     def changed(self, endpoint: traffic.Endpoint) -> float | None:
-        """Return an endpoint's learned limit if it changed enough since it was last told."""
+        """Return an endpoint's learned limit if it is due to be logged."""
         limit = self.learned.get(endpoint.id)
         if limit is None:
             return None
@@ -264,7 +260,7 @@
         return value
 
     def lowered(self, endpoints: Mapping[str, traffic.Endpoint]) -> dict[str, float]:
-        """Return the limits of endpoints that are given less than in calm times.
+        """Return the limits of endpoints that are below their limit without overload.
 
         Args:
           endpoints: those that exist, by identifier.
@@ -281,13 +277,13 @@
     def lost(
         self, endpoint: traffic.Endpoint, running: int, elsewhere: int
     ) -> crash_guard.Crash | None:
-        """Take in that a connection ended while its request ran.
+        """Handle a connection that ended while its request ran.
 
         Args:
-          running: requests at the endpoint, with this one.
-          elsewhere: requests that the service's other endpoints hold.
+          running: requests at the endpoint, including this one.
+          elsewhere: requests at the service's other endpoints.
         Returns:
-          The fall, if that shows that the endpoint fell.
+          The crash, if this amounts to one.
         """
         losses = self.crashes.lost(endpoint.id, running, self.weight_at(endpoint, running))
         return self._crashed(endpoint, losses, elsewhere)
@@ -295,7 +291,7 @@
     def connect_failed(
         self, endpoint: traffic.Endpoint, elsewhere: int
     ) -> crash_guard.Crash | None:
-        """Take in that an endpoint can't be connected to; like `lost`."""
+        """Handle a failed connect to an endpoint; like `lost`."""
         return self._crashed(endpoint, self.crashes.connect_failed(endpoint.id), elsewhere)
 
     def _crashed(
@@ -332,6 +328,6 @@
 
 
 def max_requests(endpoint: traffic.Endpoint, is_engine: bool) -> float:
-    """Return how many requests an endpoint is given in calm times."""
+    """Return the maximum of concurrent requests of an endpoint without overload."""
     factor = ENGINE_QUEUE_FACTOR if is_engine else QUEUE_FACTOR
     return factor * max(1, endpoint.slots)
--- a/plumarch/routing/engine_record.py
+++ b/plumarch/routing/engine_record.py
@@ -1,5 +1,7 @@
-"""What an engine is expected to hold: parts of prompts that this node sent to it, and for what
-this node never sent, those that all nodes send to it by rendezvous hashing.
+"""Estimates which prompt parts an engine has cached.
+
+Parts that this node sent are known; others are assumed at the engines that rendezvous hashing
+selects.
 """
 
 import collections
@@ -9,7 +11,7 @@
 from plumarch.core import hashing, traffic
 
 MAX_PARTS = 4_000
-"""Parts remembered for each engine; it bounds what a node holds for it."""
+"""Parts recorded for each engine at most."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -21,14 +23,14 @@
     )
 
     def sent(self, key: int, now: int) -> None:
-        """Remember a part."""
+        """Record a part."""
         self.parts[key] = now
         self.parts.move_to_end(key)
         if len(self.parts) > MAX_PARTS:
             self.parts.popitem(last=False)
 
     def known(self, keys: Sequence[int]) -> int:
-        """Return how many parts of a prompt were sent to it, counted from the prompt's start.
+        """Return how many leading parts of a prompt were sent to the engine.
 
         Args:
           keys: of the prompt's parts, each standing for its part and all before it.
@@ -38,14 +40,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prompt:
-    """What an engine has to read.
+    """A prompt as an engine reads it.
 
     Attributes:
       parts: in order; the last one may be the request's own.
       keys: of the parts, each standing for its part and all before it.
-      tokens: of the whole prompt.
-      owners: for each part that others may share, the engines of a region to which its nodes send
-        it, the first one first.
+      tokens: of the complete prompt.
+      owners: for each part that others may share, the engines of a region that hashing selects, the
+        first choice first.
     """
 
     parts: Sequence[traffic.PromptPart]
@@ -57,9 +59,9 @@
 def owners(
     candidates: Iterable[traffic.Endpoint], keys: Sequence[int], count: int
 ) -> list[list[str]]:
-    """Return for each key the engines to which all nodes send it, the first one first.
+    """Return for each key the engines that hashing selects, the first choice first.
 
-    An engine that started again owns what it owned before: what the others hold stays there.
+    Hashing uses the name, so that a restarted engine owns the same keys and the others keep theirs.
     """
     ids = {endpoint.called(): endpoint.id for endpoint in candidates}
     names = list(ids)
@@ -69,14 +71,14 @@
 def cached_tokens(
     endpoint: str, record: EngineRecord | None, prompt: Prompt, likely_fractions: Sequence[float]
 ) -> float:
-    """Return the tokens that an engine is expected to hold from the prompt's start.
+    """Return the tokens that an engine is expected to have cached from the prompt's start.
 
-    An engine that holds a part holds all parts before it.
+    An engine that has a part has all parts before it.
 
     Args:
       record: what this node sent to it.
-      likely_fractions: fraction of an unsent prefix that each owner is expected to hold, the
-        first owner's first.
+      likely_fractions: fraction of an unsent prefix that each owner is expected to hold, the first
+        owner's first.
     """
     known = record.known(prompt.keys) if record is not None else 0
     certain = sum(part.tokens for part in prompt.parts[:known])
--- a/plumarch/routing/engine_speed.py
+++ b/plumarch/routing/engine_speed.py
@@ -1,14 +1,8 @@
-"""How fast the engines of a service are, learned from the answers that pass through this node.
+"""Learns the speed of a service's engines from the answers that pass through this node.
 
-Three views of the time to the first token are kept. The typical one is the median over requests,
-with all that held them up; by it engines are weighed against each other. The idle one is the
-median over those that found nothing waiting; by it the number of engines is planned, since the
-typical one grows with the very load that more engines would take away. The mean follows what
-callers get now, and says which request would come too late. Medians are not moved by a few
-engines that are slow, cold or about to be reclaimed.
-
-One node of a large fleet sees a prompt or two in a second. Nodes tell one another what they
-learned, and plans go by the mean of all.
+The typical time per token (a median over all requests) compares engines. The idle one (over
+requests that found nothing waiting) is for planning, since it does not grow with the load. The mean
+follows current conditions. Nodes exchange what they learned, and plans use the average of all.
 """
 
 import bisect
@@ -17,67 +11,58 @@
 from collections.abc import Callable
 
 START_MS_PER_TOKEN = 0.05
-"""Time to read a prompt token before any was seen: between the slowest (0.031) and what those
-show under load. A judgement; some twenty first tokens replace it."""
+"""Assumed time to read a prompt token before any observation, in ms."""
 
 START_BASE_MS = 70.0
-"""Time to the first token of an empty prompt before any was seen; a judgement as well."""
+"""Assumed time to the first token of an empty prompt before any observation."""
 
 START_TOKENS = 1_000.0
-"""Prompt tokens that the mean at the start stands for; the first observation replaces it."""
+"""Prompt tokens that the initial mean stands for; the first observation replaces it."""
 
 WEIGHT = 0.05
-"""Weight of a new observation in a mean, once there are many; a judgement: some twenty requests
-are what callers get now."""
+"""Weight of a new observation in a mean, once there are many."""
 
 MIN_TOKENS = 800.0
-"""Requests with less to read say how long a first token takes besides reading; those with more
-say how long reading takes."""
+"""Shorter prompts give the base time of a first token, longer ones the time to read a token."""
 
 MIN_MS_PER_TOKEN = 0.002
 MAX_MS_PER_TOKEN = 1.0
-"""Between these a learned time to read a token stays, in ms: three times as fast as the fastest
-engines on the sheets (0.0064), and far slower than any. Judgements against nonsense."""
+"""Bounds of a learned time to read a token, in ms."""
 
 MIN_BASE_MS = 5.0
 MAX_BASE_MS = 500.0
-"""The same for the time to a first token; the sheets' engines take 26 ms and more."""
+"""Bounds of a learned base time to a first token."""
 
 EXACT_MEDIAN_COUNT = 9
-"""Observations of which a median is kept exactly; then it follows in steps. So a node knows the
-speed of engines of any kind by its first prompts, and a fleet within seconds."""
+"""Observations of which a median is exact; after that it follows in steps."""
 
 MIN_STEP = 0.04
-"""Smallest step of a median on a logarithmic scale: 25 observations on one side move it by a factor
-of e. Steps shrink from 0.4 / 3 to it with the root of the observations. A judgement."""
+"""Smallest step of a median on a logarithmic scale; steps shrink from FIRST_STEP / 3 to it with the
+root of the number of observations."""
 
 FIRST_STEP = 0.4
 
 KNOWN_PER_NODE = 1.0
-"""First tokens that a node of a fleet saw on average, from which on what all learned is near
-enough, if they are KNOWN_AFTER at least: engines of any speed are then known within a third
-(engine_speed_test)."""
+"""Mean first tokens per node from which the fleet's report is used, given KNOWN_AFTER in all."""
 
 REPORT_RETENTION_MS = 10_000
-"""What a node told of engines' speed counts for this long; a judgement: it is told each second."""
+"""A speed report counts for this long; nodes send one each second."""
 
 KNOWN_AFTER = 20
-"""First tokens of long prompts after which the typical speed is near enough: engines ten times
-as fast as the start are then known within a third (engine_speed_test)."""
+"""First tokens of long prompts from which the speed counts as known."""
 
 START_RUN_MS = 1_000.0
-"""How long a request holds its place at an engine before any was seen to end; a judgement, and the
-first one that ends replaces it."""
+"""Assumed time that a request occupies a slot before any was seen to end."""
 
 
 @dataclasses.dataclass(slots=True)
 class RunningMedian:
-    """A median that follows its observations, in steps of a logarithmic scale.
+    """A running median that moves in steps on a logarithmic scale.
 
     Attributes:
       value: the median so far, positive, between lowest and highest.
       seen: observations so far.
-      first: the first observations, in order of size.
+      first: the first observations, sorted.
     """
 
     value: float
@@ -87,7 +72,7 @@
     first: list[float] = dataclasses.field(default_factory=list)
 
     def observe(self, found: float) -> None:
-        """Take in an observation."""
+        """Add an observation."""
         self.seen += 1
         if self.seen <= EXACT_MEDIAN_COUNT:
             bisect.insort(self.first, found)
@@ -101,10 +86,10 @@
 
 @dataclasses.dataclass(slots=True)
 class RunningMean:
-    """A mean that follows its observations; the first ones weigh alike.
+    """A running mean; the first observations weigh alike.
 
     Attributes:
-      value: the mean so far, or the start before any observation.
+      value: the mean so far, or the initial value.
       seen: observations so far.
     """
 
@@ -112,7 +97,7 @@
     seen: int = 0
 
     def observe(self, found: float) -> None:
-        """Take in an observation."""
+        """Add an observation."""
         self.seen += 1
         self.value += max(WEIGHT, 1.0 / self.seen) * (found - self.value)
 
@@ -143,9 +128,9 @@
 
     Attributes:
       ms_per_token: time to read a prompt token where nothing waits.
-      seen: first tokens of long prompts by which they learned it.
-      nodes: how many nodes they are.
-      work: what they gave engines to read lately.
+      seen: first tokens of long prompts behind it.
+      nodes: number of nodes.
+      work: what they sent to the engines recently.
     """
 
     ms_per_token: float
@@ -156,10 +141,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadingWork:
-    """What was sent to the engines of a service lately, old sends counting less.
+    """Work sent to the engines of a service, decayed with time.
 
     Attributes:
-      units: charged to allotments for requests of all services.
+      units: charged to quotas for requests of all services.
       unread: prompt tokens that the service's engines were expected to read.
     """
 
@@ -171,7 +156,7 @@
         return ReadingWork(self.units + other.units, self.unread + other.unread)
 
     def unread_per_unit(self) -> float:
-        """Return the tokens to read for each unit charged; 1 before anything was sent."""
+        """Return the tokens to read per unit charged; 1 before anything was sent."""
         return self.unread / self.units if self.units > 0 else 1.0
 
 
@@ -180,7 +165,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReceivedReport:
-    """A report, and when it was heard."""
+    """A report and when it was received."""
 
     report: SpeedReport
     at_ms: int
@@ -194,10 +179,10 @@
       base_ms: typical time to the first token of a prompt with hardly anything to read.
       typical: ms to read a prompt token, typically.
       idle: the same where nothing waits at the engine.
-      heard: what others told, by who told it.
-      read_ms: what first tokens took besides the base, on average now.
-      read_tokens: prompt tokens that were to be read for them, on average now.
-      run_ms: how long a request holds its place, on average.
+      received: reports of others, by source.
+      read_ms: mean time to a first token besides the base, recently.
+      read_tokens: mean prompt tokens read before it, recently.
+      run_ms: mean time that a request occupies a slot.
     """
 
     base_ms: RunningMedian = dataclasses.field(default_factory=_base)
@@ -213,7 +198,7 @@
 
         Args:
           tokens_to_read: prompt tokens that were expected to be read before it.
-          first_ms: how long it took since the request was sent.
+          first_ms: time since the request was sent.
           waited: whether others waited at the engine when it was sent.
         """
         if tokens_to_read < MIN_TOKENS:
@@ -227,20 +212,20 @@
         self.read_tokens.observe(tokens_to_read)
 
     def mean_ms_per_token(self) -> float:
-        """Return how long a prompt token takes on average now; long prompts weigh more."""
+        """Return the recent mean time per prompt token; long prompts weigh more."""
         mean = self.read_ms.value / max(1.0, self.read_tokens.value)
         return min(MAX_MS_PER_TOKEN, max(MIN_MS_PER_TOKEN, mean))
 
     def ended(self, run_ms: float) -> None:
-        """Learn from how long a request held its place."""
+        """Record how long a request occupied a slot."""
         self.run_ms.observe(run_ms)
 
     def known(self) -> bool:
-        """Return whether this node saw enough by itself."""
+        """Return whether this node has enough observations of its own."""
         return self.typical.seen >= KNOWN_AFTER
 
     def receive(self, source: str, report: SpeedReport, now: int) -> None:
-        """Take in what a node or the nodes of a data centre learned."""
+        """Store the report of a node or of the nodes of a data centre."""
         self.received[source] = ReceivedReport(report, now)
 
     def report(
@@ -249,13 +234,13 @@
         work: ReadingWork = NO_WORK,
         counts_in: Callable[[str], bool] = lambda source: True,
     ) -> SpeedReport:
-        """Return what this node and those that it heard learned, on average.
+        """Return the average of this node's own report and those received.
 
-        Values are averaged on a logarithmic scale, each by the first tokens it rests on.
+        Values are averaged on a logarithmic scale, weighted by their first tokens.
 
         Args:
           work: what this node sent.
-          counts_in: whether what a source told is part of it.
+          counts_in: whether the report of a source is included.
         """
         for name in [
             name for name, one in self.received.items() if now - one.at_ms > REPORT_RETENTION_MS
@@ -274,7 +259,7 @@
         return SpeedReport(math.exp(logs / seen), seen, nodes, work)
 
     def planned(self, now: int, work: ReadingWork = NO_WORK) -> SpeedReport | None:
-        """Return what all learned, to plan by, or None while it isn't enough."""
+        """Return the average to plan by, or None while there are too few observations."""
         report = self.report(now, work)
         is_known = self.idle.seen >= KNOWN_AFTER or (
             report.seen >= KNOWN_AFTER and report.seen >= KNOWN_PER_NODE * report.nodes
@@ -282,14 +267,14 @@
         return report if is_known else None
 
     def reading_ms(self, tokens: float) -> float:
-        """Return how long a number of prompt tokens typically takes to be read."""
+        """Return the typical time to read a number of prompt tokens."""
         return self.typical.value * tokens
 
     def capacity_wait_ms(self, running: int, slots: int) -> float:
-        """Return how long a request waits at an engine until a place there is free."""
+        """Return how long a request waits at an engine until a slot is free."""
         ahead = running + 1 - slots
         return ahead * self.run_ms.value / max(1, slots) if ahead > 0 else 0.0
 
     def expect_ms(self, tokens_to_read: float, capacity_wait_ms: float) -> float:
-        """Return when a first token is expected, in ms from now, as callers get it now."""
+        """Return the time to a first token that is expected under current conditions, in ms."""
         return self.base_ms.value + self.mean_ms_per_token() * tokens_to_read + capacity_wait_ms
--- a/plumarch/routing/locality_choice.py
+++ b/plumarch/routing/locality_choice.py
@@ -1,10 +1,8 @@
-"""Whether a request leaves its region, and where it goes then.
+"""Decides whether a request leaves its region, and to which endpoint.
 
-A request stays in its region while that answers soon enough. It leaves where the region has no
-endpoint with room, or where another region is expected to answer sooner, the way included. All
-nodes of a region see the same figures, some of them old; if each followed them to the letter, all
-would leave at once, to one endpoint, and all come back. So only a part leaves, the larger the
-more is gained, and it is spread at random over the endpoints that are about equally good.
+It leaves if no local endpoint has capacity, or if a remote one is expected to answer sooner,
+network latency included. Nodes decide on the same, partly old figures; to avoid oscillation only a
+fraction leaves, larger for a larger gain, spread at random over about equally good endpoints.
 """
 
 import dataclasses
@@ -17,19 +15,19 @@
 from plumarch.routing import distance
 
 MIN_GAIN = 0.2
-"""Part of the expected time that must be gained before a request leaves its region: learned times
-are not surer than that, and bytes between regions are dear."""
+"""Minimum relative gain in expected time before a request leaves its region: learned times are
+imprecise, and traffic between regions is expensive."""
 
 MAX_SPILL_FRACTION = 0.5
-"""Part of the requests that leave at most while the region answers in time: what is taken away
-shows in the figures a second later only, and the region's endpoints stay in use until then."""
+"""Maximum fraction of requests that leave while the region answers in time, since the effect shows
+in the figures only a second later."""
 
 MIN_SPARE_FRACTION = 0.25
-"""Part of an endpoint's slots that must be free for spill-over to it: they are kept for callers of
-its own region, so that one region's load doesn't make the next one spill over in turn."""
+"""Fraction of an endpoint's slots that must be free for remote requests, so that the load of one
+region doesn't make the next one spill over."""
 
 EQUAL_MARGIN = 0.25
-"""Endpoints expected within this part more than the best count as equally good."""
+"""Endpoints whose expected time exceeds the best by at most this fraction count as equal."""
 
 
 class LeaveReason(enum.Enum):
@@ -41,12 +39,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Terms:
-    """What a request asks of its endpoint.
+    """What a request requires of its endpoint.
 
     Attributes:
-      time_left_ms: until it is given up.
-      enough_ms: an answer expected within this is soon enough; the caller gains nothing by a
-        sooner one.
+      time_left_ms: until its deadline.
+      enough_ms: an answer expected within this is soon enough; a sooner one has no benefit.
       late_ms: an answer expected after this counts as late.
       repeated: whether an endpoint failed it before.
     """
@@ -70,17 +67,17 @@
 
     @property
     def expected_ms(self) -> float:
-        """When an answer is expected, with the way."""
+        """Expected time to the answer, network latency included."""
         ...
 
     @property
     def network_ms(self) -> float:
-        """What of it is spent on the way to another region."""
+        """The part of it that is network latency to another region."""
         ...
 
     @property
     def free_slots(self) -> int:
-        """Slots there that nothing is known to take."""
+        """Slots not known to be in use."""
         ...
 
 
@@ -90,7 +87,7 @@
 def local_and_remote(
     candidates: Sequence[traffic.Endpoint], distances: distance.Distances | None
 ) -> tuple[Sequence[traffic.Endpoint], Sequence[traffic.Endpoint]]:
-    """Return the endpoints of the own region, and all others."""
+    """Return the local and the remote endpoints."""
     if distances is None or not distances.regions:
         return candidates, ()
     local: list[traffic.Endpoint] = []
@@ -104,7 +101,7 @@
 def by_region(
     candidates: Iterable[traffic.Endpoint], distances: distance.Distances | None
 ) -> list[list[traffic.Endpoint]]:
-    """Return endpoints, each region's together."""
+    """Return the endpoints grouped by region."""
     regions: dict[str, list[traffic.Endpoint]] = {}
     for one in candidates:
         region = distances.region_of(one.data_centre) if distances is not None else ""
@@ -115,10 +112,9 @@
 def stays_local(
     best: Option | None, remote: Sequence[traffic.Endpoint], terms: Terms, seed: int
 ) -> bool:
-    """Return whether the region's best endpoint is taken without a look at other regions.
+    """Return whether the best local endpoint is used without looking at other regions.
 
-    A repeated request stays as well, since the region has room. So do those that don't belong to
-    the part that may leave, whatever the other regions have.
+    That holds for repeated requests as well, and for those outside the fraction that may leave.
     """
     if not remote:
         return True
@@ -134,14 +130,14 @@
 def choose(
     best: AnyOption | None, remote: Iterable[AnyOption], terms: Terms, seed: int
 ) -> tuple[AnyOption | None, LeaveReason | None]:
-    """Choose between the region's best endpoint and those of other regions.
+    """Choose between the best local endpoint and remote ones.
 
     Args:
-      best: the region's, or None if it has none with room.
+      best: the best local one, or None if none has capacity.
       seed: differs for each request.
     Returns:
-      The choice, and why it leaves the region if it does. There is no choice if the region has
-      none and none elsewhere can answer in time.
+      The choice, and why it leaves the region if it does. The choice is None if there is no local
+      one and no remote one can answer in time.
     """
     in_time = [one for one in remote if one.expected_ms <= terms.time_left_ms]
     if best is None:
@@ -156,21 +152,18 @@
 
 
 def _has_spare(option: Option, terms: Terms) -> bool:
-    """Return whether an endpoint has more than callers of its own region need.
-
-    Those must find free places, and be answered soon enough.
-    """
+    """Return whether an endpoint has spare capacity and answers its own region in time."""
     if option.free_slots <= MIN_SPARE_FRACTION * option.endpoint.slots:
         return False
     return not terms.enough_ms or option.expected_ms - option.network_ms <= terms.enough_ms
 
 
 def spill_fraction(local_ms: float, remote_ms: float, terms: Terms) -> float:
-    """Return the part of requests that leave the region.
+    """Return the fraction of requests that leave the region.
 
     Args:
-      local_ms: when an answer is expected from the region's best endpoint.
-      remote_ms: when one is expected from the best of other regions.
+      local_ms: expected time to the answer at the best local endpoint.
+      remote_ms: expected time to the answer at the best remote one.
     """
     gain = 1.0 - remote_ms / max(1.0, local_ms)
     if gain < MIN_GAIN:
@@ -181,7 +174,7 @@
 
 
 def _draw(options: Sequence[AnyOption], seed: int) -> AnyOption | None:
-    """Return one of the about equally good options, drawn by their free places."""
+    """Return a random one of the about equally good options, weighted by free slots."""
     if not options:
         return None
     bound_ms = (1.0 + EQUAL_MARGIN) * min(one.expected_ms for one in options)
@@ -196,5 +189,5 @@
 
 
 def _fraction(seed: int, purpose: str) -> float:
-    """Return a number from 0 to 1 that is a request's own for a purpose."""
+    """Return a number from 0 to 1, fixed for a request and a purpose."""
     return hashing.digest(seed.to_bytes(8, "big"), purpose) / 2**64
--- a/plumarch/routing/ownership.py
+++ b/plumarch/routing/ownership.py
@@ -1,8 +1,7 @@
-"""Which node admits requests to which endpoint, the same at all nodes that see the same.
+"""Assigns each endpoint the node that admits requests to it.
 
-An owner's counts of its endpoint are exact, so it is neither overrun nor left idle by
-nodes that see each other's work late. Owners are in the endpoint's data centre as far as
-the shares stay even: callers come evenly over the nodes.
+An owner's counts of its endpoint are exact. Owners are in the endpoint's data centre as far as the
+load stays even, since callers are spread evenly over the nodes.
 """
 
 from collections.abc import Iterable
@@ -14,10 +13,10 @@
     """Return the owner of each endpoint.
 
     Args:
-      endpoints: all endpoints known.
+      endpoints: all known endpoints.
       centre_of: live nodes and their data centres.
     Returns:
-      Endpoint name to node; endpoints of one kind and target are shared out evenly.
+      Endpoint name to node; endpoints of one kind and target are spread evenly.
     """
     groups: dict[tuple[data.EndpointKind, tuple[str, ...]], list[data.Endpoint]] = {}
     for endpoint in endpoints:
@@ -34,7 +33,7 @@
     least, rest = divmod(len(group), len(centre_of))
     load = dict.fromkeys(centre_of, 0)
     found: dict[str, str] = {}
-    # Near nodes first, each up to an even share; what is left goes wherever there is room.
+    # Nodes of the endpoint's data centre first, up to an even load; the rest goes to any node.
     for limit in (least, least + 1 if rest else least):
         for same_centre in (True, False):
             for endpoint in group:
@@ -59,7 +58,7 @@
     load: dict[str, int],
     found: dict[str, str],
 ) -> None:
-    """Give an endpoint to the first node by rendezvous hashing that is under a limit."""
+    """Assign an endpoint to the first node by rendezvous hashing that is under a limit."""
     for node in hashing.rendezvous(endpoint.name, nodes):
         if load[node] < limit:
             load[node] += 1
--- a/plumarch/routing/placement.py
+++ b/plumarch/routing/placement.py
@@ -1,8 +1,6 @@
-"""Where a request runs: a score for each endpoint that could take it.
+"""Chooses the endpoint of a request by a score in ms of expected wait for the first token.
 
-Scores are in milliseconds of expected wait for the first token, with prices
-turned into milliseconds at a fixed rate, so that one number decides. Reported
-loads are old; this node's own counts of what it has in flight are exact.
+Prices are converted to ms. Reported loads are old; this node's own counts are exact.
 """
 
 import dataclasses
@@ -12,41 +10,41 @@
 from plumarch.routing import endpoint_backoff, ownership
 
 PREFILL_MS_PER_TOKEN = 0.25
-"""Assumed time to compute one prompt token, until an engine's own rate is known."""
+"""Assumed time to read one prompt token."""
 
 WAIT_MS_PER_REQUEST = 40.0
-"""Assumed delay that each request already there adds."""
+"""Assumed delay that each request at the endpoint adds."""
 
 OTHER_DATA_CENTRE_MS = 15.0
 PRICE_MS = 20.0
-"""How many milliseconds of wait a price difference of 1 an hour is worth."""
+"""Wait in ms that a price difference of 1 an hour is worth."""
 
 CACHE_ENTRIES = 512
-"""Prefixes remembered for each endpoint."""
+"""Prefixes recorded for each endpoint."""
 
 EJECT_FACTOR = 4.0
 """An endpoint this many times slower than the median of its peers is ejected."""
 
 EJECT_MS = 10_000
-"""How long it stays out before one request probes it."""
+"""How long an ejection lasts before one request probes the endpoint."""
 
 UNREACHABLE_MS = 2_000
-"""How long an endpoint that could not be connected to is used only if there is no other."""
+"""After a failed connect an endpoint is used for this long only if there is no other."""
 
 MAX_EJECTED_FRACTION = 0.3
-"""At most this share of a target's endpoints is out at once."""
+"""Maximum fraction of a target's endpoints that are ejected at once."""
 
 SAMPLE = 32
-"""Endpoints scored for one placement at most."""
+"""Maximum of endpoints scored for one placement."""
 
 SHOWN = 10
-"""Endpoints kept in the record of a placement."""
+"""Endpoints listed in the record of a placement."""
 
 REPORT_AGE_MS = 15_000
-"""A load report older than this says nothing."""
+"""Older load reports are ignored."""
 
 SPILL_FRACTION = 0.5
-"""An endpoint that another node owns is used only while reported under this share."""
+"""An endpoint that another node owns is used only below this fraction of reported load."""
 
 NOT_OWNED_MS = 200.0
 """Added to the score of an endpoint that another node owns."""
@@ -62,10 +60,10 @@
 
 @dataclasses.dataclass(slots=True)
 class EndpointStats:
-    """What this node knows of an endpoint besides its description.
+    """What this node observed of an endpoint.
 
     Attributes:
-      announced: the requests a second that it takes from all nodes together, or None.
+      announced: requests per second that it takes from all nodes together, or None.
       announced_ms: when an answer announced it last.
       permits: what its owner may still send under that rate.
     """
@@ -85,12 +83,12 @@
     cached: dict[int, int] = dataclasses.field(default_factory=dict)
 
     def is_usable(self, now: int) -> bool:
-        """Return whether the endpoint is left out for no reason."""
+        """Return whether the endpoint is neither ejected, unreachable nor backing off."""
         return max(self.ejected_until_ms, self.unreachable_until_ms, self.backoff_until_ms) <= now
 
 
 class Placement:
-    """The endpoints a node can reach, and the choice among them."""
+    """The endpoints that a node can reach, and the choice among them."""
 
     def __init__(self, ctx: context.Context) -> None:
         self.ctx = ctx
@@ -103,10 +101,10 @@
         self.live_nodes = 1
 
     def update(self, listed: tuple[data.Endpoint, ...]) -> list[str]:
-        """Take in the platform's list.
+        """Apply the platform's list of endpoints.
 
         Returns:
-          Names of endpoints that were there and are gone from it.
+          Names of endpoints that are no longer listed.
         """
         now_there = {endpoint.name: endpoint for endpoint in listed}
         gone = [name for name in self.endpoints if name not in now_there]
@@ -130,7 +128,7 @@
                 self.by_target.setdefault((endpoint.kind, target), []).append(endpoint)
 
     def assign_owners(self, centre_of: dict[str, str]) -> None:
-        """Find out which endpoints this node admits requests to alone.
+        """Compute which endpoints this node owns.
 
         Args:
           centre_of: live nodes of the region and their data centres.
@@ -145,10 +143,10 @@
         self.live_nodes = max(1, len(centre_of))
 
     def leave(self, name: str, at_ms: int) -> bool:
-        """Mark an endpoint as leaving: it gets no new work from now on.
+        """Mark an endpoint as leaving; it gets no new requests.
 
         Returns:
-          Whether that is news.
+          Whether it was not marked before.
         """
         if name in self.leaving or name not in self.endpoints:
             return False
@@ -156,7 +154,7 @@
         return True
 
     def report(self, report: data.LoadReport) -> None:
-        """Take in a load report; it is some seconds old."""
+        """Apply a load report, which is some seconds old."""
         stats = self.stats.get(report.endpoint)
         if stats is not None:
             stats.reported = report.running + report.queued
@@ -164,7 +162,7 @@
             stats.reported_ms = self.ctx.now()
 
     def started(self, name: str, prefix: int) -> None:
-        """Count a request handed to an endpoint."""
+        """Count a request sent to an endpoint."""
         stats = self.stats.setdefault(name, EndpointStats())
         stats.in_flight += 1
         if stats.permits is not None:
@@ -186,15 +184,15 @@
             stats.in_flight -= 1
 
     def unreachable(self, name: str) -> None:
-        """Leave an endpoint alone for a while that could not even be connected to."""
+        """Avoid an endpoint for UNREACHABLE_MS after a failed connect."""
         stats = self.stats.get(name)
         if stats is not None:
             stats.unreachable_until_ms = self.ctx.now() + UNREACHABLE_MS
 
     def back_off(self, name: str, backoff_ms: float) -> None:
-        """Leave an endpoint alone for as long as it asked for when it refused a request.
+        """Avoid an endpoint for the time that it named when it rejected a request.
 
-        It runs little by refusing, and would be the best choice for the next request.
+        It runs few requests, and would look like the best choice.
         """
         stats = self.stats.get(name)
         if stats is not None:
@@ -202,12 +200,12 @@
             stats.backoff_until_ms = max(stats.backoff_until_ms, until_ms)
 
     def rate_announced(self, name: str, per_s: float | None, sent_ms: int) -> bool:
-        """Apply the rate that an answer announces, or that it announces none.
+        """Apply the rate that an answer announces, or its absence.
 
         Args:
-          sent_ms: when its request was sent; before the last announcement, it ends no limit.
+          sent_ms: when the request was sent; a limit announced since then stays.
         Returns:
-          Whether that is another rate than before.
+          Whether the rate changed.
         """
         stats = self.stats.get(name)
         if stats is None or (per_s is None and sent_ms < stats.announced_ms):
@@ -224,7 +222,7 @@
         return changed
 
     def measured(self, name: str, delay_ms: int) -> None:
-        """Take in how long an endpoint took to its first answer."""
+        """Record the time to an endpoint's first answer."""
         stats = self.stats.get(name)
         if stats is None:
             return
@@ -267,8 +265,7 @@
           allowed: data centres that its workspace may use; empty means all.
           tried: endpoints that failed it, used again only if there is no other.
         Returns:
-          The endpoint with the best score, or None if no one has room; and all
-          that were considered.
+          The endpoint with the best score, or None if none has capacity; and those considered.
         """
         owns_none = not self._owns_usable(request)
         fit: list[tuple[float, str]] = []
@@ -290,10 +287,10 @@
         return self.endpoints[fit[0][1]], considered
 
     def _candidates(self, request: data.Request, allowed: frozenset[str]) -> list[data.Endpoint]:
-        """Return the endpoints to score: all, or of many a sample and the likely one.
+        """Return the endpoints to score: all, or a random sample if there are many.
 
-        A sample of SAMPLE is nearly as good as all and bounds the cost of a placement;
-        the endpoint that was given the request's prefix last is always among them.
+        The sample bounds the cost of a placement; it includes the last endpoint of the request's
+        prefix.
         """
         serving = self.by_target.get((request.kind, request.target), [])
         if len(serving) <= SAMPLE:
@@ -322,7 +319,7 @@
           endpoint: the endpoint.
           request: the request.
           allowed: data centres that its workspace may use; empty means all.
-          alone: this node owns no endpoint of the target, so it shares the others'.
+          owns_none: this node owns no usable endpoint of the target, so it shares the others'.
         """
         if endpoint.state is not data.EndpointState.LIVE or endpoint.name in self.leaving:
             return "leaving"
@@ -334,7 +331,7 @@
         if stats.backoff_until_ms > self.ctx.now():
             return "asked for rest"
         if stats.permits is not None:
-            # The rate is the sum over all nodes; each endpoint has one owner, who can count it.
+            # The rate covers all nodes, so only the owner can count it.
             if endpoint.name not in self.owned:
                 return "another node's, announces a rate"
             if stats.permits.fill(self.ctx.now()) < 1.0:
@@ -365,7 +362,7 @@
         )
 
     def _admission_limit(self, endpoint: data.Endpoint, request: data.Request) -> int:
-        """Return how many requests may be there before this one is turned away."""
+        """Return how many requests may be there before this one is rejected."""
         if request.request_class is data.RequestClass.LOOKUP:
             return endpoint.capacity
         reserved = max(1, endpoint.capacity // 8)
@@ -393,7 +390,7 @@
         return score + endpoint.price * PRICE_MS
 
     def owned_capacity(self, request: data.Request) -> tuple[int, int]:
-        """Return the places of a target that this node admits to, and those in use."""
+        """Return the capacity of a target's endpoints owned by this node, and its use."""
         total = 0
         used = 0
         for endpoint in self.by_target.get((request.kind, request.target), []):
@@ -403,7 +400,7 @@
         return total, used
 
     def has_target(self, request: data.Request, allowed: frozenset[str]) -> bool:
-        """Return whether any endpoint that stays serves the request's target."""
+        """Return whether any endpoint that is not leaving serves the request's target."""
         return any(
             endpoint.name not in self.leaving and (not allowed or endpoint.data_centre in allowed)
             for endpoint in self.by_target.get((request.kind, request.target), [])
--- a/plumarch/routing/relative_latency.py
+++ b/plumarch/routing/relative_latency.py
@@ -1,9 +1,8 @@
-"""How slow each endpoint is against the others of its service.
+"""Detects endpoints that are slow compared to their peers.
 
-An endpoint that slows down gives sound answers, so that no count of failures shows it. Looked at
-are connects, first bytes (writes are part of them), and what is still awaited: an endpoint that
-hangs is noticed before its first request is given up. What was awaited while this process was
-suspended says nothing.
+Slow endpoints answer successfully, so failure counts miss them. Connects, first bytes and pending
+requests count, so that an endpoint that hangs is noticed before its request times out. Waits while
+this process was suspended don't count.
 """
 
 import dataclasses
@@ -14,33 +13,30 @@
 from plumarch.core import clock, suspension, traffic
 
 SLOW_RATIO = 2.5
-"""Answers that take this many times as long as at the service's other endpoints make one slow;
-times of sound ones vary by less than that over a few answers."""
+"""An endpoint is slow above this multiple of its peers' time."""
 
 HANG_RATIO = 4.0
-"""A request that is awaited for this many times as long as expected makes its endpoint slow. One
-request alone may be a long one, and is only avoided while others are free."""
+"""A pending request marks its endpoint as slow above this multiple of the expected time."""
 
 SLOW_CONNECT_RATIO = 4.0
 """A connect counts as slow above this multiple of the shortest one plus SLOW_CONNECT_MARGIN_MS."""
 
 SLOW_CONNECT_MARGIN_MS = 30.0
-"""What a busy process may add to a short connect without fault of the endpoint."""
+"""Delay that a busy process may add to a connect."""
 
 WEIGHT = 0.25
-"""Weight of an answer; two or three slow ones make an endpoint slow, one alone never does."""
+"""Weight of an answer, so that a single slow one is not enough."""
 
 MAX_RATIO = 6.0
-"""The longest time that counts, in multiples of what was expected: one answer proves no more."""
+"""Cap on a single observation, in multiples of the expected time."""
 
 HALF_LIFE_MS = 3_000.0
-"""Half of what was found is forgotten in this time without answers, so that a slow endpoint is
-tried again with a request in some seconds."""
+"""Half-life of the mean without answers, so that a slow endpoint is tried again."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Awaited:
-    """A request whose first byte has not come, when it was sent and how long that should take."""
+    """A request whose first byte is pending, when it was sent and its expected time."""
 
     sent_ms: int
     expected_ms: float
@@ -48,11 +44,11 @@
 
 @dataclasses.dataclass(slots=True)
 class EndpointLatency:
-    """What is known of one endpoint.
+    """State of one endpoint.
 
     Attributes:
-      mean: time of its answers, in multiples of what was expected.
-      at_ms: when the mean was last changed; it fades from then on.
+      mean: time of its answers, in multiples of the expected time.
+      at_ms: when the mean was last changed; it decays from then on.
       shortest_connect_ms: of all its connects.
       awaited: by the number that `Latencies.sent` gave, the oldest first.
     """
@@ -65,7 +61,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Latencies:
-    """How slow endpoints are.
+    """Relative latencies of endpoints.
 
     Attributes:
       known: by endpoint identifier.
@@ -78,7 +74,7 @@
     last: int = 0
 
     def connected(self, endpoint: str, took_ms: float) -> None:
-        """Take in how long a connection took to come up."""
+        """Record the duration of a connect."""
         latency = self.known.setdefault(endpoint, EndpointLatency(at_ms=self.clock.now()))
         shortest = latency.shortest_connect_ms
         if shortest is None or took_ms < shortest:
@@ -90,7 +86,7 @@
         """Count a request sent.
 
         Returns:
-          A number to end it by.
+          A number that identifies it.
         """
         latency = self.known.setdefault(endpoint, EndpointLatency(at_ms=self.clock.now()))
         self.last += 1
@@ -98,10 +94,10 @@
         return self.last
 
     def answered(self, endpoint: str, number: int) -> float | None:
-        """Take in a first byte.
+        """Record a first byte.
 
         Returns:
-          How long it took, in multiples of what was expected, or None if it is not awaited.
+          Its time in multiples of the expected time, or None if it is not pending.
         """
         latency = self.known.get(endpoint)
         awaited = latency.awaited.pop(number, None) if latency is not None else None
@@ -112,7 +108,7 @@
         return ratio
 
     def ended(self, endpoint: str, number: int) -> None:
-        """Forget a request that is over; one that was given up without an answer was slow."""
+        """Remove a finished request; an unanswered one above HANG_RATIO counts as slow."""
         latency = self.known.get(endpoint)
         awaited = latency.awaited.pop(number, None) if latency is not None else None
         if latency is not None and awaited is not None:
@@ -121,7 +117,7 @@
                 self._observe(latency, waited)
 
     def _waited_ms(self, awaited: Awaited) -> float:
-        """Return how long this process has run and waited for a first byte."""
+        """Return how long a first byte has been pending, without suspensions."""
         since_ms = awaited.sent_ms
         if self.suspensions.since(since_ms) and self.suspensions.woke_ms is not None:
             since_ms = self.suspensions.woke_ms
@@ -137,7 +133,7 @@
         return 1.0 + (latency.mean - 1.0) * math.pow(0.5, (now - latency.at_ms) / HALF_LIFE_MS)
 
     def score(self, endpoint: str) -> float:
-        """Return how slow an endpoint is, in multiples of what is expected."""
+        """Return the relative latency of an endpoint, in multiples of the expected time."""
         latency = self.known.get(endpoint)
         if latency is None:
             return 1.0
@@ -155,9 +151,9 @@
         return score
 
     def slow(self, endpoints: Sequence[traffic.Endpoint]) -> dict[str, float]:
-        """Return the endpoints that are slow against the others, and how many times.
+        """Return the slow outliers and their time in multiples of the median.
 
-        What makes all of them slow is no fault of one, so that each is measured by the middle one.
+        The median cancels causes that slow all endpoints.
         """
         known = self.known
         scores = {one.id: self.score(one.id) if one.id in known else 1.0 for one in endpoints}
@@ -171,10 +167,10 @@
     def without_slow(
         self, endpoints: Sequence[traffic.Endpoint], running: Callable[[str], int]
     ) -> list[traffic.Endpoint]:
-        """Return the endpoints that a request had better go to.
+        """Return the endpoints without slow outliers.
 
-        No request goes to a slow one while another has a free place; then a slow one gets the part
-        of its places that its pace allows, and no request waits at it.
+        A slow endpoint is used only if no other has a free slot, and then only for a fraction of
+        its slots according to its relative latency, so that no request queues there.
 
         Args:
           running: requests at an endpoint.
--- a/plumarch/routing/version_split.py
+++ b/plumarch/routing/version_split.py
@@ -1,7 +1,6 @@
-"""Which versions of a service a request may go to while a roll-out runs.
+"""Chooses the versions of a service that a request may go to during a roll-out.
 
-Each node decides for each request by hashing its identifier, so that all nodes together, whether
-they hear each other or not, give a version its share and no more.
+Nodes hash the request identifier, so that a version gets its share without coordination.
 """
 
 import dataclasses
@@ -11,21 +10,22 @@
 from plumarch.core import clock, hashing, rollouts, traffic
 
 NEW_VERSION_DELAY_MS = 3_000
-"""A version that a service never had gets nothing for this long, unless it is the only one: its
-endpoints may be told before the order to roll it out. That is how long the duties may be without
-a holder, who alone reads orders."""
+"""A version new to a service gets no requests for this long, unless it is the only one: its
+endpoints may be announced before the order to roll it out, while no node holds the duty that reads
+orders."""
 
 OLD_VERSION_DRAIN_MS = 6_000
-"""For this long after a completion old endpoints get nothing: they stop at once, but their entries
-stay for up to three of their heartbeats, 3.6 s. Later a further version may come by itself."""
+"""Old endpoints get no requests for this long after a completion: they stop at once, but their
+entries outlive them by up to three heartbeats. After that, another version may appear without a
+roll-out."""
 
 PUBLISH_RETENTION_MS = 30_000
-"""How long a split that is over is told on; a node silent for longer is forgotten."""
+"""How long a finished split is still published; nodes unreachable for longer are forgotten."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KnownSplit:
-    """A split, and when it was taken in."""
+    """A split and when it was received."""
 
     split: rollouts.VersionSplit
     at_ms: int
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(slots=True)
 class VersionSplits:
-    """The splits of all services, and which versions were seen when.
+    """The splits of all services, and when each version was first seen.
 
     Attributes:
       known: the last split of each service.
@@ -45,15 +45,15 @@
     first_seen: dict[str, dict[str, int]] = dataclasses.field(default_factory=dict)
 
     def of(self, service: str) -> rollouts.VersionSplit | None:
-        """Return the split of a service, or None if there never was a roll-out."""
+        """Return the split of a service, or None if it never had a roll-out."""
         known = self.known.get(service)
         return known.split if known is not None else None
 
     def adopt(self, split: rollouts.VersionSplit) -> bool:
-        """Take in a decision, unless a later one is known; a veto stays with its version.
+        """Apply a split unless a later one is known; a veto stays with its version.
 
         Returns:
-          Whether it is news.
+          Whether anything changed.
         """
         known = self.of(split.service)
         if known is not None:
@@ -67,18 +67,18 @@
         return True
 
     def veto(self, service: str) -> None:
-        """Note that the version that a service is moved to is bad."""
+        """Mark the version that a service is moving to as bad."""
         known = self.of(service)
         if known is not None:
             self.adopt(dataclasses.replace(known, vetoed=True))
 
     def running(self) -> list[rollouts.VersionSplit]:
-        """Return the splits of roll-outs that run."""
+        """Return the splits of running roll-outs."""
         running = rollouts.RolloutState.RUNNING
         return [one.split for one in self.known.values() if one.split.state is running]
 
     def to_publish(self) -> list[rollouts.VersionSplit]:
-        """Return what is to be told to other nodes: what runs, or was over a while ago."""
+        """Return the splits to publish: running ones and those that ended recently."""
         now = self.clock.now()
         running = rollouts.RolloutState.RUNNING
         return [
@@ -90,10 +90,10 @@
     def groups(
         self, service: str, ready: Sequence[traffic.Endpoint], request: str, repeated: bool
     ) -> list[list[traffic.Endpoint]]:
-        """Return the endpoints that a request may go to, in groups of which the first goes first.
+        """Return the endpoints that a request may go to, in groups by preference.
 
         Args:
-          request: its identifier; the version that it goes to depends on it alone.
+          request: its identifier, which alone determines the version.
           repeated: whether it failed at an endpoint already; then it goes to the old version.
         """
         versions = {one.version for one in ready}
@@ -123,9 +123,9 @@
     def _without_new(
         self, service: str, versions: set[str], ready: Sequence[traffic.Endpoint]
     ) -> list[traffic.Endpoint]:
-        """Return the endpoints without those of a version that was first seen just now.
+        """Return the endpoints without those of a version first seen just now.
 
-        A process that finds several when it starts takes the highest one for the new one.
+        If several are first seen together, the highest one counts as the new one.
         """
         if len(versions) < 2:
             return list(ready)
@@ -137,7 +137,7 @@
 
 
 def _version_order(version: str) -> tuple[int, str]:
-    """Return what versions are ordered by: v10 comes after v9."""
+    """Return a sort key for versions: v10 comes after v9."""
     digits = "".join(letter for letter in version if letter.isdigit())
     return int(digits or 0), version
 
@@ -148,9 +148,9 @@
 
 
 def _equally_loaded(new: Sequence[traffic.Endpoint], share: float) -> list[traffic.Endpoint]:
-    """Return so many of the new endpoints that each is as busy as an old one.
+    """Return as many new endpoints as make each as busy as an old one.
 
-    A version that is bad only under load would look good on endpoints that are all but idle.
+    At low load, faults that only show under load would go unnoticed.
     """
     count = max(1, math.ceil(share * len(new)))
     return sorted(new, key=traffic.Endpoint.called)[:count]
--- a/plumarch/routing/work_times.py
+++ b/plumarch/routing/work_times.py
@@ -1,7 +1,6 @@
-"""How long plain services work on a request, without the way and without waiting.
+"""Learns how long plain services work on a request, without network latency and queueing.
 
-It says how long a request waits behind others. So it must not grow with the very waiting, or a
-busy region would look ever slower than others.
+It is used to predict queueing, so it must not include it.
 """
 
 import dataclasses
@@ -9,12 +8,11 @@
 from plumarch.routing import engine_speed
 
 START_WORK_MS = 50.0
-"""Work on a plain request before any was seen; a judgement on the low side, since too high a one
-would send requests to another region in vain."""
+"""Assumed time before any observation; a high one would send requests to other regions."""
 
 MIN_MS = 1.0
 MAX_MS = 60_000.0
-"""Between these a learned time stays: the clock's step, and the longest deadline in use."""
+"""Bounds of a learned time."""
 
 
 def _work() -> engine_speed.RunningMedian:
@@ -28,12 +26,11 @@
     by_service: dict[str, engine_speed.RunningMedian] = dataclasses.field(default_factory=dict)
 
     def answered(self, service: str, took_ms: float, capacity_wait_ms: float) -> None:
-        """Take in an answer.
+        """Record the time of an answer.
 
         Args:
-          took_ms: from the request being sent, without the way.
-          capacity_wait_ms: how long it was expected to wait for a place; one that waited says
-            nothing about the work.
+          took_ms: since the request was sent, without network latency.
+          capacity_wait_ms: expected wait for a slot; requests that had to wait are ignored.
         """
         if capacity_wait_ms > 0:
             return
