--- a/plumarch/gateway/dispatch/endpoint_outcomes.py
+++ b/plumarch/gateway/dispatch/endpoint_outcomes.py
@@ -218,7 +218,7 @@
         # engines refuse all, and later most of them in part, the day earns 0.898 to 0.964 of what
         # it owes, 0.876 to 0.916 before (two deployments, two seeds each, in pairs; up in all).
         state.health.failure(one.endpoint.id, SHED_FAILURE)
-    state.limits.refused(one.endpoint, running, one.demand.is_engine)
+    state.limits.rejected(one.endpoint, running, one.demand.is_engine)
     _log_limit(state, one.endpoint)
 
 
--- a/plumarch/routing/concurrency_limit.py
+++ b/plumarch/routing/concurrency_limit.py
@@ -56,7 +56,7 @@
         """
         ...
 
-    def refused(self, running: float, now: int) -> None:
+    def rejected(self, running: float, now: int) -> None:
         """Handle a rejection of a request as too much, with so many running."""
         ...
 
@@ -119,7 +119,7 @@
         if self.lowered_ms is None or now - self.lowered_ms >= LATE_INTERVAL_MS:
             self._decrease_to(LATE_DECREASE * self.value(now), now)
 
-    def refused(self, running: float, now: int) -> None:
+    def rejected(self, running: float, now: int) -> None:
         """Lower the limit below the load at the rejection."""
         self._decrease_to(min(self.value(now), DECREASE * running), now)
 
--- a/plumarch/routing/concurrency_limit_test.py
+++ b/plumarch/routing/concurrency_limit_test.py
@@ -1,4 +1,4 @@
-"""Two ways to learn what an endpoint bears, on the same seeded loads."""
+"""Compares additive increase with a latency gradient on the same seeded loads."""
 
 import collections
 import dataclasses
@@ -12,13 +12,13 @@
 
 @dataclasses.dataclass(slots=True)
 class LatencyGradient:
-    """Follows the usual time to the first byte, divided by the recent one.
+    """Limit that follows the usual time to the first byte divided by the recent one.
 
     Attributes:
-      least: it never goes below this.
-      most: what it may hold in calm times.
+      minimum: lower bound of the limit.
+      maximum: the limit without overload.
       current: the limit so far.
-      ceiling: what it may hold at most until `ceiling_until_ms`, after a fall.
+      ceiling: upper bound until `ceiling_until_ms`, after a crash.
     """
 
     minimum: float
@@ -34,12 +34,12 @@
         self.current = self.maximum
 
     def value(self, now: int) -> float:
-        """Return how much it may hold now."""
+        """Return the current limit."""
         top = min(self.maximum, self.ceiling) if now < self.ceiling_until_ms else self.maximum
         return min(top, self.current)
 
     def answered(self, running: float, took: float, now: int) -> None:
-        """Follow the gradient, with a tolerance of what a calm queue takes."""
+        """Follow the gradient, tolerating the queue allowed without overload."""
         self.times.observe(took)
         gradient = concurrency_limit.LATE_FACTOR * self.times.usual / max(0.01, self.times.recent)
         if running <= self.minimum:
@@ -48,12 +48,12 @@
         moved = self.current + concurrency_limit.RECENT_WEIGHT * (wanted - self.current)
         self.current = min(self.maximum, max(self.minimum, moved))
 
-    def refused(self, running: float, now: int) -> None:
-        """Come down below what it held."""
+    def rejected(self, running: float, now: int) -> None:
+        """Lower the limit below the load at the rejection."""
         self.current = max(self.minimum, min(self.current, concurrency_limit.DECREASE * running))
 
     def crashed(self, running: float, now: int) -> None:
-        """Come down below what it held, and stay there for long."""
+        """Lower the limit below the load at the crash, for CRASH_RETENTION_MS."""
         self.ceiling = max(self.minimum, concurrency_limit.DECREASE * running)
         self.ceiling_until_ms = now + concurrency_limit.CRASH_RETENTION_MS
         self.current = max(self.minimum, concurrency_limit.DECREASE * self.ceiling)
@@ -76,14 +76,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Pattern:
-    """A load, and an endpoint that bears so much.
+    """A load pattern and the capacity of the endpoint.
 
     Attributes:
       rate: requests a second, by time.
       run_ms: how long one runs, by time.
-      places: how many it holds before it refuses.
-      crashes_at: weight at which it falls over.
-      heavy: part of the requests that weigh four.
+      places: requests above which it rejects.
+      crashes_at: weight at which it crashes.
+      heavy: fraction of the requests that weigh four.
     """
 
     rate: Callable[[int], float]
@@ -104,12 +104,12 @@
 
 @dataclasses.dataclass
 class Result:
-    """What callers got of one pattern."""
+    """Outcomes of the requests of one pattern."""
 
     good: int = 0
     late: int = 0
-    refused_by_limit: int = 0
-    refused_by_endpoint: int = 0
+    rejected_by_limit: int = 0
+    rejected_by_endpoint: int = 0
     lost: int = 0
     crashes: int = 0
 
@@ -124,7 +124,7 @@
 
 
 def replay(build: Build, pattern: Pattern, seed: int = 1) -> Result:
-    """Play a load against one endpoint that works on SLOTS at once, the oldest first."""
+    """Replay a load against an endpoint that runs SLOTS requests at once, oldest first."""
     rng = random.Random(seed)
     limit = build(float(SLOTS), MAXIMUM)
     found = Result()
@@ -145,10 +145,10 @@
         weight = 4.0 if rng.random() < pattern.heavy else 1.0
         left_ms = pattern.run_ms(now) * rng.uniform(0.5, 1.5)
         if now < up_from or len(running) >= limit.value(now):
-            found.refused_by_limit += 1
+            found.rejected_by_limit += 1
         elif len(running) >= pattern.places:
-            found.refused_by_endpoint += 1
-            limit.refused(len(running), now)
+            found.rejected_by_endpoint += 1
+            limit.rejected(len(running), now)
         else:
             running.append(Running(now, weight, left_ms))
         if sum(one.weight for one in running) >= pattern.crashes_at:
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize("name", list(BOTH))
-def test_in_calm_times_the_limit_stays_at_its_most(name):
+def test_without_overload_the_limit_stays_at_its_maximum(name):
     limit = BOTH[name](float(SLOTS), MAXIMUM)
     rng = random.Random(2)
     for now in range(0, 60_000, 20):
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("name", list(BOTH))
-def test_it_stays_between_its_bounds_whatever_comes(name):
+def test_the_limit_stays_between_its_bounds(name):
     for seed in range(20):
         rng = random.Random(seed)
         limit = BOTH[name](float(SLOTS), MAXIMUM)
@@ -181,20 +181,20 @@
             if sign == 0:
                 limit.answered(rng.uniform(0, 40), rng.expovariate(0.5), now)
             elif sign == 1:
-                limit.refused(rng.uniform(0, 40), now)
+                limit.rejected(rng.uniform(0, 40), now)
             else:
                 limit.crashed(rng.uniform(0, 40), now)
             assert SLOTS <= limit.value(now) <= MAXIMUM
 
 
-def test_after_a_refusal_it_recovers_with_time_alone():
+def test_the_limit_recovers_with_time_after_a_rejection():
     limit = concurrency_limit.AdditiveIncrease(float(SLOTS), MAXIMUM)
-    limit.refused(12.0, 0)
+    limit.rejected(12.0, 0)
     assert limit.value(0) == pytest.approx(9.6)
     assert limit.value(round(concurrency_limit.RECOVERY_MS)) == MAXIMUM
 
 
-def test_what_made_it_fall_is_not_tried_again_for_long():
+def test_a_load_that_caused_a_crash_is_not_tried_again_for_long():
     limit = concurrency_limit.AdditiveIncrease(float(SLOTS), MAXIMUM)
     limit.crashed(18.0, 0)
     recovered = round(concurrency_limit.RECOVERY_MS)
@@ -212,15 +212,15 @@
     return found
 
 
-def test_the_default_spends_far_fewer_sends_for_as_many_good_answers():
+def test_the_default_needs_far_fewer_attempts_for_as_many_good_answers():
     additive, gradient = totals("additive"), totals("gradient")
     assert additive.good >= 0.995 * gradient.good
-    assert additive.refused_by_endpoint < 0.5 * gradient.refused_by_endpoint
+    assert additive.rejected_by_endpoint < 0.5 * gradient.rejected_by_endpoint
     assert additive.crashes <= gradient.crashes
     assert additive.lost <= gradient.lost
 
 
-def test_an_endpoint_with_a_hidden_limit_falls_seldom_in_place_of_in_each_burst():
+def test_an_endpoint_with_a_hidden_limit_rarely_crashes_under_bursts():
     for name in BOTH:
         found = replay(BOTH[name], PATTERNS["falls"])
         assert found.crashes <= 1, name
--- a/plumarch/routing/crash_guard_test.py
+++ b/plumarch/routing/crash_guard_test.py
@@ -1,4 +1,4 @@
-"""Falls of endpoints: how they are noticed, and what their load does next."""
+"""Detection of endpoint crashes, and the admission of their load."""
 
 import random
 
@@ -19,7 +19,7 @@
     return crash_guard.Crash("e0", at_ms, running, weight, SLOTS, elsewhere)
 
 
-def test_one_lost_connection_is_no_fall_and_two_together_are_one():
+def test_two_connections_lost_together_are_a_crash_but_one_is_not():
     found, _ = guard()
     assert found.lost("e0", 12, 0.0) is None
     losses = found.lost("e0", 11, 0.0)
@@ -28,7 +28,7 @@
     assert found.lost("e0", 10, 0.0) is None
 
 
-def test_losses_with_an_answer_or_a_pause_between_are_no_fall():
+def test_losses_with_an_answer_or_a_pause_between_are_no_crash():
     found, time = guard()
     found.lost("e0", 12, 0.0)
     found.note_answer("e0")
@@ -37,7 +37,7 @@
     assert found.lost("e0", 12, 0.0) is None
 
 
-def test_a_refused_connect_just_after_a_loss_is_a_fall():
+def test_a_failed_connect_just_after_a_loss_is_a_crash():
     found, time = guard()
     assert found.connect_failed("e0") is None
     found.lost("e0", 12, 0.0)
@@ -48,7 +48,7 @@
     assert found.connect_failed("e1") is None
 
 
-def test_what_made_one_fall_is_kept_from_the_others_but_not_their_slots():
+def test_a_crash_limits_other_endpoints_but_not_below_their_slots():
     found, time = guard()
     found.crashed("s", crash(20))
     assert found.per_slot("s") == concurrency_limit.DECREASE * 20 / SLOTS
@@ -59,7 +59,7 @@
     assert found.per_slot("s") is None
 
 
-def test_an_endpoint_lost_with_free_places_and_light_work_teaches_nothing():
+def test_a_crash_with_free_slots_and_light_load_sets_no_limit():
     found, _ = guard()
     found.observe_load("s", 5_000.0)
     found.crashed("s", crash(5, weight=4_000.0))
@@ -68,7 +68,7 @@
     assert found.weight("s") is None
 
 
-def test_heavier_work_than_any_borne_lowers_what_others_are_given_by_weight():
+def test_a_crash_under_unprecedented_weight_sets_a_weight_limit():
     found, _ = guard()
     found.observe_load("s", 5_000.0)
     found.crashed("s", crash(5, weight=20_000.0))
@@ -78,7 +78,7 @@
     assert found.weight("s") == 5_000.0
 
 
-def test_the_lost_load_is_let_in_by_parts_the_urgent_first():
+def test_the_lost_load_is_admitted_gradually_urgent_ranks_first():
     found, time = guard()
     found.crashed("s", crash(20, elsewhere=40))
     assert found.wait_ms("s", 44, 16, 0) == 0.0
@@ -91,7 +91,7 @@
     assert found.wait_ms("s", 1_000, 16, 9) == 0.0
 
 
-def test_no_rank_waits_while_the_others_hold_no_more_than_before_the_fall():
+def test_no_rank_waits_while_other_endpoints_run_no_more_than_before_the_crash():
     found, _ = guard()
     found.crashed("s", crash(SLOTS + 1, elsewhere=840))
     for rank in range(10):
@@ -99,13 +99,13 @@
         assert found.wait_ms("s", 845, 792, rank) > 0.0
 
 
-def test_free_places_are_open_to_all_ranks_after_a_fall():
+def test_free_slots_are_open_to_all_ranks_after_a_crash():
     found, _ = guard()
     found.crashed("s", crash(20, elsewhere=0))
     assert found.wait_ms("s", 15, 16, 9) == 0.0
 
 
-def test_the_time_named_is_when_the_request_is_let_in():
+def test_the_wait_ends_when_the_request_is_admitted():
     rng = random.Random(3)
     for _ in range(200):
         found, time = guard()
--- a/plumarch/routing/data_centre_reach_test.py
+++ b/plumarch/routing/data_centre_reach_test.py
@@ -1,4 +1,4 @@
-"""A data centre that is cut off is left out as a whole, tried again by one, and used again."""
+"""Exclusion of unreachable data centres, and their probes."""
 
 from plumarch.core import clock
 from plumarch.routing import data_centre_reach
@@ -8,7 +8,7 @@
     return data_centre_reach.DataCentreReach(time, "a")
 
 
-def test_two_endpoints_in_a_row_leave_the_data_centre_out():
+def test_two_failed_endpoints_in_a_row_exclude_the_data_centre():
     reach = reach_of(clock.ManualClock())
     assert not reach.failed("b", "b1")
     assert not reach.is_excluded("b")
@@ -17,14 +17,14 @@
     assert not reach.is_excluded("c")
 
 
-def test_one_endpoint_alone_does_not():
+def test_one_failed_endpoint_does_not_exclude_it():
     reach = reach_of(clock.ManualClock())
     for _ in range(10):
         reach.failed("b", "b1")
     assert not reach.is_excluded("b")
 
 
-def test_a_connection_between_them_clears_the_first():
+def test_a_successful_connect_clears_earlier_failures():
     reach = reach_of(clock.ManualClock())
     reach.failed("b", "b1")
     reach.connected("b")
@@ -32,14 +32,14 @@
     assert not reach.is_excluded("b")
 
 
-def test_the_own_data_centre_is_never_left_out():
+def test_the_own_data_centre_is_never_excluded():
     reach = reach_of(clock.ManualClock())
     for number in range(5):
         reach.failed("a", f"a{number}")
     assert not reach.is_excluded("a")
 
 
-def test_one_connection_tries_again_and_the_others_wait_for_it():
+def test_one_connect_probes_the_data_centre_while_others_avoid_it():
     time = clock.ManualClock()
     reach = reach_of(time)
     reach.failed("b", "b1")
@@ -52,7 +52,7 @@
     assert not reach.is_excluded("b")
 
 
-def test_pauses_grow_while_it_stays_cut_off():
+def test_pauses_grow_while_it_stays_unreachable():
     time = clock.ManualClock()
     reach = reach_of(time)
     reach.failed("b", "b1")
@@ -66,7 +66,7 @@
     assert left == data_centre_reach.MAX_PAUSE_MS
 
 
-def test_a_farther_data_centre_is_left_out_for_longer():
+def test_a_more_distant_data_centre_is_excluded_for_longer():
     time = clock.ManualClock()
     reach = reach_of(time)
     for name in ("b1", "b2"):
--- a/plumarch/routing/distance_test.py
+++ b/plumarch/routing/distance_test.py
@@ -1,4 +1,4 @@
-"""How far data centres are: regions, priors, and ways measured by connections."""
+"""Distances of data centres: regions, priors and measured round trips."""
 
 from plumarch.core import clock
 from plumarch.routing import distance
@@ -22,7 +22,7 @@
     ]
 
 
-def test_a_data_centre_without_a_region_is_one_of_its_own_and_told_once():
+def test_a_data_centre_without_a_region_is_its_own_region_and_reported_once():
     found = distances()
     assert found.locality("x") is distance.Locality.OTHER_REGION
     assert found.region_of("x") != found.region_of("y")
@@ -32,14 +32,14 @@
     assert not found.is_first_unnamed("c")
 
 
-def test_without_regions_all_is_near():
+def test_without_regions_all_data_centres_are_local():
     found = distances({})
     assert found.locality("x") is distance.Locality.SAME_REGION
     assert found.beyond_region_ms("x") == 0.0
     assert not found.is_first_unnamed("x")
 
 
-def test_priors_stand_until_some_connections_came_up():
+def test_priors_are_used_until_some_connects_succeeded():
     found = distances()
     prior = distance.PRIOR_ROUND_TRIP_MS
     assert found.round_trip_ms("c") == prior[distance.Locality.OTHER_REGION]
@@ -51,7 +51,7 @@
     assert found.round_trip_ms("c") == 20.0
 
 
-def test_a_busy_endpoint_does_not_look_far():
+def test_a_busy_endpoint_does_not_raise_the_round_trip():
     found = distances()
     for number in range(200):
         found.connected("c", 60.0 if number % 4 == 0 else 60.0 + 37.0 * (number % 7))
@@ -59,7 +59,7 @@
             assert found.round_trip_ms("c") == 60.0
 
 
-def test_one_connection_that_is_too_short_does_not_look_near():
+def test_a_single_short_connect_does_not_lower_the_round_trip():
     found = distances()
     for _ in range(10):
         found.connected("c", 60.0)
@@ -67,7 +67,7 @@
     assert found.round_trip_ms("c") == 60.0
 
 
-def test_another_way_shows_after_a_few_connections():
+def test_a_changed_route_shows_after_a_few_connects():
     found = distances()
     for _ in range(50):
         found.connected("c", 60.0)
@@ -76,7 +76,7 @@
     assert found.round_trip_ms("c") == 140.0
 
 
-def test_only_another_region_adds_to_time_limits_and_costs():
+def test_only_remote_regions_add_to_time_limits_and_costs():
     found = distances()
     for _ in range(10):
         found.connected("b", 30.0)
--- a/plumarch/routing/endpoint_backoff.py
+++ b/plumarch/routing/endpoint_backoff.py
@@ -1,7 +1,7 @@
 """Keeps requests away from endpoints that rejected one with a Retry-After.
 
 An endpoint that sheds load runs few requests, and would look like the best choice. A backoff
-applies to the node that was told, so it is not reported to other nodes.
+applies to the node that received it, so it is not reported to others.
 """
 
 import dataclasses
--- a/plumarch/routing/endpoint_backoff_test.py
+++ b/plumarch/routing/endpoint_backoff_test.py
@@ -1,4 +1,4 @@
-"""A backoff lasts as long as an endpoint asked for, and ends with its process."""
+"""Duration and scope of endpoint backoffs."""
 
 import dataclasses
 
@@ -20,7 +20,7 @@
     return endpoint_backoff.EndpointBackoff(steady), steady
 
 
-def test_it_rests_as_long_as_it_asked_for():
+def test_a_backoff_lasts_as_long_as_retry_after_names():
     backoff, steady = new()
     assert backoff.note_retry_after(ONE, ALIVE_MS, 2_999.4) == 3_000
     assert backoff.without([ONE, OTHER]) == [OTHER]
@@ -30,7 +30,7 @@
     assert backoff.without([ONE, OTHER]) == [ONE, OTHER]
 
 
-def test_a_shorter_rest_that_is_asked_for_later_ends_none():
+def test_a_later_shorter_backoff_does_not_shorten_the_first():
     backoff, steady = new()
     backoff.note_retry_after(ONE, ALIVE_MS, 3_000.0)
     steady.advance_to(1_500)
@@ -38,20 +38,20 @@
 
 
 @pytest.mark.parametrize("asked_ms", [86_400_000.0, 3.2e10, 1e300])
-def test_nobody_rests_for_a_day(asked_ms: float):
+def test_a_backoff_is_bounded(asked_ms: float):
     backoff, _ = new()
     assert backoff.note_retry_after(ONE, ALIVE_MS, asked_ms) == endpoint_backoff.MAX_MS
 
 
 @pytest.mark.parametrize(("born_ms", "rests_on"), [(ALIVE_MS - 1, True), (ALIVE_MS + 1, False)])
-def test_it_is_asked_for_by_the_process_that_was_alive_then(born_ms: int, rests_on: bool):
+def test_a_backoff_ends_with_the_process_that_sent_it(born_ms: int, rests_on: bool):
     backoff, _ = new()
     backoff.note_retry_after(ONE, ALIVE_MS, 3_000.0)
     reborn = dataclasses.replace(ONE, id="e.2", born_ms=born_ms)
     assert bool(backoff.left_ms(reborn)) is rests_on
 
 
-def test_when_the_first_one_has_rested():
+def test_the_shortest_remaining_backoff_is_returned():
     backoff, steady = new()
     backoff.note_retry_after(ONE, ALIVE_MS, 3_000.0)
     assert backoff.first_left_ms([ONE, OTHER]) == 0
--- a/plumarch/routing/endpoint_choice_test.py
+++ b/plumarch/routing/endpoint_choice_test.py
@@ -1,4 +1,4 @@
-"""Choices of endpoints: load, data centres, parts of prompts, loads of other nodes."""
+"""Choice of endpoints by load, data centre, prompt parts and reported loads."""
 
 from plumarch.core import clock, hashing, traffic
 from plumarch.routing import endpoint_choice
@@ -18,7 +18,7 @@
 PARTS = (traffic.PromptPart("aa", 2_000), traffic.PromptPart("bb", 3_000))
 
 
-def test_nothing_to_choose_from():
+def test_without_candidates_there_is_no_choice():
     assert chooser().choose_plain([], 1) is None
     assert chooser().choose_engine([], PARTS, 5_500, 1) is None
 
@@ -31,7 +31,7 @@
     assert first.endpoint.id != second.endpoint.id
 
 
-def test_a_near_endpoint_goes_before_a_far_one_until_it_is_loaded():
+def test_the_own_data_centre_is_preferred_until_it_is_loaded():
     found = chooser()
     near = endpoints(1, "a")
     far = [traffic.Endpoint("far", "s", "1:1", "b", 8, traffic.EndpointState.READY)]
@@ -89,7 +89,7 @@
     assert len(chosen) == 1
 
 
-def test_what_the_first_owner_has_no_room_for_goes_to_the_second():
+def test_the_second_owner_is_chosen_when_the_first_is_loaded():
     many = endpoints(40)
     first, second = owners_of(PARTS, many)[:2]
     found = chooser()
@@ -97,7 +97,7 @@
     assert found.choose_engine(many, (*PARTS, OWN), 5_500, 0).endpoint.id == second
 
 
-def test_a_busy_owner_is_left_to_finish():
+def test_a_busy_owner_is_avoided():
     found = chooser()
     usual = found.choose_engine(endpoints(5), PARTS, 5_500, 0)
     found.report_loads("other", {usual.endpoint.id: endpoint_choice.Load(3, 20_000.0)})
@@ -110,7 +110,7 @@
     assert endpoint_choice.part_keys(PARTS[1:]) != [second]
 
 
-def test_the_load_is_gone_when_all_requests_are_over():
+def test_no_load_remains_when_all_requests_have_ended():
     found = chooser()
     choice = found.choose_engine(endpoints(2), PARTS, 5_500, 0)
     found.begin(choice, PARTS)
@@ -121,7 +121,7 @@
     assert found.own == {}
 
 
-def test_the_sum_of_what_is_told_follows_each_report():
+def test_the_sum_of_reported_loads_follows_each_report():
     found = chooser()
     found.report_loads(
         "x", {"e0": endpoint_choice.Load(2, 100.0), "e1": endpoint_choice.Load(1, 50.0)}
--- a/plumarch/routing/endpoint_health_test.py
+++ b/plumarch/routing/endpoint_health_test.py
@@ -22,7 +22,7 @@
     return [one.id for one in found]
 
 
-def test_two_failures_in_a_row_leave_an_endpoint_out_for_a_while():
+def test_two_failures_in_a_row_eject_an_endpoint():
     time = clock.ManualClock()
     health = new_health(time)
     assert not health.failure("e0")
@@ -32,7 +32,7 @@
     assert len(health.usable(endpoints(3))) == 3
 
 
-def test_a_relapse_leaves_it_out_for_longer():
+def test_a_repeated_ejection_lasts_longer():
     time = clock.ManualClock()
     health = new_health(time)
     health.failure("e0")
@@ -44,7 +44,7 @@
     assert ids(health.usable(endpoints(3))) == ["e1", "e2"]
 
 
-def test_a_success_between_failures_keeps_it():
+def test_a_success_between_failures_prevents_ejection():
     health = new_health(clock.ManualClock())
     for _ in range(3):
         health.failure("e0")
@@ -52,13 +52,13 @@
     assert len(health.usable(endpoints(3))) == 3
 
 
-def test_doubtful_failures_alone_leave_nothing_out():
+def test_failures_of_low_weight_eject_nothing():
     health = new_health(clock.ManualClock())
     for _ in range(50):
         assert not health.failure("e0", 0.3)
 
 
-def test_when_most_endpoints_fail_none_is_left_out():
+def test_no_endpoint_is_ejected_when_most_fail():
     health = new_health(clock.ManualClock())
     for name in ("e0", "e1"):
         health.failure(name)
@@ -70,14 +70,14 @@
     return 0
 
 
-def test_the_second_try_goes_to_the_best_record():
+def test_a_repeated_request_goes_to_the_best_record():
     health = new_health(clock.ManualClock())
     health.failure("e0", 0.3)
     assert ids(health.best(endpoints(3), idle, repeated=False)) == ["e0", "e1", "e2"]
     assert ids(health.best(endpoints(3), idle, repeated=True)) == ["e1", "e2"]
 
 
-def test_first_tries_avoid_a_grey_endpoint_while_another_is_free():
+def test_first_attempts_avoid_a_partly_failing_endpoint_while_another_is_free():
     health = new_health(clock.ManualClock())
     for _ in range(3):
         health.failure("e0", 0.3)
@@ -88,7 +88,7 @@
     assert len(found) == 3
 
 
-def test_when_all_fail_alike_none_is_avoided():
+def test_no_endpoint_is_avoided_when_all_fail_equally():
     health = new_health(clock.ManualClock())
     for name in ("e0", "e1", "e2"):
         health.failure(name, 0.3)
@@ -96,7 +96,7 @@
     assert len(health.best(endpoints(3), idle, repeated=True)) == 3
 
 
-def test_a_grey_endpoint_is_tried_again_in_time():
+def test_a_partly_failing_endpoint_is_tried_again_later():
     time = clock.ManualClock()
     health = new_health(time)
     for _ in range(20):
@@ -109,7 +109,7 @@
 
 @dataclasses.dataclass
 class Replay:
-    """Requests of two sends at most to endpoints that fail a part of theirs."""
+    """Requests of at most two attempts to endpoints that fail a fraction of theirs."""
 
     parts: tuple[float, ...]
     by_record: bool
@@ -147,7 +147,7 @@
         return count
 
 
-def test_fewer_requests_fail_twice_when_records_steer():
+def test_fewer_requests_fail_twice_when_records_are_used():
     for parts in ((0.14, 0.01, 0.01), (0.4, 0.01, 0.01), (0.14, 0.14, 0.01), (0.4, 0.3, 0.01)):
         before = sum(Replay(parts, False).failed(seed) for seed in range(5))
         after = sum(Replay(parts, True).failed(seed) for seed in range(5))
--- a/plumarch/routing/endpoint_limits.py
+++ b/plumarch/routing/endpoint_limits.py
@@ -232,7 +232,7 @@
         """
         self._learned_limit(endpoint, is_engine).answered(running, took, self.clock.now())
 
-    def refused(self, endpoint: traffic.Endpoint, running: int, is_engine: bool) -> None:
+    def rejected(self, endpoint: traffic.Endpoint, running: int, is_engine: bool) -> None:
         """Handle a rejection of a request as too much.
 
         An endpoint with free slots rejects for another reason, which is ignored.
@@ -241,7 +241,7 @@
           running: requests there besides the rejected one.
         """
         if running >= endpoint.slots:
-            self._learned_limit(endpoint, is_engine).refused(running, self.clock.now())
+            self._learned_limit(endpoint, is_engine).rejected(running, self.clock.now())
 
     def changed(self, endpoint: traffic.Endpoint) -> float | None:
         """Return an endpoint's learned limit if it is due to be logged."""
--- a/plumarch/routing/endpoint_limits_test.py
+++ b/plumarch/routing/endpoint_limits_test.py
@@ -1,4 +1,4 @@
-"""What endpoints are given at once: known limits, and what they showed."""
+"""Configured and learned limits of endpoints."""
 
 import random
 
@@ -20,7 +20,7 @@
     return found
 
 
-def has_room(
+def has_capacity(
     found: endpoint_limits.EndpointLimits,
     running: int,
     demand: endpoint_limits.Demand = endpoint_limits.PLAIN,
@@ -34,7 +34,7 @@
     found.clock.advance_to(to_ms)
 
 
-def test_in_calm_times_an_endpoint_is_given_its_slots_times_the_factor():
+def test_without_overload_the_limit_is_a_multiple_of_the_slots():
     found = limits()
     rng = random.Random(1)
     for now in range(0, 30_000, 10):
@@ -42,47 +42,47 @@
         running = rng.randrange(SLOTS + 1)
         found.observe_load(endpoint(), running)
         found.answered(endpoint(), running, rng.expovariate(1.0), False)
-        assert has_room(found, 23)
-        assert not has_room(found, 24)
-    assert has_room(found, 11, PROMPT)
-    assert not has_room(found, 12, PROMPT)
+        assert has_capacity(found, 23)
+        assert not has_capacity(found, 24)
+    assert has_capacity(found, 11, PROMPT)
+    assert not has_capacity(found, 12, PROMPT)
 
 
-def test_the_limit_of_connections_holds():
+def test_the_connection_limit_applies():
     found = limits(traffic.Service("s", connection_limit=10))
-    assert has_room(found, 9)
-    assert not has_room(found, 10)
+    assert has_capacity(found, 9)
+    assert not has_capacity(found, 10)
 
 
-def test_prompts_and_answers_that_queue_stay_within_what_the_cache_holds():
+def test_queued_prompts_and_answers_stay_within_the_cache_limit():
     model = traffic.EngineModel(SLOTS, 18_000)
     found = limits(traffic.Service("s", engine=model))
-    assert has_room(found, 0, endpoint_limits.demand(50_000, 0, 0))
+    assert has_capacity(found, 0, endpoint_limits.demand(50_000, 0, 0))
     for _ in range(SLOTS + 4):
         running = found.own_load.get("e0", endpoint_limits.NO_OWN_LOAD).requests
-        assert has_room(found, running, PROMPT)
+        assert has_capacity(found, running, PROMPT)
         found.sent(endpoint(), PROMPT)
-    assert not has_room(found, SLOTS + 4, PROMPT)
+    assert not has_capacity(found, SLOTS + 4, PROMPT)
     for _ in range(2):
         found.sent(endpoint(), endpoint_limits.demand(4_000, 0, 0))
         found.ended(endpoint(), PROMPT)
-    assert not has_room(found, SLOTS + 3, PROMPT)
+    assert not has_capacity(found, SLOTS + 3, PROMPT)
     found.ended(endpoint(), PROMPT)
     found.ended(endpoint(), PROMPT)
-    assert has_room(found, SLOTS + 2, PROMPT)
+    assert has_capacity(found, SLOTS + 2, PROMPT)
 
 
-def test_a_free_place_is_given_whatever_its_prompts_weigh_together():
-    """Requests share parts of their prompts, which the cache holds once."""
+def test_a_free_slot_is_used_whatever_the_total_weight():
+    """Prompts share parts, which the cache holds once."""
     model = traffic.EngineModel(SLOTS, 8_000)
     found = limits(traffic.Service("s", engine=model))
     for running in range(SLOTS):
-        assert has_room(found, running, PROMPT)
+        assert has_capacity(found, running, PROMPT)
         found.sent(endpoint(), PROMPT)
-    assert not has_room(found, SLOTS, PROMPT)
+    assert not has_capacity(found, SLOTS, PROMPT)
 
 
-def test_requests_of_other_nodes_weigh_what_this_nodes_weigh_on_average():
+def test_requests_of_other_nodes_count_with_the_mean_weight():
     found = limits()
     found.sent(endpoint("e1"), PROMPT)
     assert found.weight_at(endpoint(), 3) == 3 * PROMPT.weight
@@ -90,36 +90,36 @@
     assert found.weight_at(endpoint(), 1) == 10_000
 
 
-def test_a_refusal_lowers_the_limit_and_it_recovers_within_seconds():
+def test_a_rejection_lowers_the_limit_which_recovers_within_seconds():
     found = limits()
-    found.refused(endpoint(), 15, False)
-    assert has_room(found, 11)
-    assert not has_room(found, 12)
+    found.rejected(endpoint(), 15, False)
+    assert has_capacity(found, 11)
+    assert not has_capacity(found, 12)
     assert found.changed(endpoint()) == 12.0
     assert found.changed(endpoint()) is None
     assert found.lowered({"e0": endpoint()}) == {"e0": 12.0}
     advance(found, round(concurrency_limit.RECOVERY_MS))
-    assert has_room(found, 23)
+    assert has_capacity(found, 23)
     assert found.lowered({"e0": endpoint()}) == {}
 
 
-def test_a_refusal_by_an_endpoint_with_free_places_says_nothing_of_its_limit():
+def test_a_rejection_with_free_slots_does_not_change_the_limit():
     found = limits()
-    found.refused(endpoint(), SLOTS - 1, False)
-    assert has_room(found, 23)
+    found.rejected(endpoint(), SLOTS - 1, False)
+    assert has_capacity(found, 23)
 
 
-def test_a_fall_is_told_once_and_its_load_is_kept_from_siblings():
+def test_a_crash_is_returned_once_and_limits_its_peers():
     found = limits()
     assert found.lost(endpoint(), 15, 30) is None
     crash = found.lost(endpoint(), 14, 30)
     assert crash == crash_guard.Crash("e0", 0, 15, 0.0, SLOTS, 30)
     assert found.lost(endpoint(), 13, 30) is None
-    assert has_room(found, 11, name="e1")
-    assert not has_room(found, 12, name="e1")
+    assert has_capacity(found, 11, name="e1")
+    assert not has_capacity(found, 12, name="e1")
 
 
-def test_heavy_prompts_that_made_one_fall_are_kept_from_its_siblings():
+def test_a_crash_under_heavy_prompts_limits_the_weight_at_its_peers():
     found = limits()
     light, heavy = endpoint_limits.demand(500, 0, 0), endpoint_limits.demand(6_000, 0, 0)
     for _ in range(4):
@@ -131,26 +131,26 @@
     assert found.lost(endpoint(), 2, 4) is not None
     bears = concurrency_limit.DECREASE * 18_000
     assert found.bounds("s", True).weight == bears
-    assert has_room(found, 4, heavy, "e1")
+    assert has_capacity(found, 4, heavy, "e1")
     for _ in range(2):
         found.sent(endpoint("e1"), heavy)
-    assert not has_room(found, 6, heavy, "e1")
-    assert not has_room(found, 6, light, "e1")
+    assert not has_capacity(found, 6, heavy, "e1")
+    assert not has_capacity(found, 6, light, "e1")
     found.ended(endpoint("e1"), heavy)
-    assert has_room(found, 5, light, "e1")
+    assert has_capacity(found, 5, light, "e1")
 
 
-def test_an_endpoint_that_leaves_does_not_fall():
+def test_losses_of_a_draining_endpoint_are_no_crash():
     found = limits()
     leaving = traffic.Endpoint("e0", "s", "1:1", "a", SLOTS, traffic.EndpointState.DRAINING)
     for _ in range(3):
         assert found.lost(leaving, 15, 30) is None
-    assert has_room(found, 23, name="e1")
+    assert has_capacity(found, 23, name="e1")
 
 
-def test_endpoints_that_are_gone_are_forgotten():
+def test_removed_endpoints_are_forgotten():
     found = limits()
-    found.refused(endpoint(), 15, False)
+    found.rejected(endpoint(), 15, False)
     found.changed(endpoint())
     found.lost(endpoint(), 15, 30)
     found.retain(set())
--- a/plumarch/routing/engine_speed_test.py
+++ b/plumarch/routing/engine_speed_test.py
@@ -1,4 +1,4 @@
-"""What is learned of engines: the true speed, in spite of grey, cold and reclaimed ones."""
+"""Learned engine speed is not distorted by slow, cold and reclaimed engines."""
 
 import random
 
@@ -8,7 +8,7 @@
 
 
 def learned(ms_per_token: float, base_ms: float, grey: float = 0.0) -> engine_speed.EngineSpeed:
-    """Return what is learned of engines, a part of which takes ten times as long."""
+    """Return the speed learned from engines, a fraction of which takes ten times as long."""
     rng = random.Random(1)
     speed = engine_speed.EngineSpeed()
     for _ in range(400):
@@ -26,13 +26,13 @@
         assert 0.8 * base_ms < speed.base_ms.value < 1.25 * base_ms
 
 
-def test_some_slow_engines_do_not_move_what_is_typical():
+def test_some_slow_engines_do_not_change_the_typical_speed():
     speed = learned(0.0064, 30.0, grey=0.25)
     assert speed.typical.value < 1.5 * 0.0064
     assert speed.mean_ms_per_token() > 2.0 * 0.0064
 
 
-def test_twenty_first_tokens_replace_the_start():
+def test_twenty_first_tokens_replace_the_initial_value():
     speed = engine_speed.EngineSpeed()
     for _ in range(engine_speed.KNOWN_AFTER - 1):
         speed.first_token(10_000, engine_speed.START_BASE_MS + 64)
@@ -42,7 +42,7 @@
     assert speed.typical.value < 0.2 * engine_speed.START_MS_PER_TOKEN
 
 
-def test_the_mean_follows_what_callers_get():
+def test_the_mean_follows_current_conditions():
     speed = engine_speed.EngineSpeed()
     for _ in range(200):
         speed.first_token(10_000, engine_speed.START_BASE_MS + 2_000)
@@ -50,20 +50,20 @@
     assert abs(speed.expect_ms(5_000, 0.0) - (speed.base_ms.value + 1_000)) < 20
 
 
-def test_one_short_prompt_that_waited_hardly_moves_the_mean():
+def test_one_short_prompt_that_waited_hardly_changes_the_mean():
     speed = learned(0.0064, 30.0)
     before = speed.mean_ms_per_token()
     speed.first_token(900, 1_500)
     assert speed.mean_ms_per_token() < 2.5 * before
 
 
-def test_short_prompts_say_nothing_about_the_time_a_token_takes():
+def test_short_prompts_do_not_change_the_time_per_token():
     speed = engine_speed.EngineSpeed()
     speed.first_token(engine_speed.MIN_TOKENS - 1, 10_000)
     assert speed.typical.value == engine_speed.START_MS_PER_TOKEN
 
 
-def test_what_is_learned_stays_within_bounds():
+def test_learned_values_stay_within_bounds():
     speed = engine_speed.EngineSpeed()
     for _ in range(300):
         speed.first_token(1_000, 10_000_000)
@@ -73,7 +73,7 @@
     assert speed.typical.value >= engine_speed.MIN_MS_PER_TOKEN
 
 
-def test_a_full_engine_is_waited_for_as_long_as_its_places_take():
+def test_the_wait_at_a_full_engine_follows_its_run_time():
     speed = engine_speed.EngineSpeed()
     for _ in range(10):
         speed.ended(1_200)
--- a/plumarch/routing/ownership_test.py
+++ b/plumarch/routing/ownership_test.py
@@ -22,14 +22,14 @@
     assert sorted(counts.values()) == [3, 3, 4, 4, 4, 4, 4, 4]
 
 
-def test_owners_are_near_as_far_as_shares_stay_even() -> None:
+def test_owners_are_in_the_same_data_centre_as_far_as_shares_stay_even() -> None:
     found = ownership.owners(endpoints(10), NODES)
     far = [name for name, node in found.items() if NODES[node] != name[0]]
     assert len(far) <= 2
     assert all(name.startswith("c") for name in far)
 
 
-def test_the_order_of_what_is_known_does_not_matter() -> None:
+def test_the_order_of_endpoints_and_nodes_does_not_matter() -> None:
     turned = dict(reversed(NODES.items()))
     assert ownership.owners(endpoints(10)[::-1], turned) == ownership.owners(endpoints(10), NODES)
 
--- a/plumarch/routing/placement_test.py
+++ b/plumarch/routing/placement_test.py
@@ -61,7 +61,7 @@
     assert [c.note for c in considered] == ["leaving", "data centre not allowed"]
 
 
-def test_the_last_place_is_kept_for_lookups() -> None:
+def test_the_last_slot_is_reserved_for_lookups() -> None:
     made = places(endpoint("x", capacity=2))
     made.started("x", 0)
     assert chosen(made, chat()) == ""
@@ -83,7 +83,7 @@
     assert [c for c in considered if c.note] == []
 
 
-def test_no_more_than_a_share_is_ejected() -> None:
+def test_only_a_fraction_of_endpoints_is_ejected() -> None:
     made = places(*(endpoint(name) for name in "abcdefghij"))
     for name, delay in [(n, 100) for n in "efghij"] + [(n, 5_000) for n in "abcd"]:
         for _ in range(placement.MIN_MEASUREMENTS):
@@ -92,7 +92,7 @@
     assert len(out) == 3
 
 
-def test_an_endpoint_that_could_not_be_reached_rests() -> None:
+def test_an_unreachable_endpoint_is_avoided() -> None:
     made = places(endpoint("x", price=0.1), endpoint("y"))
     made.unreachable("x")
     assert chosen(made, chat()) == "y"
@@ -107,7 +107,7 @@
     assert len(considered) == placement.SHOWN
 
 
-def test_other_nodes_endpoints_are_used_when_the_own_one_is_out() -> None:
+def test_other_nodes_endpoints_are_used_when_the_own_one_is_ejected() -> None:
     made = places(endpoint("x"), endpoint("y", data_centre="b"))
     made.assign_owners({"a1#1": "a", "b1#1": "b"})
     assert made.owned == {"x"}
--- a/plumarch/routing/relative_latency_test.py
+++ b/plumarch/routing/relative_latency_test.py
@@ -1,4 +1,4 @@
-"""Endpoints that answer, but slowly."""
+"""Detection of slow outliers."""
 
 from plumarch.core import clock, suspension, traffic
 from plumarch.routing import relative_latency
@@ -14,7 +14,7 @@
 
 
 class Service:
-    """Endpoints that answer at a pace."""
+    """Endpoints with given answer times."""
 
     def __init__(self) -> None:
         self.time = clock.ManualClock()
@@ -39,7 +39,7 @@
     assert service.ids({"e1": 7, "e2": 8}) == ["e1", "e2"]
 
 
-def test_when_none_is_free_it_gets_the_places_that_its_pace_allows_and_no_queue():
+def test_when_none_is_free_a_slow_endpoint_gets_a_fraction_of_its_slots():
     service = Service()
     for _ in range(5):
         service.answer("e0", 6.0)
@@ -49,7 +49,7 @@
     assert service.ids({**full, "e0": 4}) == ["e1", "e2"]
 
 
-def test_what_slows_all_of_them_makes_none_slow():
+def test_no_endpoint_is_an_outlier_when_all_are_slow():
     service = Service()
     for _ in range(5):
         for name in ("e0", "e1", "e2"):
@@ -57,13 +57,13 @@
     assert len(service.ids({})) == 3
 
 
-def test_one_long_answer_makes_none_slow():
+def test_one_long_answer_makes_no_outlier():
     service = Service()
     service.answer("e0", 6.0)
     assert len(service.ids({})) == 3
 
 
-def test_an_endpoint_that_hangs_is_noticed_before_its_request_is_given_up():
+def test_a_hanging_endpoint_is_detected_before_its_request_times_out():
     service = Service()
     number = service.latencies.sent("e0", EXPECTED_MS)
     service.time.advance_to(round(relative_latency.HANG_RATIO * EXPECTED_MS) + 1)
@@ -81,7 +81,7 @@
     assert service.ids({}) == ["e1", "e2"]
 
 
-def test_far_endpoints_with_steady_connects_are_not_slow():
+def test_distant_endpoints_with_steady_connects_are_not_slow():
     service = Service()
     for _ in range(10):
         service.latencies.connected("e0", 80.0)
--- a/plumarch/routing/return_times_test.py
+++ b/plumarch/routing/return_times_test.py
@@ -1,21 +1,21 @@
-"""Return times: by their cause, bounded, and spread."""
+"""Return times of rejected requests."""
 
 import random
 
 from plumarch.routing import return_times
 
 
-def test_a_queue_is_waited_for_as_long_as_it_is_too_long():
+def test_the_wait_for_a_queue_is_its_excess_over_the_target():
     assert return_times.when_drained(1_900.0, 1_200.0) == 700.0
 
 
-def test_a_full_service_has_room_once_the_first_one_ends():
+def test_the_wait_at_a_full_service_ends_with_the_first_request():
     assert return_times.when_slot_is_free(24, 24, 2_400.0) == 100.0
     assert return_times.when_slot_is_free(36, 24, 2_400.0) == 1_300.0
     assert return_times.when_slot_is_free(0, 0, 80.0) == 80.0
 
 
-def test_times_are_bounded_and_those_of_many_callers_differ():
+def test_times_are_bounded_and_randomized():
     rng = random.Random(1)
     found = [return_times.spread(1_000.0, rng) for _ in range(50)]
     assert all(1_000.0 <= one <= 1_300.0 for one in found)
--- a/plumarch/routing/version_split_test.py
+++ b/plumarch/routing/version_split_test.py
@@ -1,4 +1,4 @@
-"""Which versions requests go to: shares, repeats, vetoes, late and older news, unknown versions."""
+"""Choice of versions: shares, repeats, vetoes, stale updates and unknown versions."""
 
 import dataclasses
 
@@ -42,27 +42,27 @@
     return known.groups("s", OLD + NEW, request, repeated)[0]
 
 
-def part_to_new(known: version_split.VersionSplits, requests: int = 4_000) -> float:
+def fraction_to_new(known: version_split.VersionSplits, requests: int = 4_000) -> float:
     chosen = [first_of(known, f"q{n}")[0].version == "v2" for n in range(requests)]
     return sum(chosen) / requests
 
 
 def test_a_version_gets_its_share_and_all_nodes_choose_alike():
     one, other = knowing(split(0.08)), knowing(split(0.08))
-    assert abs(part_to_new(one) - 0.08) < 0.015
+    assert abs(fraction_to_new(one) - 0.08) < 0.015
     assert all(first_of(one, f"q{n}") == first_of(other, f"q{n}") for n in range(200))
-    assert part_to_new(knowing(split(0.0))) == 0.0
-    assert part_to_new(knowing(split(1.0))) == 1.0
+    assert fraction_to_new(knowing(split(0.0))) == 0.0
+    assert fraction_to_new(knowing(split(1.0))) == 1.0
 
 
-def test_a_repeat_goes_to_the_old_version():
+def test_a_repeated_request_goes_to_the_old_version():
     known = knowing(split(0.5))
     assert all(
         one.version == "v1" for n in range(100) for one in first_of(known, f"q{n}", repeated=True)
     )
 
 
-def test_a_request_with_no_room_at_the_new_version_may_go_to_the_old_one_but_not_back():
+def test_without_capacity_a_request_may_go_from_the_new_to_the_old_version_only():
     known = knowing(split(0.5))
     for n in range(100):
         groups = known.groups("s", OLD + NEW, f"q{n}", repeated=False)
@@ -76,13 +76,13 @@
     assert len(used) == 2
 
 
-def test_a_veto_and_a_roll_back_stop_a_version_and_an_older_word_does_not_revive_it():
+def test_a_stale_update_does_not_undo_a_veto_or_roll_back():
     known = knowing(split(0.5, step=3))
     known.veto("s")
-    assert part_to_new(known, 200) == 0.0
+    assert fraction_to_new(known, 200) == 0.0
     assert not known.adopt(split(0.5, step=2))
     known.adopt(split(1.0, step=4))
-    assert part_to_new(known, 200) == 0.0
+    assert fraction_to_new(known, 200) == 0.0
     known = knowing(split(0.0, step=5, state=ROLLED_BACK))
     assert not known.adopt(split(0.5, step=4))
     assert known.groups("s", NEW, "q", repeated=False) == [[]]
@@ -101,20 +101,20 @@
     assert known.groups("s", OLD, "q", repeated=True)[0] == OLD
 
 
-def test_a_version_that_comes_long_after_a_completion_is_used():
+def test_a_version_that_appears_long_after_a_completion_is_used():
     known = knowing(split(1.0, state=COMPLETED))
     known.clock.advance_to(known.clock.now() + version_split.OLD_VERSION_DRAIN_MS)
     assert {one.version for one in first_of(known, "q")} == {"v1", "v2"}
 
 
-def test_a_later_holders_word_goes_before_an_earlier_ones():
+def test_the_split_of_a_later_duty_holder_wins():
     known = knowing(split(0.5, token=1, step=9))
     assert known.adopt(split(0.1, token=2, step=1))
     assert not known.adopt(split(0.9, token=1, step=10))
     assert known.of("s").share == 0.1
 
 
-def test_a_version_that_came_before_its_order_gets_nothing_for_a_while():
+def test_a_version_that_appears_before_its_order_gets_nothing_for_a_while():
     known = version_split.VersionSplits(clock.ManualClock(1_000))
     assert known.groups("s", OLD, "q", repeated=False) == [OLD]
     known.clock.advance_to(20_000)
@@ -130,7 +130,7 @@
     assert {one.version for one in known.groups("s", ready, "q", repeated=False)[0]} == {"v9"}
 
 
-def test_splits_are_told_while_they_run_and_for_a_while_after():
+def test_splits_are_published_while_they_run_and_for_a_while_after():
     known = knowing(split(0.5))
     known.clock.advance_to(10 * version_split.PUBLISH_RETENTION_MS)
     assert len(known.to_publish()) == 1
