--- a/plumarch/routing/placement.py
+++ b/plumarch/routing/placement.py
@@ -329,26 +329,26 @@
         if stats.ejected_until_ms > self.ctx.now():
             return "ejected as slow"
         if stats.backoff_until_ms > self.ctx.now():
-            return "asked for rest"
+            return "backing off after a rejection"
         if stats.permits is not None:
             # The rate covers all nodes, so only the owner can count it.
             if endpoint.name not in self.owned:
-                return "another node's, announces a rate"
+                return "owned by another node, announces a rate"
             if stats.permits.fill(self.ctx.now()) < 1.0:
-                return "its announced rate is used"
+                return "announced rate used up"
         if endpoint.name in self.owned:
             if stats.in_flight >= self._admission_limit(endpoint, request):
                 return "full"
             return ""
         if stats.in_flight >= max(1, endpoint.capacity // self.live_nodes):
-            return "this node's share is used"
+            return "this node's fraction of its capacity is in use"
         if owns_none or request.request_class is data.RequestClass.LOOKUP:
             return ""
         age = self.ctx.now() - stats.reported_ms
         if not stats.reported_ms or age > REPORT_AGE_MS:
-            return "another node's, its load unknown"
+            return "owned by another node, load unknown"
         if stats.reported > endpoint.capacity * SPILL_FRACTION:
-            return "another node's, in use"
+            return "owned by another node, in use"
         return ""
 
     def _owns_usable(self, request: data.Request) -> bool:
