--- a/plumarch/routing/crash_guard.py
+++ b/plumarch/routing/crash_guard.py
@@ -1,9 +1,7 @@
-"""What a service's other endpoints are given after one of them fell over.
+"""Limits what the other endpoints of a service are given after one of them crashed.
 
-An endpoint that falls gives its load back at once: its callers and this fleet repeat it, and the
-next endpoint may fall under it. So after a fall the service as a whole takes on a bounded share of
-what was lost, which grows again with time, urgent requests first. And what made one endpoint fall
-is kept from the others: they have as much memory as it had, as far as anybody knows.
+The load of a crashed endpoint is repeated at once and may crash the next one, so it is admitted
+gradually, urgent requests first. The load that caused the crash becomes a limit for the others.
 """
 
 import dataclasses
@@ -11,180 +9,179 @@
 from plumarch.core import clock
 from plumarch.routing import concurrency_limit
 
-FIRST_SHARE = 0.25
-"""Part of what the fallen endpoint held that the others may take on at once. With four others or
-more each gets a sixteenth of its load, which is less than loads differ anyhow."""
+INITIAL_FRACTION = 0.25
+"""Fraction of a crashed endpoint's requests that the others may take on at once."""
 
-MANY_OTHERS = 16
-"""Others of a service among which the whole load of a fallen endpoint is let in at once: each gets
-a sixteenth of it at most, as with FIRST_SHARE among four."""
+UNLIMITED_PEERS = 16
+"""With this many other endpoints the whole load is admitted at once: each gets a sixteenth of it at
+most, as with INITIAL_FRACTION among four."""
 
-GROWS_MS = 4_000
-"""Time in which the rest of it is let in: a caller that was turned away comes back within it."""
+RAMP_MS = 4_000
+"""Time over which the rest is admitted; rejected callers come back within it."""
 
 RANK_STEP = 0.05
-"""Part of the room that each rank leaves to the more urgent ones."""
+"""Fraction of the admitted load that each rank leaves to the more urgent ones."""
 
-MIN_PART = 0.5
-"""The least urgent ranks still get this part of the room, so that none is starved."""
+MIN_RANK_FRACTION = 0.5
+"""The least urgent ranks still get this fraction, so that none is starved."""
 
-LOST_TOGETHER_MS = 250
-"""Connections of an endpoint that are lost within this time are lost together: a crash ends all at
-once, and this is a connect's time limit, within which a process sees them end."""
+LOSS_WINDOW_MS = 250
+"""Connections lost within this time count as lost together: a crash ends all at once, and a process
+sees them end within the connect timeout."""
 
-LOSSES = 2
-"""Connections lost together that are a fall. One alone may be the fault of its own request."""
+CRASH_LOSSES = 2
+"""Connections lost together that count as a crash; one alone may be caused by its request."""
 
 
 @dataclasses.dataclass(slots=True)
 class Losses:
-    """Connections that one endpoint lost lately.
+    """Connections that one endpoint lost recently.
 
     Attributes:
       first_ms: when the first of them was lost.
-      held: requests that it held then.
-      weight: what they weighed.
-      count: how many were lost since; LOSSES make a fall.
+      running: requests at the endpoint then.
+      weight: their weight, in tokens.
+      count: connections lost since; CRASH_LOSSES make a crash.
     """
 
     first_ms: int
-    held: int
+    running: int
     weight: float
     count: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Crash:
-    """An endpoint fell.
+    """A crash of an endpoint.
 
     Attributes:
       endpoint: its identifier.
-      held: requests that it held.
-      weight: what they weighed, in tokens.
-      slots: requests that it worked on at once.
-      elsewhere: requests that the service's other endpoints held then.
+      running: requests at the endpoint.
+      weight: their weight, in tokens.
+      slots: requests that it works on at once.
+      elsewhere: requests at the service's other endpoints then.
     """
 
     endpoint: str
     at_ms: int
-    held: int
+    running: int
     weight: float
     slots: int
     elsewhere: int
 
     def by_count(self) -> bool:
-        """Return whether it held more requests than it works on at once.
+        """Return whether it had more requests than slots.
 
-        One that fell with less was lost for another reason, or by what its requests weighed.
+        Otherwise the cause was their weight, or none of the load at all.
         """
-        return self.held > self.slots
+        return self.running > self.slots
 
 
 @dataclasses.dataclass(slots=True)
 class ServiceCrashes:
-    """What falls taught about the endpoints of one service.
+    """What crashes showed of the endpoints of one service.
 
     Attributes:
-      last: the latest fall under more than endpoints bear every day.
-      per_slot: requests for each slot that an endpoint may hold, or None.
-      weight: what the requests of an endpoint may weigh, or None.
-      learned_ms: when the two before were learned; they are forgotten after CRASH_RETENTION_MS.
-      borne: the greatest weight under which an endpoint answered since this process started.
+      last: the latest crash under more load than endpoints regularly sustain.
+      per_slot: maximum requests for each slot of an endpoint, or None.
+      weight: maximum weight of an endpoint's requests, in tokens, or None.
+      learned_ms: when the two were learned; they expire after CRASH_RETENTION_MS.
+      max_sustained_weight: greatest weight under which an endpoint answered since this process
+        started.
     """
 
     last: Crash | None = None
     per_slot: float | None = None
     weight: float | None = None
     learned_ms: int = 0
-    borne: float = 0.0
+    max_sustained_weight: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
 class CrashGuard:
-    """Falls of endpoints, by service, and the losses by which they are noticed.
+    """Crashes by service, and the lost connections that reveal them.
 
     Attributes:
-      losses: connections lost lately, by endpoint identifier.
+      losses: recently lost connections, by endpoint identifier.
     """
 
     clock: clock.Clock
     services: dict[str, ServiceCrashes] = dataclasses.field(default_factory=dict)
     losses: dict[str, Losses] = dataclasses.field(default_factory=dict)
 
-    def lost(self, endpoint: str, held: int, weight: float) -> Losses | None:
+    def lost(self, endpoint: str, running: int, weight: float) -> Losses | None:
         """Count a connection that ended while its request ran.
 
         Args:
-          held: requests at the endpoint, with this one.
+          running: requests at the endpoint, including this one.
         Returns:
-          What was lost, once it shows that the endpoint fell; each fall is told once.
+          The losses once they amount to a crash; each crash is returned once.
         """
         now = self.clock.now()
         losses = self.losses.get(endpoint)
-        if losses is None or now - losses.first_ms > LOST_TOGETHER_MS:
-            losses = self.losses[endpoint] = Losses(now, held, weight)
+        if losses is None or now - losses.first_ms > LOSS_WINDOW_MS:
+            losses = self.losses[endpoint] = Losses(now, running, weight)
         losses.count += 1
-        return losses if losses.count == LOSSES else None
+        return losses if losses.count == CRASH_LOSSES else None
 
-    def unreached(self, endpoint: str) -> Losses | None:
-        """Take in that an endpoint can't be connected to.
+    def connect_failed(self, endpoint: str) -> Losses | None:
+        """Handle a failed connect to an endpoint.
 
         Returns:
-          What was lost, if it had lost one connection just before; that makes it a fall.
+          The losses if a connection was lost just before, which makes it a crash.
         """
         losses = self.losses.get(endpoint)
-        if losses is None or losses.count >= LOSSES:
+        if losses is None or losses.count >= CRASH_LOSSES:
             return None
-        if self.clock.now() - losses.first_ms > LOST_TOGETHER_MS:
+        if self.clock.now() - losses.first_ms > LOSS_WINDOW_MS:
             return None
-        losses.count = LOSSES
+        losses.count = CRASH_LOSSES
         return losses
 
-    def lives(self, endpoint: str) -> None:
-        """Take in an answer: what the endpoint lost before it was no fall."""
+    def note_answer(self, endpoint: str) -> None:
+        """Handle an answer: earlier losses of the endpoint were no crash."""
         self.losses.pop(endpoint, None)
 
-    def bore(self, service: str, weight: float) -> None:
-        """Take in that an endpoint answered well while its requests weighed so much."""
+    def observe_load(self, service: str, weight: float) -> None:
+        """Record the weight of the requests at an endpoint that answered."""
         crashes = self.services.setdefault(service, ServiceCrashes())
-        crashes.borne = max(weight, crashes.borne)
+        crashes.max_sustained_weight = max(weight, crashes.max_sustained_weight)
 
     def crashed(self, service: str, crash: Crash) -> None:
-        """Take in a fall.
+        """Learn limits from a crash.
 
-        One under no more than endpoints bear every day is a loss like any other, and its load may
-        go to the others at once.
+        A crash under regularly sustained load teaches nothing, and its load may move to the others
+        at once.
         """
         crashes = self.services.setdefault(service, ServiceCrashes())
-        by_weight = crash.weight > crashes.borne > 0
+        by_weight = crash.weight > crashes.max_sustained_weight > 0
         if not crash.by_count() and not by_weight:
             return
         crashes.learned_ms = crash.at_ms
         if crash.by_count():
-            crashes.per_slot = concurrency_limit.DECREASE * crash.held / max(1, crash.slots)
+            crashes.per_slot = concurrency_limit.DECREASE * crash.running / max(1, crash.slots)
         if by_weight:
-            crashes.weight = max(crashes.borne, concurrency_limit.DECREASE * crash.weight)
+            crashes.weight = max(
+                crashes.max_sustained_weight, concurrency_limit.DECREASE * crash.weight
+            )
         crashes.last = crash
 
     def per_slot(self, service: str) -> float | None:
-        """Return how many requests for each slot an endpoint may hold by falls, or None.
-
-        It is 1 at least: a fall says nothing against an endpoint's slots.
-        """
+        """Return the maximum of requests per slot learned from crashes, at least 1, or None."""
         crashes = self._learned(service)
         if crashes is None or crashes.per_slot is None:
             return None
         return max(1.0, crashes.per_slot)
 
     def weight(self, service: str) -> float | None:
-        """Return what an endpoint's requests may weigh by what falls taught, or None.
+        """Return the maximum weight of an endpoint's requests learned from crashes, or None.
 
-        It is no less than what another one bore since.
+        It is no less than what another endpoint sustained since.
         """
         crashes = self._learned(service)
         if crashes is None or crashes.weight is None:
             return None
-        return max(crashes.weight, crashes.borne)
+        return max(crashes.weight, crashes.max_sustained_weight)
 
     def _learned(self, service: str) -> ServiceCrashes | None:
         crashes = self.services.get(service)
@@ -196,17 +193,17 @@
         return None
 
     def recent(self, service: str) -> Crash | None:
-        """Return the last fall of a service while its load is still let in by parts."""
+        """Return the last crash of a service while its load is still being admitted gradually."""
         crashes = self.services.get(service)
         if crashes is None or crashes.last is None:
             return None
-        return crashes.last if self.clock.now() - crashes.last.at_ms < GROWS_MS else None
+        return crashes.last if self.clock.now() - crashes.last.at_ms < RAMP_MS else None
 
     def wait_ms(self, service: str, running: int, slots: int, rank: int) -> float:
         """Return in how many ms a service takes on a request of a rank; 0 is now.
 
         Args:
-          running: requests at all its endpoints that are left.
+          running: requests at all its remaining endpoints.
           slots: requests that they work on at once; below that nothing waits.
           rank: 0 is the most urgent.
         """
@@ -214,12 +211,12 @@
         if crash is None or running < slots:
             return 0.0
         age_ms = self.clock.now() - crash.at_ms
-        part = max(MIN_PART, 1.0 - RANK_STEP * rank)
-        wanted_share = (running + 1 - crash.elsewhere) / (part * max(1, crash.held))
-        if wanted_share <= FIRST_SHARE:
+        fraction = max(MIN_RANK_FRACTION, 1.0 - RANK_STEP * rank)
+        wanted_fraction = (running + 1 - crash.elsewhere) / (fraction * max(1, crash.running))
+        if wanted_fraction <= INITIAL_FRACTION:
             return 0.0
-        grown_ms = (wanted_share - FIRST_SHARE) / (1.0 - FIRST_SHARE) * GROWS_MS
-        return max(0.0, min(float(GROWS_MS), grown_ms) - age_ms)
+        ramp_ms = (wanted_fraction - INITIAL_FRACTION) / (1.0 - INITIAL_FRACTION) * RAMP_MS
+        return max(0.0, min(float(RAMP_MS), ramp_ms) - age_ms)
 
     def retain(self, endpoints: set[str]) -> None:
         """Forget losses of endpoints that no longer exist."""
--- a/plumarch/routing/endpoint_health.py
+++ b/plumarch/routing/endpoint_health.py
@@ -1,14 +1,8 @@
-"""Which endpoints to leave out for a while, judged by answers to real requests.
+"""Ejects endpoints for a while, judged by answers to real requests.
 
-An endpoint is left out after several failures in a row, or when most of its recent answers
-failed, for a time that doubles with each relapse. Never more than half of a service's
-endpoints are left out: beyond that the failures are likely not the endpoints' own.
-
-One that fails some of its requests, and answers others in between, is never left out. Its record
-over more answers shows it, and requests go to those with a better one while they are free.
-
-One answer that another process has its address proves that an endpoint is not there: it is left
-out whatever is left.
+At most half of a service's endpoints are ejected: beyond that, the cause is likely elsewhere. One
+that fails only some requests is not ejected, but avoided while endpoints with a better record are
+free. One whose address belongs to another process is always left out.
 """
 
 import dataclasses
@@ -22,47 +16,44 @@
 DECAY = 0.75
 """Weight of the past in the failure rate, at each answer."""
 
-WORST_RATE = 0.5
+MAX_FAILURE_RATE = 0.5
 FIRST_EJECTION_MS = 2_000
 MAX_EJECTION_MS = 15_000
 
 RECORD_DECAY = 0.95
-"""Weight of the past in the record, at each answer; some twenty answers tell an endpoint that
-fails one in seven from a sound one."""
+"""Weight of the past in the record, at each answer."""
 
-RECORD_FORGOTTEN_MS = 20_000.0
-"""Half of a record is forgotten in this time, so that an endpoint that was mended is tried again;
-by then a process has been restarted."""
+RECORD_HALF_LIFE_MS = 20_000.0
+"""Half-life of a record, so that a repaired endpoint is tried again."""
 
-FORGETTABLE = 0.01
-"""A record with a smaller part of failures says nothing."""
+NEGLIGIBLE = 0.01
+"""A record with a smaller fraction of failures is dropped."""
 
-GREY = 0.06
-"""Part of failures by which a record must be worse than the best one before first sends avoid an
-endpoint: one or two failures in twenty answers."""
+WORSE_MARGIN = 0.06
+"""First attempts avoid an endpoint whose record is worse than the best by this fraction."""
 
 ABSENT_MS = 10_000
-"""How long an endpoint is left out that is not at its address: an entry that an earlier process
-wrote late stands for the length of its lease, some seconds."""
+"""How long an endpoint that is not at its address is left out: the lease of an entry that an
+earlier process wrote late."""
 
-NO_BETTER = 0.02
-"""Records that differ by less are alike."""
+EQUAL_MARGIN = 0.02
+"""Records that differ by less count as equal."""
 
 
 @dataclasses.dataclass(slots=True)
 class Health:
-    """What is known of one endpoint.
+    """State of one endpoint.
 
     Attributes:
-      rate: decayed part of its answers that failed.
-      out_until_ms: it gets no work before then.
-      record: part of its answers that failed, over more answers; all failures weigh alike.
+      rate: decayed fraction of its answers that failed.
+      ejected_until_ms: it gets no requests before then.
+      record: fraction of its answers that failed, over more answers; all failures weigh alike.
       recorded_ms: when it last answered.
     """
 
     in_row: int = 0
     rate: float = 0.0
-    out_until_ms: int = 0
+    ejected_until_ms: int = 0
     ejections: int = 0
     record: float = 0.0
     recorded_ms: int = 0
@@ -70,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Absence:
-    """Where an endpoint was found not to be, and until when that is believed."""
+    """An address where an endpoint was not found, and until when that is assumed."""
 
     address: str
     until_ms: int
@@ -82,27 +73,27 @@
 
     Attributes:
       absences: endpoints that were not at their address.
-      paces: how slow endpoints are.
+      latencies: relative latencies of endpoints.
     """
 
     clock: clock.Clock
     suspensions: suspension.Suspensions
     known: dict[str, Health] = dataclasses.field(default_factory=dict)
     absences: dict[str, Absence] = dataclasses.field(default_factory=dict)
-    paces: relative_latency.EndpointPaces = dataclasses.field(init=False)
+    latencies: relative_latency.Latencies = dataclasses.field(init=False)
 
     def __post_init__(self) -> None:
-        self.paces = relative_latency.EndpointPaces(self.clock, self.suspensions)
+        self.latencies = relative_latency.Latencies(self.clock, self.suspensions)
 
     def success(self, endpoint: str) -> None:
-        """Count a sound answer."""
+        """Count a successful answer."""
         health = self.known.get(endpoint)
         if health is None:
             return
         health.in_row = 0
         health.rate *= DECAY
         self._record(health, failed=False)
-        if health.rate < 0.05 and health.record < FORGETTABLE:
+        if health.rate < 0.05 and health.record < NEGLIGIBLE:
             del self.known[endpoint]
 
     def failure(self, endpoint: str, weight: float = 1.0) -> bool:
@@ -111,35 +102,35 @@
         Args:
           weight: below 1 for a failure that may not be the endpoint's fault.
         Returns:
-          Whether it is left out from now on.
+          Whether the endpoint is ejected now.
         """
         health = self.known.setdefault(endpoint, Health())
         health.rate = health.rate * DECAY + weight * (1.0 - DECAY)
         self._record(health, failed=True)
         if weight >= 1.0:
             health.in_row += 1
-        if health.in_row < FAILURES_IN_ROW and health.rate < WORST_RATE:
+        if health.in_row < FAILURES_IN_ROW and health.rate < MAX_FAILURE_RATE:
             return False
         now = self.clock.now()
-        if now < health.out_until_ms:
+        if now < health.ejected_until_ms:
             return False
-        time_out = min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2**health.ejections)
+        ejection_ms = min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2**health.ejections)
         health.ejections = min(health.ejections + 1, 8)
-        health.out_until_ms = now + time_out
+        health.ejected_until_ms = now + ejection_ms
         health.in_row = 0
         health.rate = 0.25
         return True
 
     def _record(self, health: Health, failed: bool) -> None:
         now = self.clock.now()
-        before = _faded(health, now)
+        before = _decayed(health, now)
         health.record = before * RECORD_DECAY + (1.0 - RECORD_DECAY if failed else 0.0)
         health.recorded_ms = now
 
     def record(self, endpoint: str) -> float:
-        """Return which part of an endpoint's answers failed lately."""
+        """Return the decayed fraction of an endpoint's answers that failed."""
         health = self.known.get(endpoint)
-        return _faded(health, self.clock.now()) if health is not None else 0.0
+        return _decayed(health, self.clock.now()) if health is not None else 0.0
 
     def best(
         self,
@@ -147,19 +138,19 @@
         running: Callable[[str], int],
         repeated: bool,
     ) -> list[traffic.Endpoint]:
-        """Return the endpoints that a request had better go to, by their records.
+        """Return the endpoints with the better records.
 
         Args:
           running: requests at an endpoint.
-          repeated: whether the request failed already: then only the best records will do.
-            Otherwise those much worse are left out, while a better one has a free place.
+          repeated: whether the request failed already: then only the best records count. Otherwise
+            much worse ones are left out, while a better one has a free slot.
         """
         if not self.known:
             return list(endpoints)
         records = {
             one.id: self.record(one.id) if one.id in self.known else 0.0 for one in endpoints
         }
-        bound = min(records.values(), default=0.0) + (NO_BETTER if repeated else GREY)
+        bound = min(records.values(), default=0.0) + (EQUAL_MARGIN if repeated else WORSE_MARGIN)
         better = [one for one in endpoints if records[one.id] <= bound]
         if repeated or any(running(one.id) < one.slots for one in better):
             return better
@@ -171,10 +162,10 @@
         self.absences[endpoint.id] = Absence(endpoint.address, until_ms)
 
     def usable(self, endpoints: Sequence[traffic.Endpoint]) -> list[traffic.Endpoint]:
-        """Return the endpoints that are not left out, or all present ones if too many would be."""
+        """Return the endpoints that are not ejected, or all present ones if too many would be."""
         now = self.clock.now()
         present = [one for one in endpoints if not self._is_absent(one, now)]
-        found = [one for one in present if not self._out(one.id, now)]
+        found = [one for one in present if not self._is_ejected(one.id, now)]
         return found if 2 * len(found) >= len(present) else present
 
     def _is_absent(self, endpoint: traffic.Endpoint, now: int) -> bool:
@@ -183,9 +174,9 @@
             return False
         return absence.address == endpoint.address and now < absence.until_ms
 
-    def _out(self, endpoint: str, now: int) -> bool:
+    def _is_ejected(self, endpoint: str, now: int) -> bool:
         health = self.known.get(endpoint)
-        return health is not None and now < health.out_until_ms
+        return health is not None and now < health.ejected_until_ms
 
     def retain(self, endpoints: set[str]) -> None:
         """Forget endpoints that no longer exist."""
@@ -193,8 +184,8 @@
             del self.known[name]
         for name in [name for name in self.absences if name not in endpoints]:
             del self.absences[name]
-        self.paces.retain(endpoints)
+        self.latencies.retain(endpoints)
 
 
-def _faded(health: Health, now: int) -> float:
-    return health.record * math.pow(0.5, (now - health.recorded_ms) / RECORD_FORGOTTEN_MS)
+def _decayed(health: Health, now: int) -> float:
+    return health.record * math.pow(0.5, (now - health.recorded_ms) / RECORD_HALF_LIFE_MS)
--- a/plumarch/routing/endpoint_limits.py
+++ b/plumarch/routing/endpoint_limits.py
@@ -1,8 +1,7 @@
-"""How much an endpoint is given at once: what it bears, as far as is known.
+"""Limits what an endpoint is given at once.
 
-Its places come from the registry and the configuration, and so do its limit of connections and
-the tokens that its cache holds. What it bears beyond them is learned: by its refusals, by falls,
-and by answers that come far too late.
+Slots, connections and cache size are configured; lower limits are learned from rejections, crashes
+and late answers.
 """
 
 import dataclasses
@@ -16,34 +15,31 @@
 """Requests at a plain endpoint, in multiples of its slots, before it counts as full."""
 
 ENGINE_QUEUE_FACTOR = 1.5
-"""The same at engines, where a request waits for one of many places; how long it is expected to
-wait counts among the costs, and a wait beyond its target refuses it. A judgement: half a batch
-is as long as a target lets anything wait."""
+"""The same at engines; lower, since the expected wait is also part of their cost."""
 
 CACHE_FACTOR = 1.5
-"""Tokens that an engine is given, in multiples of what its cache holds: as many requests wait
-beside those that run, and the parts that prompts share are counted in each of them."""
+"""Tokens that an engine is given, in multiples of its cache: requests also wait, and shared prompt
+parts are counted once per request."""
 
 BYTES_PER_TOKEN = 4
-"""What a byte of a body weighs against a prompt token, for endpoints that read no prompts: a token
-of text is about four bytes."""
+"""Bytes of a body that weigh as much as a prompt token."""
 
-EXPECTED_OUT = 0.5
-"""Part of the most tokens asked for that an answer holds, on average over its run."""
+EXPECTED_OUTPUT_FRACTION = 0.5
+"""Expected mean output of a running request, as a fraction of its maximum output tokens."""
 
 MEAN_WEIGHT = 0.05
-"""Weight of a request in the mean that stands for requests of other nodes; some twenty."""
+"""Weight of a request in the mean that stands for requests of other nodes."""
 
-TOLD_PAUSE_MS = 1_000
-"""A changed limit is told once in this time for each endpoint, so that logs stay readable."""
+LOG_INTERVAL_MS = 1_000
+"""A changed limit is logged at most once per this time for each endpoint."""
 
-TOLD_CHANGE = 0.1
-"""Part by which a limit must have changed to be told."""
+LOG_MIN_CHANGE = 0.1
+"""Relative change from which a limit is logged."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """What a request asks of an endpoint.
+    """What a request requires of an endpoint.
 
     Attributes:
       weight: in tokens: those of its prompt and expected answer, or its body's.
@@ -59,39 +55,39 @@
 PLAIN = Demand()
 
 
-def demand(prompt_tokens: int, most_out: int, body_bytes: int, rank: int = 0) -> Demand:
-    """Return what a request asks of an endpoint.
+def demand(prompt_tokens: int, max_output_tokens: int, body_bytes: int, rank: int = 0) -> Demand:
+    """Return what a request requires of an endpoint.
 
     Args:
-      most_out: the most tokens that its answer may have.
+      max_output_tokens: maximum tokens of its answer.
     """
     if prompt_tokens:
-        return Demand(prompt_tokens + EXPECTED_OUT * most_out, True, rank)
+        return Demand(prompt_tokens + EXPECTED_OUTPUT_FRACTION * max_output_tokens, True, rank)
     return Demand(body_bytes / BYTES_PER_TOKEN, False, rank)
 
 
 @dataclasses.dataclass(slots=True)
-class Held:
-    """What this node's requests at one endpoint are, and weigh."""
+class OwnLoad:
+    """Number and weight of this node's requests at one endpoint."""
 
     requests: int = 0
     weight: float = 0.0
 
 
-NOTHING = Held()
-"""Stands for endpoints that hold none of this node's requests; never changed."""
+NO_OWN_LOAD = OwnLoad()
+"""Stands for endpoints without requests of this node; never changed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """What each endpoint of a service is given at once; infinite where nothing is known.
+    """Limits of each endpoint of a service; infinite where nothing is known.
 
     Attributes:
-      per_slot: requests for each slot, in calm times.
-      per_slot_by_crashes: the same, by what falls taught.
+      per_slot: requests per slot without overload.
+      per_slot_by_crashes: the same, learned from crashes.
       connections: requests, each of which has a connection.
-      weight: what its requests may weigh together, in tokens.
-      weight_by_crashes: the same, by what falls taught.
+      weight: total weight of its requests, in tokens.
+      weight_by_crashes: the same, learned from crashes.
     """
 
     per_slot: float
@@ -102,7 +98,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToldLimit:
+class LoggedLimit:
     """A learned limit that was logged, and when."""
 
     limit: float
@@ -111,16 +107,16 @@
 
 @dataclasses.dataclass(slots=True)
 class EndpointLimits:
-    """What endpoints bear.
+    """Configured and learned limits of endpoints.
 
     Attributes:
-      crashes: what falls taught about each service.
-      build: makes the learned limit of an endpoint, of its slots and its limit in calm times.
+      crashes: what crashes showed of each service.
+      build: makes the learned limit of an endpoint, from its slots and its limit without overload.
       services: services by name, as configured.
-      learned: limits of endpoints that refused, fell or answered, by identifier.
-      held: this node's requests, by endpoint identifier.
+      learned: limits of endpoints that rejected, crashed or answered, by identifier.
+      own_load: this node's requests, by endpoint identifier.
       mean_weight: of a request of each service; stands for those of other nodes.
-      told: limits that were logged, by endpoint identifier.
+      logged: limits that were logged, by endpoint identifier.
     """
 
     clock: clock.Clock
@@ -130,141 +126,141 @@
     )
     services: dict[str, traffic.Service] = dataclasses.field(default_factory=dict)
     learned: dict[str, concurrency_limit.ConcurrencyLimit] = dataclasses.field(default_factory=dict)
-    held: dict[str, Held] = dataclasses.field(default_factory=dict)
+    own_load: dict[str, OwnLoad] = dataclasses.field(default_factory=dict)
     mean_weight: dict[str, float] = dataclasses.field(default_factory=dict)
-    told: dict[str, ToldLimit] = dataclasses.field(default_factory=dict)
+    logged: dict[str, LoggedLimit] = dataclasses.field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.crashes = crash_guard.CrashGuard(self.clock)
 
-    def with_room(
+    def with_capacity(
         self,
         service: str,
         endpoints: Sequence[traffic.Endpoint],
         running: Callable[[str], int],
         demand: Demand = PLAIN,
     ) -> list[traffic.Endpoint]:
-        """Return the endpoints of a service that may be given a further request.
+        """Return the endpoints of a service that have capacity for one more request.
 
-        A learned limit of requests never goes below an endpoint's slots.
+        A learned limit never goes below an endpoint's slots.
 
         Args:
-          running: requests of all nodes that run or wait at an endpoint, as far as known.
+          running: known requests of all nodes that run or wait at an endpoint.
         """
         bounds = self.bounds(service, demand.is_engine)
         found = []
         for endpoint in endpoints:
             now_running = running(endpoint.id)
-            has_place = now_running < min(endpoint.slots, bounds.connections)
-            if not has_place and now_running >= self.requests(endpoint, bounds):
+            has_free_slot = now_running < min(endpoint.slots, bounds.connections)
+            if not has_free_slot and now_running >= self.requests(endpoint, bounds):
                 continue
-            # Prompts share parts, so that the cache holds more of them than their weights tell:
-            # what a free place may hold is judged by falls only.
-            most = bounds.weight_by_crashes if has_place else bounds.weight
-            if most < math.inf and now_running > 0:
+            # Prompts share parts, so their weights overstate the use of the cache: with a free
+            # slot only the limit learned from crashes applies.
+            maximum = bounds.weight_by_crashes if has_free_slot else bounds.weight
+            if maximum < math.inf and now_running > 0:
                 weight = self.weight_at(endpoint, now_running) + demand.weight
-                if weight > most:
+                if weight > maximum:
                     continue
             found.append(endpoint)
         return found
 
     def bounds(self, name: str, is_engine: bool) -> Bounds:
-        """Return what each endpoint of a service is given, by what is known of the service."""
+        """Return the limits of each endpoint of a service."""
         service = self.services.get(name)
         weight = math.inf
         if service is not None and service.engine is not None and service.engine.cache_tokens:
             weight = CACHE_FACTOR * service.engine.cache_tokens
-        by_falls = self.crashes.weight(name)
+        by_crashes = self.crashes.weight(name)
         per_slot = self.crashes.per_slot(name)
         return Bounds(
             per_slot=ENGINE_QUEUE_FACTOR if is_engine else QUEUE_FACTOR,
             per_slot_by_crashes=math.inf if per_slot is None else per_slot,
             connections=float(service.connection_limit or math.inf) if service else math.inf,
-            weight=weight if by_falls is None else min(weight, by_falls),
-            weight_by_crashes=math.inf if by_falls is None else by_falls,
+            weight=weight if by_crashes is None else min(weight, by_crashes),
+            weight_by_crashes=math.inf if by_crashes is None else by_crashes,
         )
 
     def requests(self, endpoint: traffic.Endpoint, bounds: Bounds) -> float:
-        """Return how many requests an endpoint is given at once."""
-        most = min(bounds.per_slot, bounds.per_slot_by_crashes) * max(1, endpoint.slots)
+        """Return the maximum of concurrent requests of an endpoint."""
+        maximum = min(bounds.per_slot, bounds.per_slot_by_crashes) * max(1, endpoint.slots)
         learned = self.learned.get(endpoint.id)
         if learned is not None:
-            most = min(most, learned.value(self.clock.now()))
-        return min(most, bounds.connections)
+            maximum = min(maximum, learned.value(self.clock.now()))
+        return min(maximum, bounds.connections)
 
     def weight_at(self, endpoint: traffic.Endpoint, running: int) -> float:
-        """Return what the requests at an endpoint weigh: this node's own, and others' by the mean.
+        """Return the weight of the requests at an endpoint; those of other nodes count by the mean.
 
         Args:
           running: requests of all nodes there.
         """
-        own = self.held.get(endpoint.id, NOTHING)
+        own = self.own_load.get(endpoint.id, NO_OWN_LOAD)
         others = max(0, running - own.requests)
         return own.weight + others * self.mean_weight.get(endpoint.service, 0.0)
 
     def sent(self, endpoint: traffic.Endpoint, demand: Demand) -> None:
         """Count a request sent."""
-        held = self.held.setdefault(endpoint.id, Held())
-        held.requests += 1
-        held.weight += demand.weight
+        own_load = self.own_load.setdefault(endpoint.id, OwnLoad())
+        own_load.requests += 1
+        own_load.weight += demand.weight
         mean = self.mean_weight.setdefault(endpoint.service, demand.weight)
         self.mean_weight[endpoint.service] = mean + MEAN_WEIGHT * (demand.weight - mean)
 
     def ended(self, endpoint: traffic.Endpoint, demand: Demand) -> None:
         """Count a request as over."""
-        held = self.held.get(endpoint.id)
-        if held is None:
+        own_load = self.own_load.get(endpoint.id)
+        if own_load is None:
             return
-        held.requests -= 1
-        held.weight -= demand.weight
-        if held.requests <= 0:
-            del self.held[endpoint.id]
+        own_load.requests -= 1
+        own_load.weight -= demand.weight
+        if own_load.requests <= 0:
+            del self.own_load[endpoint.id]
 
-    def bore(self, endpoint: traffic.Endpoint, running: int) -> None:
-        """Take in that an endpoint answers while it holds so many requests."""
-        self.crashes.lives(endpoint.id)
-        self.crashes.bore(endpoint.service, self.weight_at(endpoint, running))
+    def observe_load(self, endpoint: traffic.Endpoint, running: int) -> None:
+        """Handle an answer with so many requests at the endpoint."""
+        self.crashes.note_answer(endpoint.id)
+        self.crashes.observe_load(endpoint.service, self.weight_at(endpoint, running))
 
     def answered(
         self, endpoint: traffic.Endpoint, running: int, took: float, is_engine: bool
     ) -> None:
-        """Take in how long a first byte took.
+        """Handle a first byte.
 
         Args:
           running: requests there when it came.
-          took: in multiples of what was expected.
+          took: its time in multiples of the expected time.
         """
         self._learned_limit(endpoint, is_engine).answered(running, took, self.clock.now())
 
-    def refused(self, endpoint: traffic.Endpoint, running: int, is_engine: bool) -> None:
-        """Take in that an endpoint refused a request as too much.
+    def rejected(self, endpoint: traffic.Endpoint, running: int, is_engine: bool) -> None:
+        """Handle a rejection of a request as too much.
 
-        One that refuses while it has places does so for another reason.
+        An endpoint with free slots rejects for another reason, which is ignored.
 
         Args:
-          running: requests there besides the one that it refused.
+          running: requests there besides the rejected one.
         """
         if running >= endpoint.slots:
-            self._learned_limit(endpoint, is_engine).refused(running, self.clock.now())
+            self._learned_limit(endpoint, is_engine).rejected(running, self.clock.now())
 
     def changed(self, endpoint: traffic.Endpoint) -> float | None:
-        """Return an endpoint's learned limit if it changed enough since it was last told."""
+        """Return an endpoint's learned limit if it is due to be logged."""
         limit = self.learned.get(endpoint.id)
         if limit is None:
             return None
         now = self.clock.now()
         value = limit.value(now)
-        told = self.told.get(endpoint.id)
-        before = told.limit if told is not None else limit.most
-        if abs(value - before) < TOLD_CHANGE * before:
+        logged = self.logged.get(endpoint.id)
+        before = logged.limit if logged is not None else limit.maximum
+        if abs(value - before) < LOG_MIN_CHANGE * before:
             return None
-        if told is not None and now - told.at_ms < TOLD_PAUSE_MS:
+        if logged is not None and now - logged.at_ms < LOG_INTERVAL_MS:
             return None
-        self.told[endpoint.id] = ToldLimit(value, now)
+        self.logged[endpoint.id] = LoggedLimit(value, now)
         return value
 
     def lowered(self, endpoints: Mapping[str, traffic.Endpoint]) -> dict[str, float]:
-        """Return the limits of endpoints that are given less than in calm times.
+        """Return the limits of endpoints that are below their limit without overload.
 
         Args:
           endpoints: those that exist, by identifier.
@@ -274,40 +270,42 @@
             service = self.services.get(endpoint.service)
             is_engine = service is not None and service.engine is not None
             limit = self.requests(endpoint, self.bounds(endpoint.service, is_engine))
-            if limit < most_requests(endpoint, is_engine):
+            if limit < max_requests(endpoint, is_engine):
                 found[name] = limit
         return found
 
     def lost(
         self, endpoint: traffic.Endpoint, running: int, elsewhere: int
     ) -> crash_guard.Crash | None:
-        """Take in that a connection ended while its request ran.
+        """Handle a connection that ended while its request ran.
 
         Args:
-          running: requests at the endpoint, with this one.
-          elsewhere: requests that the service's other endpoints hold.
+          running: requests at the endpoint, including this one.
+          elsewhere: requests at the service's other endpoints.
         Returns:
-          The fall, if that shows that the endpoint fell.
+          The crash, if this amounts to one.
         """
         losses = self.crashes.lost(endpoint.id, running, self.weight_at(endpoint, running))
-        return self._fell(endpoint, losses, elsewhere)
+        return self._crashed(endpoint, losses, elsewhere)
 
-    def unreached(self, endpoint: traffic.Endpoint, elsewhere: int) -> crash_guard.Crash | None:
-        """Take in that an endpoint can't be connected to; like `lost`."""
-        return self._fell(endpoint, self.crashes.unreached(endpoint.id), elsewhere)
+    def connect_failed(
+        self, endpoint: traffic.Endpoint, elsewhere: int
+    ) -> crash_guard.Crash | None:
+        """Handle a failed connect to an endpoint; like `lost`."""
+        return self._crashed(endpoint, self.crashes.connect_failed(endpoint.id), elsewhere)
 
-    def _fell(
+    def _crashed(
         self, endpoint: traffic.Endpoint, losses: crash_guard.Losses | None, elsewhere: int
     ) -> crash_guard.Crash | None:
         if losses is None or endpoint.state is traffic.EndpointState.DRAINING:
             return None
         now = self.clock.now()
         crash = crash_guard.Crash(
-            endpoint.id, now, losses.held, losses.weight, endpoint.slots, elsewhere
+            endpoint.id, now, losses.running, losses.weight, endpoint.slots, elsewhere
         )
         learned = self.learned.get(endpoint.id)
         if learned is not None and crash.by_count():
-            learned.crashed(crash.held, now)
+            learned.crashed(crash.running, now)
         self.crashes.crashed(endpoint.service, crash)
         return crash
 
@@ -316,20 +314,20 @@
     ) -> concurrency_limit.ConcurrencyLimit:
         found = self.learned.get(endpoint.id)
         if found is None:
-            least = float(max(1, endpoint.slots))
-            most = most_requests(endpoint, is_engine)
-            found = self.learned[endpoint.id] = self.build(least, most)
+            minimum = float(max(1, endpoint.slots))
+            maximum = max_requests(endpoint, is_engine)
+            found = self.learned[endpoint.id] = self.build(minimum, maximum)
         return found
 
     def retain(self, endpoints: set[str]) -> None:
         """Forget endpoints that no longer exist."""
         for name in [name for name in self.learned if name not in endpoints]:
             del self.learned[name]
-            self.told.pop(name, None)
+            self.logged.pop(name, None)
         self.crashes.retain(endpoints)
 
 
-def most_requests(endpoint: traffic.Endpoint, is_engine: bool) -> float:
-    """Return how many requests an endpoint is given in calm times."""
+def max_requests(endpoint: traffic.Endpoint, is_engine: bool) -> float:
+    """Return the maximum of concurrent requests of an endpoint without overload."""
     factor = ENGINE_QUEUE_FACTOR if is_engine else QUEUE_FACTOR
     return factor * max(1, endpoint.slots)
