--- a/bench/rollout_trials.py
+++ b/bench/rollout_trials.py
@@ -127,14 +127,16 @@
         running_old = running_old * 0.8 if share >= 1.0 else 100.0
         time.advance_to(1_000_000 + (tick + 1) * TICK_MS)
         new_ready = 10 if tick * TICK_MS >= scenario.come_ms else 0
-        sight = rollout.Sight(new_ready, 10, int(running_old), sum(scenario.rates), seen.pop(0))
+        sight = rollout.Observation(
+            new_ready, 10, int(running_old), sum(scenario.rates), seen.pop(0)
+        )
         was_over = plan.stage.is_over()
         plan.step(sight)
         if plan.stage.is_over() and not was_over:
             found = got
         shares.append(plan.share)
     late = (last_at - bad_at) * TICK_MS if bad_at >= 0 else 0
-    allowed = EXPOSURE.share * total + EXPOSURE.slack
+    allowed = EXPOSURE.share * total + EXPOSURE.extra_requests
     return Result(scenario, plan.stage, got, allowed, found, late)
 
 
--- a/plumarch/fleet/decider.py
+++ b/plumarch/fleet/decider.py
@@ -123,10 +123,10 @@
             for offer in self.offers
         ]
 
-    def held(self, target: str) -> list[plan.Held]:
+    def held(self, target: str) -> list[plan.FleetVm]:
         """Return a target's VMs, those that are ordered and not listed yet included."""
         found = [
-            plan.Held(
+            plan.FleetVm(
                 e.name,
                 target,
                 e.data_centre,
@@ -145,7 +145,7 @@
                 continue
             centre = order.data_centre
             places = capacity.get((centre, order.vm_class), 0)
-            found.append(plan.Held(order.token, target, centre, order.vm_class, places, 0.0, 1))
+            found.append(plan.FleetVm(order.token, target, centre, order.vm_class, places, 0.0, 1))
         return found
 
     def targets(self) -> list[str]:
--- a/plumarch/fleet/duty_lease.py
+++ b/plumarch/fleet/duty_lease.py
@@ -52,14 +52,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeldRecord:
+class StoredRecord:
     """A record as it was read or written last."""
 
     record: DutyRecord
     revision: int
 
 
-def decode(found: records.Record | None) -> HeldRecord | None:
+def decode(found: records.Record | None) -> StoredRecord | None:
     """Read a record.
 
     Raises:
@@ -67,28 +67,28 @@
     """
     if found is None:
         return None
-    return HeldRecord(msgspec.json.decode(found.value, type=DutyRecord), found.revision)
+    return StoredRecord(msgspec.json.decode(found.value, type=DutyRecord), found.revision)
 
 
-def encode(held: HeldRecord) -> records.Record:
+def encode(held: StoredRecord) -> records.Record:
     """Return a record as the store takes it, to be written under its revision."""
     value = msgspec.json.encode(held.record).decode()
     return records.Record(NAME, value, held.revision)
 
 
-def taken_over(found: HeldRecord | None, node: str, incarnation: int) -> HeldRecord:
+def taken_over(found: StoredRecord | None, node: str, incarnation: int) -> StoredRecord:
     """Return the record that makes a node the holder, in place of the one found."""
     if found is None:
-        return HeldRecord(DutyRecord(node, incarnation, 1), 0)
+        return StoredRecord(DutyRecord(node, incarnation, 1), 0)
     taken = msgspec.structs.replace(
         found.record, holder=node, incarnation=incarnation, token=found.record.token + 1
     )
-    return HeldRecord(taken, found.revision)
+    return StoredRecord(taken, found.revision)
 
 
 def with_window(
-    held: HeldRecord, window: int, counts: dict[str, int], sizes: dict[str, int]
-) -> HeldRecord:
+    held: StoredRecord, window: int, counts: dict[str, int], sizes: dict[str, int]
+) -> StoredRecord:
     """Return the record with a window's counts, unless the window stands there already.
 
     Args:
@@ -102,19 +102,19 @@
         windows={number: windows[number] for number in newest},
         sizes={**held.record.sizes, **sizes},
     )
-    return HeldRecord(record, held.revision)
+    return StoredRecord(record, held.revision)
 
 
-def with_rollout(held: HeldRecord, service: str, rollout: RolloutRecord) -> HeldRecord:
+def with_rollout(held: StoredRecord, service: str, rollout: RolloutRecord) -> StoredRecord:
     """Return the record with how far a service's roll-out is."""
     rollouts = {**held.record.rollouts, service: rollout}
-    return HeldRecord(msgspec.structs.replace(held.record, rollouts=rollouts), held.revision)
+    return StoredRecord(msgspec.structs.replace(held.record, rollouts=rollouts), held.revision)
 
 
-def renewed(held: HeldRecord) -> HeldRecord:
+def renewed(held: StoredRecord) -> StoredRecord:
     """Return the record as a holder writes it to show that it lives."""
     record = msgspec.structs.replace(held.record, renewals=held.record.renewals + 1)
-    return HeldRecord(record, held.revision)
+    return StoredRecord(record, held.revision)
 
 
 @dataclasses.dataclass(slots=True)
@@ -131,7 +131,7 @@
     since_ms: int = 0
     looked_ms: int = 0
 
-    def unchanged_ms(self, held: HeldRecord, now: int, pause_ms: int) -> int:
+    def unchanged_ms(self, held: StoredRecord, now: int, pause_ms: int) -> int:
         """Look at the record.
 
         Args:
@@ -146,7 +146,7 @@
         return now - self.since_ms
 
 
-def is_mine(held: HeldRecord | None, node: str, incarnation: int) -> bool:
+def is_mine(held: StoredRecord | None, node: str, incarnation: int) -> bool:
     """Return whether a record names a process as the holder."""
     if held is None:
         return False
--- a/plumarch/fleet/engine_demand.py
+++ b/plumarch/fleet/engine_demand.py
@@ -60,7 +60,7 @@
         self.units += units
         self.unread[service] = self.unread.get(service, 0.0) + unread_tokens
 
-    def turned_away(self, service: str, unread_tokens: float) -> None:
+    def rejected(self, service: str, unread_tokens: float) -> None:
         """Take in a request that was refused since the engines were too busy."""
         self._age()
         self.unread[service] = self.unread.get(service, 0.0) + unread_tokens
--- a/plumarch/fleet/engine_plan.py
+++ b/plumarch/fleet/engine_plan.py
@@ -47,7 +47,7 @@
 """Seconds with requests and a known speed after which the demand is known. A judgement: one second
 of a few hundred requests varies by a tenth, and data centres are reclaimed from 5 s on."""
 
-HELD_SAMPLES = 10
+NO_SHRINK_SAMPLES = 10
 """Seconds for which a node that begins to hear the fleet lets nothing go: callers and nodes come
 back for some seconds after trouble, and what runs meanwhile costs little. A judgement."""
 
@@ -99,28 +99,28 @@
     last_new_ms: int = 0
     given: dict[engine_pools.Pool, engine_pools.LastOrder] = dataclasses.field(default_factory=dict)
     regions: region_demand.RegionView = region_demand.ONE_REGION
-    placed: dict[str, int] = dataclasses.field(default_factory=dict)
+    spot_placement: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def sample_demand(
-        self, engines: float, speed_known: bool = True, hears_all: bool = True
+        self, engines: float, speed_known: bool = True, fleet_reachable: bool = True
     ) -> None:
         """Take in the endpoints that the last second asked for; it rises faster than it falls.
 
         Args:
           speed_known: whether the engines' speed is known; until then the demand may be more.
-          hears_all: whether nearly all nodes were heard; otherwise the demand is at least this.
+          fleet_reachable: whether nearly all nodes report; if not, the demand only rises.
         """
-        if engines > 0 and speed_known and hears_all:
+        if engines > 0 and speed_known and fleet_reachable:
             self.samples += 1
             if self.samples == 1:
                 # Nothing is known before it that the demand would have to rise from.
                 self.demand = max(self.demand, engines)
-        if engines <= self.demand and not hears_all:
+        if engines <= self.demand and not fleet_reachable:
             return
         past = DEMAND_RISE if engines > self.demand else DEMAND_DECAY
         self.demand = past * self.demand + (1.0 - past) * engines
 
-    def lose_demand(self) -> None:
+    def reset_demand(self) -> None:
         """Note that this node does not hear of the fleet's requests any more.
 
         What it heard before is no measure for what it hears when that begins again.
@@ -183,7 +183,7 @@
             spot = {
                 name: max(spot[name], ready.get(engine_pools.Pool(name, True), 0)) for name in spot
             }
-        self.placed = spot
+        self.spot_placement = spot
         wanted = {engine_pools.Pool(name, True): count for name, count in spot.items()}
         firm = self._firm_wanted(scaling, ready)
         firm = engine_regions.holds(self.regions, firm, False, ready, self.given)
@@ -210,7 +210,7 @@
         Without this, a member that turned coordinator after most nodes had lost power shrank a
         fleet that served 220 requests a second to six endpoints.
         """
-        return not self.first_seen and self.samples < HELD_SAMPLES
+        return not self.first_seen and self.samples < NO_SHRINK_SAMPLES
 
     def _firm_wanted(
         self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
@@ -283,7 +283,7 @@
         """Return the reclaimable endpoints that are there as soon as firm ones could be."""
         found = self._spot_by_centre(scaling, ready)
         if self._over_regions(scaling):
-            return engine_regions.with_ordered_now(found, self.placed, self.given)
+            return engine_regions.with_ordered_now(found, self.spot_placement, self.given)
         return found
 
     def _refused_lately(self) -> frozenset[str]:
@@ -324,7 +324,7 @@
         due = [one for one in due if may_shrink or not fewer[one]]
         return sorted(due, key=lambda one: (not fewer[one], not one.spot, one.data_centre))
 
-    def learn(self, endpoints: Iterable[traffic.Endpoint]) -> None:
+    def observe_endpoints(self, endpoints: Iterable[traffic.Endpoint]) -> None:
         """Learn how many endpoints the operators gave the service at the first start, or run.
 
         Firm ones count in any state: those that this plan lets go while others are still being
--- a/plumarch/fleet/engine_plan_test.py
+++ b/plumarch/fleet/engine_plan_test.py
@@ -27,7 +27,7 @@
 
 def settled(time: clock.ManualClock) -> engine_plan.EnginePlan:
     plan = engine_plan.EnginePlan(time, "s", first_start=True)
-    plan.learn(FIRM_AT_FIRST)
+    plan.observe_endpoints(FIRM_AT_FIRST)
     assert plan.orders(SCALING, FIRM_AT_FIRST) == []
     time.advance_to(time.now() + engine_plan.SETTLE_MS)
     plan.first_start = False
@@ -66,12 +66,12 @@
 def test_endpoints_told_late_in_the_first_start_count_though_they_already_leave():
     time = clock.ManualClock()
     plan = engine_plan.EnginePlan(time, "s", first_start=True)
-    plan.learn(FIRM_AT_FIRST[:1])
+    plan.observe_endpoints(FIRM_AT_FIRST[:1])
     time.advance_to(time.now() + engine_plan.SETTLE_MS)
-    plan.learn(
+    plan.observe_endpoints(
         [dataclasses.replace(one, state=traffic.EndpointState.DRAINING) for one in FIRM_AT_FIRST]
     )
-    plan.learn(ALL_SPOT)
+    plan.observe_endpoints(ALL_SPOT)
     assert plan.first_count == len(FIRM_AT_FIRST)
 
 
@@ -81,7 +81,7 @@
     told = []
     for one in FIRM_AT_FIRST:
         told.append(one)
-        plan.learn(told)
+        plan.observe_endpoints(told)
         assert plan.orders(SCALING, told) == []
         time.advance_to(time.now() + engine_plan.QUIET_MS - 200)
     assert plan.orders(SCALING, told) == []
@@ -280,7 +280,7 @@
 
 def later_start(time: clock.ManualClock, run: list[traffic.Endpoint]) -> engine_plan.EnginePlan:
     plan = engine_plan.EnginePlan(time, "s")
-    plan.learn(run)
+    plan.observe_endpoints(run)
     time.advance_to(time.now() + engine_plan.SETTLE_MS)
     return plan
 
@@ -319,9 +319,9 @@
 def test_while_reclaimable_ones_are_refused_the_loss_of_two_more_data_centres_is_covered():
     time = clock.ManualClock()
     plan = engine_plan.EnginePlan(time, "s", first_count=12)
-    for _ in range(engine_plan.HELD_SAMPLES):
+    for _ in range(engine_plan.NO_SHRINK_SAMPLES):
         plan.sample_demand(12.0)
-    plan.learn(MANY_RUN)
+    plan.observe_endpoints(MANY_RUN)
     time.advance_to(time.now() + engine_plan.SETTLE_MS)
     plan.ordered(records.EngineOrder("s", "c", 6, True), refused=True)
 
@@ -351,7 +351,7 @@
     time.advance_to(time.now() + engine_plan.LEARN_MS)
     for _ in range(2 * engine_plan.DEMAND_SAMPLES):
         plan.sample_demand(1.0)
-    plan.lose_demand()
+    plan.reset_demand()
     plan.sample_demand(0.1)
     assert plan.needed(SCALING) == len(FIRM_AT_FIRST)
     assert all(one.count >= 2 for one in plan.orders(SCALING, ALL_SPOT) if one.data_centre != "c")
@@ -362,10 +362,10 @@
     for _ in range(60):
         plan.sample_demand(8.0)
     for _ in range(60):
-        plan.sample_demand(3.0, hears_all=False)
+        plan.sample_demand(3.0, fleet_reachable=False)
     assert plan.needed(SCALING) == 8
     for _ in range(60):
-        plan.sample_demand(8.9, hears_all=False)
+        plan.sample_demand(8.9, fleet_reachable=False)
     assert plan.needed(SCALING) == 9
 
 
--- a/plumarch/fleet/engine_regions.py
+++ b/plumarch/fleet/engine_regions.py
@@ -62,7 +62,7 @@
     without: frozenset[str],
 ) -> engine_reserve.Placement:
     prices = {name: price for name, price in scaling.prices.items() if name not in without}
-    shares = regions.shares_of(prices)
+    shares = regions.demand_shares(prices)
     sites = tuple(
         engine_reserve.Site(
             name,
@@ -74,7 +74,7 @@
         )
         for name, price in sorted(prices.items())
     )
-    return engine_reserve.placement(sites, needed, lost, regions.way)
+    return engine_reserve.placement(sites, needed, lost, regions.latency_fraction)
 
 
 def holds(
@@ -155,9 +155,9 @@
       here: endpoints by data centre.
     """
     found = {}
-    for region, share in regions.shares_of(scaling.prices).items():
+    for region, share in regions.demand_shares(scaling.prices).items():
         own = sum(count for name, count in here.items() if regions.of(name) == region)
-        found[region] = math.floor(engine_reserve.LOCAL_PART * needed * share) - own
+        found[region] = math.floor(engine_reserve.LOCAL_FRACTION * needed * share) - own
     return found
 
 
@@ -171,6 +171,6 @@
     """
     if max(lacks.values(), default=0) <= 0 or lacks.get(regions.of(data_centre), 0) > 0:
         return price
-    if regions.way > engine_reserve.WAY_OF_TARGET:
+    if regions.latency_fraction > engine_reserve.MAX_LATENCY_FRACTION:
         return math.inf
-    return price * (1.0 + regions.way)
+    return price * (1.0 + regions.latency_fraction)
--- a/plumarch/fleet/engine_regions_test.py
+++ b/plumarch/fleet/engine_regions_test.py
@@ -35,8 +35,8 @@
 ) -> engine_plan.EnginePlan:
     """Return the plan of a holder that knows the demand for long."""
     plan = engine_plan.EnginePlan(time, "s", regions=regions)
-    plan.learn([])
-    for _ in range(2 * engine_plan.HELD_SAMPLES):
+    plan.observe_endpoints([])
+    for _ in range(2 * engine_plan.NO_SHRINK_SAMPLES):
         plan.sample_demand(demand)
     time.advance_to(time.now() + engine_plan.LEARN_MS)
     return plan
@@ -83,7 +83,7 @@
     for name, count in moved.items():
         plan.ordered(records.EngineOrder("s", name, count, True), refused=False)
     time.advance_to(time.now() + round(SCALING.boot_ms))
-    now_run = {name: plan.placed[name] for name in PRICES} | moved
+    now_run = {name: plan.spot_placement[name] for name in PRICES} | moved
     later = spot_orders(plan, engines(now_run))
     assert later and all(name.startswith("n") for name in later)
     assert all(count < now_run[name] for name, count in later.items())
@@ -104,7 +104,7 @@
     run = engines(dict.fromkeys(PRICES, 3))
     for order in plan.orders(SCALING, run):
         plan.ordered(order, refused=False)
-    placed = dict(plan.placed)
+    placed = dict(plan.spot_placement)
     without = engines({name: count for name, count in placed.items() if name != "n1"})
     plan.ordered(records.EngineOrder("s", "n1", placed["n1"], True), refused=True)
     orders = plan.orders(SCALING, without)
@@ -120,15 +120,17 @@
     lacking_south = {"n1": 4, "n2": 4, "s1": 0, "s2": 0, "w1": 4, "w2": 4}
     found = engine_firm.spread(SCALING, REGIONS, 12, 2, {}, lacking_south)
     assert found["w1"] == 2
-    near = dataclasses.replace(REGIONS, way=0.19)
+    near = dataclasses.replace(REGIONS, latency_fraction=0.19)
     found = engine_firm.spread(SCALING, near, 12, 2, {}, lacking_south)
     assert found["s2"] == 2
-    far = dataclasses.replace(REGIONS, way=0.5)
+    far = dataclasses.replace(REGIONS, latency_fraction=0.5)
     assert engine_firm.spread(SCALING, far, 12, 2, {}, lacking_south)["s2"] == 2
 
 
 def test_with_one_region_the_plan_is_the_one_that_spreads_evenly():
-    one_region = region_demand.RegionView(dict.fromkeys(PRICES, "n"), {"n": 1.0}, way=0.0)
+    one_region = region_demand.RegionView(
+        dict.fromkeys(PRICES, "n"), {"n": 1.0}, latency_fraction=0.0
+    )
     ready = {engine_pools.Pool(name, True): 3 for name in PRICES}
     for demand in (1.0, 7.0, 30.0):
         plans = [
--- a/plumarch/fleet/engine_replay_test.py
+++ b/plumarch/fleet/engine_replay_test.py
@@ -77,7 +77,7 @@
             plan.sample_demand(rate / 1_000.0)
         if by_region:
             plan.regions = regions.view(REGION_OF, WAY)
-        plan.learn(cloud.endpoints())
+        plan.observe_endpoints(cloud.endpoints())
         for order in plan.orders(SCALING, cloud.endpoints()):
             plan.ordered(order, cloud.order(order))
         run: dict[str, float] = dict.fromkeys("nsw", 0.0)
--- a/plumarch/fleet/engine_reserve.py
+++ b/plumarch/fleet/engine_reserve.py
@@ -11,11 +11,11 @@
 import math
 from collections.abc import Iterable, Mapping
 
-WAY_OF_TARGET = 0.2
+MAX_LATENCY_FRACTION = 0.2
 """Part of a first token's target that the way to another region may take, so that endpoints there
 are a reserve. A judgement: reading and waiting take four fifths and more."""
 
-LOCAL_PART = 0.85
+LOCAL_FRACTION = 0.85
 """Part of what a region's callers ask for that is placed in it at least. Needs hold a margin (half
 of the time is for reading at most), so that in calm times the rest is served there as well."""
 
@@ -61,9 +61,9 @@
       needed: endpoints that all regions need together.
       lost: data centres that may be lost at once, the largest ones.
       way: what a request to another region costs, as a part of the tightest target. Beyond
-        WAY_OF_TARGET each region is a reserve for itself only.
+        MAX_LATENCY_FRACTION each region is a reserve for itself only.
     """
-    if way <= WAY_OF_TARGET:
+    if way <= MAX_LATENCY_FRACTION:
         return _cheapest(sites, _local(sites, needed), needed, lost, way)
     found = []
     for region in sorted({site.region for site in sites}):
@@ -94,9 +94,9 @@
     """Return how many endpoints each region holds at least, without rounding up for each."""
     shares = {site.region: site.share for site in sites}
     total = max(sum(shares.values()), 1e-9)
-    exact = {one: LOCAL_PART * needed * share / total for one, share in shares.items()}
+    exact = {one: LOCAL_FRACTION * needed * share / total for one, share in shares.items()}
     found = {region: int(count) for region, count in exact.items()}
-    left = round(LOCAL_PART * needed) - sum(found.values())
+    left = round(LOCAL_FRACTION * needed) - sum(found.values())
     by_rest = sorted(exact, key=lambda region: (found[region] - exact[region], region))
     for region in by_rest[: max(0, left)]:
         found[region] += 1
--- a/plumarch/fleet/engine_reserve_test.py
+++ b/plumarch/fleet/engine_reserve_test.py
@@ -70,7 +70,7 @@
 
 def test_most_of_what_a_region_asks_for_is_placed_in_it():
     found = engine_reserve.placement(sites((0.7, 0.2, 0.1)), 20, LOST, 0.1)
-    assert of_region(found, "n") >= math.floor(engine_reserve.LOCAL_PART * 14)
+    assert of_region(found, "n") >= math.floor(engine_reserve.LOCAL_FRACTION * 14)
     assert found.survivors >= 20
 
 
@@ -112,6 +112,6 @@
     )
     assert found.survivors >= needed
     assert all(count >= least for _, count in found.counts)
-    if way <= engine_reserve.WAY_OF_TARGET:
+    if way <= engine_reserve.MAX_LATENCY_FRACTION:
         largest = max(count for _, count in found.counts)
         assert total(found) <= max(needed + LOST * largest + 1, 6 * least)
--- a/plumarch/fleet/orders.py
+++ b/plumarch/fleet/orders.py
@@ -78,7 +78,7 @@
         self.sequence = 0
         self.given: dict[int, str] = {}
         self.done_ms: dict[str, int] = {}
-        self.next_look_ms = ctx.now() + INTERVAL_MS
+        self.next_round_ms = ctx.now() + INTERVAL_MS
         self.retry_at_ms = -1
 
     def decides(self) -> bool:
@@ -97,9 +97,9 @@
             if 0 <= self.retry_at_ms <= now:
                 self._read()
             return
-        if now < self.next_look_ms:
+        if now < self.next_round_ms:
             return
-        self.next_look_ms = now + INTERVAL_MS
+        self.next_round_ms = now + INTERVAL_MS
         if not self.decides():
             if self._next_in_line():
                 self._read()
--- a/plumarch/fleet/plan.py
+++ b/plumarch/fleet/plan.py
@@ -9,10 +9,10 @@
 import dataclasses
 import math
 
-ROOM = 1.2
+HEADROOM = 1.2
 """Places held for each place of demand."""
 
-LOSS_ROOM = 1.1
+LOSS_HEADROOM = 1.1
 """Places that are left after the loss of a data centre for each that must not wait."""
 
 IDLE_SHARE = 0.7
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
+class FleetVm:
     """A VM that is held, or ordered and on its way."""
 
     name: str
@@ -110,9 +110,9 @@
       centres: the data centres it may use.
     """
     count = len(centres)
-    each = demand.places * ROOM / count
+    each = demand.places * HEADROOM / count
     if count > 1:
-        each = max(each, demand.must_not_wait * LOSS_ROOM / (count - 1))
+        each = max(each, demand.must_not_wait * LOSS_HEADROOM / (count - 1))
     return {centre: math.ceil(each) for centre in centres}
 
 
@@ -120,7 +120,7 @@
     demand: Demand,
     centres: list[str],
     classes: list[VmClass],
-    held: list[Held],
+    held: list[FleetVm],
     refusals: list[Refusal],
     now: int,
 ) -> list[Change]:
@@ -202,7 +202,7 @@
     return [Start(target, best.data_centre, best.name, why)] * count
 
 
-def _releases(wanted: int, here: list[Held]) -> list[Change]:
+def _releases(wanted: int, here: list[FleetVm]) -> list[Change]:
     """Return at most one release: the dearest idle VM without which enough is left."""
     places = sum(vm.capacity for vm in here)
     for vm in sorted(here, key=lambda vm: (vm.load, -vm.price, vm.name)):
--- a/plumarch/fleet/region_demand.py
+++ b/plumarch/fleet/region_demand.py
@@ -34,7 +34,7 @@
     region_of: Mapping[str, str] = dataclasses.field(default_factory=dict)
     shares: Mapping[str, float] = dataclasses.field(default_factory=dict)
     partially_reachable: frozenset[str] = frozenset()
-    way: float = 0.0
+    latency_fraction: float = 0.0
 
     def of(self, data_centre: str) -> str:
         """Return a data centre's region; one that is not named is a region of its own."""
@@ -48,7 +48,7 @@
         """Return the regions as if it was not known where the demand arises."""
         return dataclasses.replace(self, shares={})
 
-    def shares_of(self, data_centres: Mapping[str, float]) -> dict[str, float]:
+    def demand_shares(self, data_centres: Mapping[str, float]) -> dict[str, float]:
         """Return the shares of the regions of data centres; as these are spread until known."""
         found: dict[str, float] = {}
         for name in data_centres:
@@ -110,7 +110,7 @@
         if any(abs(now[one] - self.shares.get(one, 0.0)) >= SHARE_MARGIN for one in now):
             self.shares = now
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Begin anew, since this node does not hear of the fleet's requests any more."""
         self.rates.clear()
         self.shares.clear()
--- a/plumarch/fleet/region_demand_test.py
+++ b/plumarch/fleet/region_demand_test.py
@@ -10,7 +10,7 @@
 
 def test_until_requests_come_shares_are_as_data_centres_are_spread():
     view = region_demand.RegionDemand().view(REGION_OF, 0.1)
-    assert view.shares_of(PRICES) == pytest.approx({"n": 0.4, "s": 0.4, "w1": 0.2})
+    assert view.demand_shares(PRICES) == pytest.approx({"n": 0.4, "s": 0.4, "w1": 0.2})
 
 
 def test_a_data_centre_that_is_not_named_is_a_region_of_its_own():
@@ -57,5 +57,5 @@
 def test_who_begins_to_hear_the_fleet_anew_forgets_what_it_knew():
     demand = region_demand.RegionDemand()
     demand.sample({"n": 500.0, "s": 100.0}, frozenset({"s"}))
-    demand.forget()
+    demand.reset()
     assert not demand.rates and not demand.shares and not demand.partially_reachable
--- a/plumarch/fleet/rollout.py
+++ b/plumarch/fleet/rollout.py
@@ -76,11 +76,11 @@
     """
 
     share: float
-    slack: float
+    extra_requests: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sight:
+class Observation:
     """What a roll-out is decided by.
 
     Attributes:
@@ -123,7 +123,7 @@
     reason: str = "ordered"
     periods: version_verdict.SharePeriods = version_verdict.SharePeriods()
 
-    def step(self, sight: Sight) -> bool:
+    def step(self, sight: Observation) -> bool:
         """Decide anew.
 
         Returns:
@@ -132,15 +132,15 @@
         before = (self.stage, self.share)
         if not self.stage.is_over():
             self._decide(sight)
-            self.periods = self.periods.with_share(self.share, sight.by_route)
+            self.periods = self.periods.with_period(self.share, sight.by_route)
         return (self.stage, self.share) != before
 
     def elapsed(self) -> float:
         """Return the part of the roll-out's time that is over."""
         return (self.wall.now() - self.began_ms) / max(1.0, self.order.duration_ms)
 
-    def _decide(self, sight: Sight) -> None:
-        periods = self.periods.parted(sight.by_route)
+    def _decide(self, sight: Observation) -> None:
+        periods = self.periods.per_period(sight.by_route)
         verdict, figures = version_verdict.judge_all(self.rule, *periods)
         if sight.vetoed or verdict is version_verdict.Verdict.BAD:
             self._enter(Stage.ROLLED_BACK, 0.0, figures if not sight.vetoed else "vetoed")
@@ -171,9 +171,12 @@
             why = figures if carries else "too few endpoints of the version came"
             self._enter(Stage.ROLLED_BACK, 0.0, why)
 
-    def _canary_share(self, sight: Sight) -> float:
+    def _canary_share(self, sight: Observation) -> float:
         expected = max(1.0, sight.requests_per_s * self.order.duration_ms / 1_000.0)
-        share = EXPOSURE_USED * self.exposure.share + SLACK_USED * self.exposure.slack / expected
+        share = (
+            EXPOSURE_USED * self.exposure.share
+            + SLACK_USED * self.exposure.extra_requests / expected
+        )
         return min(MAX_CANARY, share, ENOUGH_ANSWERS / (STEPS[0][0] * expected))
 
     def _enter(self, stage: Stage, share: float, reason: str) -> None:
--- a/plumarch/fleet/rollout_test.py
+++ b/plumarch/fleet/rollout_test.py
@@ -19,7 +19,7 @@
     return {"r": pair}
 
 
-GOOD = rollout.Sight(10, 10, 5, 100.0, answers((120, 1), (1_200, 12)))
+GOOD = rollout.Observation(10, 10, 5, 100.0, answers((120, 1), (1_200, 12)))
 BAD = dataclasses.replace(GOOD, by_route=answers((40, 20), (400, 4)))
 OPEN = dataclasses.replace(GOOD, by_route=answers((2, 0), (400, 4)))
 
@@ -32,7 +32,7 @@
         self.plan = rollout.RolloutPlan(self.time, ORDER, EXPOSURE, START_MS)
         self.plan.stage, self.plan.share = stage, share
 
-    def at(self, elapsed: float, sight: rollout.Sight) -> tuple[Stage, float]:
+    def at(self, elapsed: float, sight: rollout.Observation) -> tuple[Stage, float]:
         self.time.advance_to(START_MS + round(elapsed * DURATION_MS))
         self.plan.step(sight)
         return self.plan.stage, self.plan.share
@@ -51,7 +51,7 @@
         sight = dataclasses.replace(GOOD, by_route={}, requests_per_s=requests_per_s)
         _, share = playing.at(0.05, sight)
         expected = requests_per_s * DURATION_MS / 1_000
-        assert 0 < share * expected <= EXPOSURE.share * expected + EXPOSURE.slack
+        assert 0 < share * expected <= EXPOSURE.share * expected + EXPOSURE.extra_requests
         assert share <= rollout.MAX_CANARY
 
 
--- a/plumarch/fleet/version_tally.py
+++ b/plumarch/fleet/version_tally.py
@@ -67,7 +67,7 @@
         """Count an answer."""
         self.own[key] = self.own.get(key, Tally()).plus(Tally(1, int(bad)))
 
-    def hear(self, source: str, told: Mapping[TallyKey, Tally]) -> None:
+    def merge_report(self, source: str, told: Mapping[TallyKey, Tally]) -> None:
         """Take in what a source counted; of a key told before, the larger count stands."""
         known = self.heard.setdefault(source, {})
         for key, tally in told.items():
--- a/plumarch/fleet/version_tally_test.py
+++ b/plumarch/fleet/version_tally_test.py
@@ -10,8 +10,8 @@
     book = version_tally.TallyBook()
     book.count(NEW, bad=True)
     book.count(OLD, bad=False)
-    book.hear("n2#1", {NEW: version_tally.Tally(4, 1), OLD: version_tally.Tally(30, 2)})
-    book.hear("n3#1", {version_tally.TallyKey("s", "v0", "r"): version_tally.Tally(5, 0)})
+    book.merge_report("n2#1", {NEW: version_tally.Tally(4, 1), OLD: version_tally.Tally(30, 2)})
+    book.merge_report("n3#1", {version_tally.TallyKey("s", "v0", "r"): version_tally.Tally(5, 0)})
     [pair] = book.by_route("s", "v2").values()
     assert pair.new == version_tally.Tally(5, 2)
     assert pair.old == version_tally.Tally(36, 2)
@@ -19,22 +19,22 @@
 
 def test_a_late_report_takes_nothing_back():
     book = version_tally.TallyBook()
-    book.hear("n2#1", {NEW: version_tally.Tally(9, 2)})
-    book.hear("n2#1", {NEW: version_tally.Tally(7, 1)})
+    book.merge_report("n2#1", {NEW: version_tally.Tally(9, 2)})
+    book.merge_report("n2#1", {NEW: version_tally.Tally(7, 1)})
     assert book.total() == {NEW: version_tally.Tally(9, 2)}
 
 
 def test_a_restart_counts_under_a_name_of_its_own():
     book = version_tally.TallyBook()
-    book.hear("n2#1", {NEW: version_tally.Tally(9, 2)})
-    book.hear("n2#5", {NEW: version_tally.Tally(1, 0)})
+    book.merge_report("n2#1", {NEW: version_tally.Tally(9, 2)})
+    book.merge_report("n2#5", {NEW: version_tally.Tally(1, 0)})
     assert book.total()[NEW] == version_tally.Tally(10, 2)
 
 
 def test_what_is_heard_may_be_left_out_and_a_service_forgotten():
     book = version_tally.TallyBook()
     book.count(NEW, bad=False)
-    book.hear("centre b", {NEW: version_tally.Tally(9, 2)})
+    book.merge_report("centre b", {NEW: version_tally.Tally(9, 2)})
     assert book.total(lambda source: False) == {NEW: version_tally.Tally(1, 0)}
     book.forget_service("s")
     assert book.total() == {}
--- a/plumarch/fleet/version_verdict.py
+++ b/plumarch/fleet/version_verdict.py
@@ -152,7 +152,7 @@
     share: float = 0.0
     begins: tuple[ByRoute, ...] = ()
 
-    def with_share(self, share: float, by_route: ByRoute) -> "SharePeriods":
+    def with_period(self, share: float, by_route: ByRoute) -> "SharePeriods":
         """Return the periods with a further one if the share changed.
 
         Args:
@@ -163,7 +163,7 @@
         begins = (*self.begins, by_route) if self.share > 0.0 else self.begins
         return SharePeriods(share, begins)
 
-    def parted(self, by_route: ByRoute) -> list[ByRoute]:
+    def per_period(self, by_route: ByRoute) -> list[ByRoute]:
         """Return what was counted in each period."""
         found = []
         until = by_route
--- a/plumarch/fleet/version_verdict_test.py
+++ b/plumarch/fleet/version_verdict_test.py
@@ -83,9 +83,9 @@
 
 def test_answers_are_parted_by_the_share_that_a_version_had():
     periods = version_verdict.SharePeriods()
-    assert periods.parted({"r": EARLY}) == [{"r": EARLY}]
-    periods = periods.with_share(0.1, {}).with_share(0.1, {"r": EARLY})
-    assert periods.parted({"r": EARLY}) == [{"r": EARLY}]
-    periods = periods.with_share(0.4, {"r": EARLY})
+    assert periods.per_period({"r": EARLY}) == [{"r": EARLY}]
+    periods = periods.with_period(0.1, {}).with_period(0.1, {"r": EARLY})
+    assert periods.per_period({"r": EARLY}) == [{"r": EARLY}]
+    periods = periods.with_period(0.4, {"r": EARLY})
     both = {"r": EARLY.plus(LATE), "s": LATE}
-    assert periods.parted(both) == [{"r": EARLY}, {"r": LATE, "s": LATE}]
+    assert periods.per_period(both) == [{"r": EARLY}, {"r": LATE, "s": LATE}]
--- a/plumarch/gateway/dispatch/request_run.py
+++ b/plumarch/gateway/dispatch/request_run.py
@@ -147,7 +147,7 @@
                 self.back_in_ms = attempts.when_room(self.state, self.admitted)
                 return self._give_up(self.progress.last_fault or "no_endpoint", 502)
             if self._hopeless(choice):
-                self.state.work.turned_away(self.admitted.service, choice.unread_tokens)
+                self.state.work.rejected(self.admitted.service, choice.unread_tokens)
                 return self._give_up("overloaded", 502)
             outcome = await self._attempt(choice)
             if outcome is not None:
--- a/plumarch/gateway/duties/duty_holder.py
+++ b/plumarch/gateway/duties/duty_holder.py
@@ -111,7 +111,7 @@
         self.cloud = cloud
         self.schedule = schedule
         self.tasks = tasks
-        self.held: duty_lease.HeldRecord | None = None
+        self.held: duty_lease.StoredRecord | None = None
         self.not_before_ms = state.clock.now() + SETTLE_MS
         self.no_candidate_before_ms = 0
         self.known_token = 0
@@ -301,7 +301,7 @@
             "duty_taken", urgent=True, token=found.record.token, revision=found.revision
         )
 
-    def _holder_may_live(self, found: duty_lease.HeldRecord) -> bool:
+    def _holder_may_live(self, found: duty_lease.StoredRecord) -> bool:
         """Return whether the holder may live among nodes that are cut off from this one."""
         fraction = self.view.reachable_fraction()
         now = self.state.clock.now()
@@ -364,7 +364,7 @@
             "duty_awaited", holder=record.holder, token=record.token, for_ms=HEAR_HOLDER_MS
         )
 
-    async def _write(self, wanted: duty_lease.HeldRecord) -> duty_lease.HeldRecord:
+    async def _write(self, wanted: duty_lease.StoredRecord) -> duty_lease.StoredRecord:
         """Write the record; a lost answer or a conflict is settled by reading back.
 
         A conflict may be with a write of this node that was carried out late: then the record
@@ -383,7 +383,7 @@
             return found
         self.written_ms = self.confirmed_ms = sent_ms
         self.state.reaches_store = True
-        return duty_lease.HeldRecord(wanted.record, written.revision)
+        return duty_lease.StoredRecord(wanted.record, written.revision)
 
     async def _report_usage(self) -> None:
         """Report the oldest window that is due, if there is one."""
--- a/plumarch/gateway/duties/engine_gauges.py
+++ b/plumarch/gateway/duties/engine_gauges.py
@@ -13,7 +13,7 @@
 ) -> None:
     """Set a service's gauges, as a node that hears of the fleet's requests sees it."""
     regions, measures = plan.regions, state.measures
-    for region, share in regions.shares_of(scaling.prices).items():
+    for region, share in regions.demand_shares(scaling.prices).items():
         measures.engine_demand.set(plan.demand * share, plan.service, region)
     counts: collections.Counter[tuple[str, bool]] = collections.Counter()
     ready = engine_pools.ready(plan.service, state.registry.endpoints.values())
@@ -44,14 +44,14 @@
     if not regions.are_several(scaling.prices):
         return {}
     region = regions.of(data_centre)
-    share = regions.shares_of(scaling.prices)[region]
+    share = regions.demand_shares(scaling.prices)[region]
     needed = plan.needed(scaling) * share
-    placed = sum(count for name, count in plan.placed.items() if regions.of(name) == region)
+    placed = sum(count for name, count in plan.spot_placement.items() if regions.of(name) == region)
     return {
         "region": region,
         "region_demand": round(plan.demand * share, 2),
         "region_needed": round(needed, 2),
         "region_reserve": round(placed - needed, 2),
         "in_part": region in regions.partially_reachable,
-        "way": round(regions.way, 3),
+        "way": round(regions.latency_fraction, 3),
     }
--- a/plumarch/gateway/duties/engine_gauges_test.py
+++ b/plumarch/gateway/duties/engine_gauges_test.py
@@ -14,7 +14,7 @@
 
 def plan_of(regions: region_demand.RegionView) -> engine_plan.EnginePlan:
     plan = engine_plan.EnginePlan(clock.ManualClock(), "e", regions=regions)
-    for _ in range(2 * engine_plan.HELD_SAMPLES):
+    for _ in range(2 * engine_plan.NO_SHRINK_SAMPLES):
         plan.sample_demand(8.0)
     plan.wanted(SCALING, {})
     return plan
@@ -47,7 +47,7 @@
 def test_a_line_of_an_order_tells_the_regions_demand_need_and_reserve():
     plan = plan_of(REGIONS)
     found = engine_gauges.of_order(plan, SCALING, "n2")
-    placed = plan.placed["n1"] + plan.placed["n2"]
+    placed = plan.spot_placement["n1"] + plan.spot_placement["n2"]
     assert found == {
         "region": "n",
         "region_demand": 6.0,
--- a/plumarch/gateway/duties/engine_orders.py
+++ b/plumarch/gateway/duties/engine_orders.py
@@ -61,7 +61,7 @@
                 self.plans[service.name] = engine_plan.EnginePlan(
                     self.state.clock, service.name, first_start=self.first_start
                 )
-            self.plans[service.name].learn(endpoints.values())
+            self.plans[service.name].observe_endpoints(endpoints.values())
         self._sample_demand()
 
     def _sample_demand(self) -> None:
@@ -70,16 +70,16 @@
         if not self.view.sees_fleet():
             # Members know the level of an allotment, not what was charged to it.
             self.sampled_ms = 0
-            self.regions.forget()
+            self.regions.reset()
             engine_gauges.clear(self.state)
             for plan in self.plans.values():
-                plan.lose_demand()
+                plan.reset_demand()
             return
         if now - self.sampled_ms < SAMPLE_MS:
             return
         charged = self.state.quota.total_charged()
         rate = max(0.0, charged - self.sampled_charged) * 1000.0 / (now - self.sampled_ms)
-        hears_all = self.view.reachable_fraction() >= HEARD_FOR_DEMAND
+        fleet_reachable = self.view.reachable_fraction() >= HEARD_FOR_DEMAND
         if not self.sampled_ms:
             self.sums.begin()
         else:
@@ -87,7 +87,7 @@
                 rate = self._sample_regions(now - self.sampled_ms)
             for plan in self.plans.values():
                 known = self._learned(plan.service) is not None
-                plan.sample_demand(self._engines_busy(plan.service, rate), known, hears_all)
+                plan.sample_demand(self._engines_busy(plan.service, rate), known, fleet_reachable)
                 self._show(plan)
         self.sampled_ms = now
         self.sampled_charged = charged
--- a/plumarch/gateway/duties/rollout_duty.py
+++ b/plumarch/gateway/duties/rollout_duty.py
@@ -149,7 +149,7 @@
             plan.share = 1.0 if plan.stage is rollout.Stage.COMPLETED else 0.0
         return plan
 
-    def _sight(self, plan: rollout.RolloutPlan) -> rollout.Sight:
+    def _sight(self, plan: rollout.RolloutPlan) -> rollout.Observation:
         state, order = self.state, plan.order
         ready = state.registry.ready(order.service)
         old = [
@@ -161,7 +161,7 @@
         by_route = state.answers.by_route(order.service, order.version)
         answers = sum(pair.new.answers + pair.old.answers for pair in by_route.values())
         elapsed_s = max(1.0, (state.wall.now() - plan.began_ms) / 1000.0)
-        return rollout.Sight(
+        return rollout.Observation(
             ready_new=len([one for one in ready if one.version == order.version]),
             ready_old=len([one for one in ready if one.version != order.version]),
             running_old=state.chooser.total_running(old),
@@ -229,8 +229,8 @@
             by_route = self.state.answers.by_route(split.service, split.version)
             key = (split.service, split.version)
             before = self.periods.get(key, version_verdict.SharePeriods())
-            periods = self.periods[key] = before.with_share(split.share, by_route)
-            verdict, figures = version_verdict.judge_all(rule, *periods.parted(by_route))
+            periods = self.periods[key] = before.with_period(split.share, by_route)
+            verdict, figures = version_verdict.judge_all(rule, *periods.per_period(by_route))
             if verdict is version_verdict.Verdict.BAD:
                 self.state.splits.veto(split.service)
                 self.state.log.write(
--- a/plumarch/gateway/duties/rollout_duty_test.py
+++ b/plumarch/gateway/duties/rollout_duty_test.py
@@ -238,7 +238,7 @@
 
 
 def allowed(world: World) -> float:
-    return EXPOSURE.share * world.total + EXPOSURE.slack
+    return EXPOSURE.share * world.total + EXPOSURE.extra_requests
 
 
 def test_a_good_version_is_completed_in_time_and_all_nodes_end_with_it():
--- a/plumarch/gateway/gossip/version_reports.py
+++ b/plumarch/gateway/gossip/version_reports.py
@@ -83,4 +83,4 @@
         for one in told
     }
     if counts:
-        state.answers.hear(source, counts)
+        state.answers.merge_report(source, counts)
--- a/plumarch/node/node.py
+++ b/plumarch/node/node.py
@@ -333,7 +333,7 @@
         """Decide on VMs, if the cloud's offers are known; without the platform nothing moves."""
         if not self.decider.offers:
             return
-        deciding = self.orders.decides() and self.ctx.now() >= self.orders.next_look_ms
+        deciding = self.orders.decides() and self.ctx.now() >= self.orders.next_round_ms
         changes = self.decider.changes() if deciding else []
         self.orders.tick(changes, frozenset(self.placement.endpoints))
 
--- a/tests/fleet_test.py
+++ b/tests/fleet_test.py
@@ -30,8 +30,10 @@
     ]
 
 
-def held(centre: str, count: int, load: int = 0) -> list[plan.Held]:
-    return [plan.Held(f"{centre}-{n}", "writer", centre, CHEAP, 8, 0.3, load) for n in range(count)]
+def held(centre: str, count: int, load: int = 0) -> list[plan.FleetVm]:
+    return [
+        plan.FleetVm(f"{centre}-{n}", "writer", centre, CHEAP, 8, 0.3, load) for n in range(count)
+    ]
 
 
 def starts(changes: list[plan.Change]) -> list[tuple[str, str]]:
@@ -44,7 +46,7 @@
     for lost in CENTRES:
         left = sum(8 for centre, _ in starts(changes) if centre != lost)
         assert left >= 40
-    assert len(starts(changes)) * 8 >= 60 * plan.ROOM
+    assert len(starts(changes)) * 8 >= 60 * plan.HEADROOM
 
 
 def test_what_is_enough_is_left_alone() -> None:
@@ -77,7 +79,7 @@
 
 def test_the_dearest_idle_vm_is_released_one_at_a_time() -> None:
     demand = plan.Demand("writer", 2.0, 0.0)
-    here = [*held("a", 3), plan.Held("a-dear", "writer", "a", DEAR, 8, 1.0)]
+    here = [*held("a", 3), plan.FleetVm("a-dear", "writer", "a", DEAR, 8, 1.0)]
     changes = plan.plan(demand, ["a"], classes(), here, [], 0)
     assert [c.name for c in changes if isinstance(c, plan.Release)] == ["a-dear"]
     busy = [dataclasses.replace(vm, load=1) for vm in here]
