--- a/plumarch/fleet/decider.py
+++ b/plumarch/fleet/decider.py
@@ -24,8 +24,8 @@
     """A target's demand in the region at one time."""
 
     at_ms: int
-    places: int
-    must_not_wait: int
+    requests: int
+    urgent: int
 
 
 class Decider:
@@ -36,14 +36,14 @@
         ctx: context.Context,
         membership: members.Membership,
         table: runs.RunTable,
-        places: placement.Placement,
+        endpoint_placement: placement.Placement,
         config: config_state.ConfigState,
         book: orders.Orders,
     ) -> None:
         self.ctx = ctx
         self.membership = membership
         self.table = table
-        self.places = places
+        self.placement = endpoint_placement
         self.config = config
         self.orders = book
         self.offers: tuple[data.Offer, ...] = ()
@@ -83,13 +83,13 @@
     def demand(self, target: str) -> plan.Demand:
         """Return the highest demand for a target of the last PEAK_MS."""
         samples = self.samples.get(target, [])
-        places = max((s.places for s in samples), default=0)
-        urgent = max((s.must_not_wait for s in samples), default=0)
-        return plan.Demand(target, float(places), float(urgent))
+        requests = max((s.requests for s in samples), default=0)
+        urgent = max((s.urgent for s in samples), default=0)
+        return plan.Demand(target, float(requests), float(urgent))
 
     def reclaimed(self, name: str) -> None:
         """Remember that a VM was reclaimed."""
-        endpoint = self.places.endpoints.get(name)
+        endpoint = self.placement.endpoints.get(name)
         if endpoint is not None:
             self.reclaims.append((self.ctx.now(), endpoint.data_centre, endpoint.vm_class))
             del self.reclaims[:-1_000]
@@ -102,12 +102,12 @@
             for at, centre, name in self.reclaims
             if (centre, name) == (offer.data_centre, offer.name) and now - at <= RECLAIM_MEMORY_MS
         )
-        held = sum(
+        vms = sum(
             1
-            for e in self.places.endpoints.values()
+            for e in self.placement.endpoints.values()
             if (e.data_centre, e.vm_class) == (offer.data_centre, offer.name)
         )
-        return count / max(1, held) / (RECLAIM_MEMORY_MS / MS_PER_H)
+        return count / max(1, vms) / (RECLAIM_MEMORY_MS / MS_PER_H)
 
     def classes(self) -> list[plan.VmClass]:
         """Return what the cloud sells, with the reclaim rates seen."""
@@ -123,7 +123,7 @@
             for offer in self.offers
         ]
 
-    def held(self, target: str) -> list[plan.FleetVm]:
+    def vms(self, target: str) -> list[plan.FleetVm]:
         """Return a target's VMs, those that are ordered and not listed yet included."""
         found = [
             plan.FleetVm(
@@ -133,19 +133,21 @@
                 e.vm_class,
                 e.capacity,
                 e.price,
-                self.places.load(e.name),
-                e.name in self.places.leaving or e.state is not data.EndpointState.LIVE,
+                self.placement.load(e.name),
+                e.name in self.placement.leaving or e.state is not data.EndpointState.LIVE,
             )
-            for _, e in sorted(self.places.endpoints.items())
+            for _, e in sorted(self.placement.endpoints.items())
             if target in e.targets
         ]
         capacity = {(o.data_centre, o.name): o.capacity for o in self.offers}
-        for order in self.orders.on_their_way():
-            if order.target != target or order.name in self.places.endpoints:
+        for order in self.orders.pending_starts():
+            if order.target != target or order.name in self.placement.endpoints:
                 continue
             centre = order.data_centre
-            places = capacity.get((centre, order.vm_class), 0)
-            found.append(plan.FleetVm(order.token, target, centre, order.vm_class, places, 0.0, 1))
+            vm_capacity = capacity.get((centre, order.vm_class), 0)
+            found.append(
+                plan.FleetVm(order.token, target, centre, order.vm_class, vm_capacity, 0.0, 1)
+            )
         return found
 
     def targets(self) -> list[str]:
@@ -177,7 +179,7 @@
                 self.demand(target),
                 centres,
                 self.classes(),
-                self.held(target),
+                self.vms(target),
                 refusals,
                 self.ctx.now(),
             )
@@ -188,9 +190,9 @@
         rows = []
         for target in self.targets():
             centres = self._centres(target)
-            wanted = plan.wanted_places(self.demand(target), centres) if centres else {}
-            held = self.held(target)
-            for centre, places in wanted.items():
-                have = sum(v.capacity for v in held if v.data_centre == centre and not v.leaving)
-                rows.append((target, centre, places, have))
+            wanted = plan.wanted_capacity(self.demand(target), centres) if centres else {}
+            vms = self.vms(target)
+            for centre, capacity in wanted.items():
+                have = sum(v.capacity for v in vms if v.data_centre == centre and not v.leaving)
+                rows.append((target, centre, capacity, have))
         return rows
--- a/plumarch/fleet/duty_lease.py
+++ b/plumarch/fleet/duty_lease.py
@@ -14,7 +14,7 @@
 
 KIND = "plumarch-duties"
 NAME = "holder"
-WINDOWS_KEPT = 6
+RETAINED_WINDOWS = 6
 
 
 class RolloutRecord(msgspec.Struct, frozen=True):
@@ -70,10 +70,10 @@
     return StoredRecord(msgspec.json.decode(found.value, type=DutyRecord), found.revision)
 
 
-def encode(held: StoredRecord) -> records.Record:
+def encode(stored: StoredRecord) -> records.Record:
     """Return a record as the store takes it, to be written under its revision."""
-    value = msgspec.json.encode(held.record).decode()
-    return records.Record(NAME, value, held.revision)
+    value = msgspec.json.encode(stored.record).decode()
+    return records.Record(NAME, value, stored.revision)
 
 
 def taken_over(found: StoredRecord | None, node: str, incarnation: int) -> StoredRecord:
@@ -87,34 +87,34 @@
 
 
 def with_window(
-    held: StoredRecord, window: int, counts: dict[str, int], sizes: dict[str, int]
+    stored: StoredRecord, window: int, counts: dict[str, int], sizes: dict[str, int]
 ) -> StoredRecord:
     """Return the record with a window's counts, unless the window stands there already.
 
     Args:
       sizes: endpoints that services need now, for a holder that comes next.
     """
-    windows = dict(held.record.windows)
+    windows = dict(stored.record.windows)
     windows.setdefault(str(window), counts)
-    newest = sorted(windows, key=int)[-WINDOWS_KEPT:]
+    newest = sorted(windows, key=int)[-RETAINED_WINDOWS:]
     record = msgspec.structs.replace(
-        held.record,
+        stored.record,
         windows={number: windows[number] for number in newest},
-        sizes={**held.record.sizes, **sizes},
+        sizes={**stored.record.sizes, **sizes},
     )
-    return StoredRecord(record, held.revision)
+    return StoredRecord(record, stored.revision)
 
 
-def with_rollout(held: StoredRecord, service: str, rollout: RolloutRecord) -> StoredRecord:
+def with_rollout(stored: StoredRecord, service: str, rollout: RolloutRecord) -> StoredRecord:
     """Return the record with how far a service's roll-out is."""
-    rollouts = {**held.record.rollouts, service: rollout}
-    return StoredRecord(msgspec.structs.replace(held.record, rollouts=rollouts), held.revision)
+    rollouts = {**stored.record.rollouts, service: rollout}
+    return StoredRecord(msgspec.structs.replace(stored.record, rollouts=rollouts), stored.revision)
 
 
-def renewed(held: StoredRecord) -> StoredRecord:
+def renewed(stored: StoredRecord) -> StoredRecord:
     """Return the record as a holder writes it to show that it lives."""
-    record = msgspec.structs.replace(held.record, renewals=held.record.renewals + 1)
-    return StoredRecord(record, held.revision)
+    record = msgspec.structs.replace(stored.record, renewals=stored.record.renewals + 1)
+    return StoredRecord(record, stored.revision)
 
 
 @dataclasses.dataclass(slots=True)
@@ -124,14 +124,14 @@
     Attributes:
       revision: of the record when it was seen last.
       since_ms: when it was seen first.
-      looked_ms: when it was looked at last.
+      checked_ms: when it was looked at last.
     """
 
     revision: int = -1
     since_ms: int = 0
-    looked_ms: int = 0
+    checked_ms: int = 0
 
-    def unchanged_ms(self, held: StoredRecord, now: int, pause_ms: int) -> int:
+    def unchanged_ms(self, stored: StoredRecord, now: int, pause_ms: int) -> int:
         """Look at the record.
 
         Args:
@@ -139,15 +139,15 @@
         Returns:
           For how long it is known to stand unchanged.
         """
-        if held.revision != self.revision or now - self.looked_ms > pause_ms:
-            self.revision = held.revision
+        if stored.revision != self.revision or now - self.checked_ms > pause_ms:
+            self.revision = stored.revision
             self.since_ms = now
-        self.looked_ms = now
+        self.checked_ms = now
         return now - self.since_ms
 
 
-def is_mine(held: StoredRecord | None, node: str, incarnation: int) -> bool:
+def is_mine(stored: StoredRecord | None, node: str, incarnation: int) -> bool:
     """Return whether a record names a process as the holder."""
-    if held is None:
+    if stored is None:
         return False
-    return held.record.holder == node and held.record.incarnation == incarnation
+    return stored.record.holder == node and stored.record.incarnation == incarnation
--- a/plumarch/fleet/engine_demand.py
+++ b/plumarch/fleet/engine_demand.py
@@ -11,12 +11,12 @@
 from plumarch.core import clock
 from plumarch.routing import engine_speed
 
-READ_SHARE = 0.5
+MAX_READ_FRACTION = 0.5
 """Part of the time that engines spend on reading prompts at most, by the speed of idle ones. The
 first tokens of long prompts wait for each other beyond it. 0.38 to 0.6 were tried
 (docs/design/shifted-work.md)."""
 
-PLACES_SHARE = 0.6
+MAX_CAPACITY_FRACTION = 0.6
 """Part of the engines' places that is taken on average at most; bursts take the rest.
 0.55 and 0.65 were tried as well (docs/design/capacity-plan.md)."""
 
@@ -25,7 +25,9 @@
 requests of one node."""
 
 
-def engines_for(read_tokens_per_s: float, ms_per_token: float, running: float, slots: int) -> float:
+def engines_for(
+    read_tokens_per_s: float, ms_per_token: float, running: float, capacity: int
+) -> float:
     """Return how many engines are needed.
 
     Args:
@@ -34,9 +36,9 @@
       running: requests that hold a place, over all nodes.
       slots: places of an engine.
     """
-    by_reading = read_tokens_per_s * ms_per_token / 1_000.0 / READ_SHARE
-    by_places = running / (PLACES_SHARE * max(1, slots))
-    return max(by_reading, by_places)
+    by_reading = read_tokens_per_s * ms_per_token / 1_000.0 / MAX_READ_FRACTION
+    by_capacity = running / (MAX_CAPACITY_FRACTION * max(1, capacity))
+    return max(by_reading, by_capacity)
 
 
 @dataclasses.dataclass(slots=True)
--- a/plumarch/fleet/engine_demand_test.py
+++ b/plumarch/fleet/engine_demand_test.py
@@ -7,13 +7,13 @@
 
 
 def test_reading_binds_where_prompts_are_long():
-    engines = engine_demand.engines_for(100_000, 0.0064, running=5, slots=128)
-    assert engines == 0.64 / engine_demand.READ_SHARE
+    engines = engine_demand.engines_for(100_000, 0.0064, running=5, capacity=128)
+    assert engines == 0.64 / engine_demand.MAX_READ_FRACTION
 
 
 def test_places_bind_where_answers_are_long():
-    engines = engine_demand.engines_for(1_000, 0.0064, running=100, slots=24)
-    assert engines == 100 / (24 * engine_demand.PLACES_SHARE)
+    engines = engine_demand.engines_for(1_000, 0.0064, running=100, capacity=24)
+    assert engines == 100 / (24 * engine_demand.MAX_CAPACITY_FRACTION)
 
 
 def test_faster_engines_are_asked_for_less():
--- a/plumarch/fleet/engine_firm.py
+++ b/plumarch/fleet/engine_firm.py
@@ -37,10 +37,10 @@
     spot: Mapping[str, int],
     counts: Mapping[str, int],
 ) -> str | None:
-    open_places: list[tuple[bool, float, float, str]] = []
+    open_pools: list[tuple[bool, float, float, str]] = []
     over_regions = regions.are_several(scaling.prices)
     both = {name: count + spot[name] for name, count in counts.items()}
-    lacks = engine_regions.lacking(scaling, regions, needed, both) if over_regions else {}
+    lacks = engine_regions.shortages(scaling, regions, needed, both) if over_regions else {}
     for name, price in scaling.prices.items():
         # The limit holds for both kinds together, and the platform doesn't say what it holds
         # back: what is ordered beyond the room would be waited for in vain.
@@ -52,5 +52,5 @@
         cost = engine_regions.firm_cost(regions, name, price, lacks)
         # Firm ones are not reclaimed: over regions their price counts before even spreading.
         rank = (cost, counts[name]) if over_regions else (counts[name], cost)
-        open_places.append((not runs_already, *rank, name))
-    return min(open_places)[3] if open_places else None
+        open_pools.append((not runs_already, *rank, name))
+    return min(open_pools)[3] if open_pools else None
--- a/plumarch/fleet/engine_plan.py
+++ b/plumarch/fleet/engine_plan.py
@@ -18,7 +18,7 @@
 from plumarch.core import clock, records, traffic
 from plumarch.fleet import engine_firm, engine_pools, engine_regions, region_demand
 
-FLOOR = 0.85
+MIN_READY_FRACTION = 0.85
 """Part of the needed endpoints below which firm ones are ordered: those that are left serve most
 of the requests in time, and a firm one costs several times as much (measured:
 docs/design/capacity-plan.md)."""
@@ -54,10 +54,10 @@
 SETTLE_MS = 1_000
 """Before the first order, the endpoints that are there have time to be told."""
 
-LEARN_MS = 4_000
+INITIAL_WINDOW_MS = 4_000
 """Endpoints told within this time of the plan's begin were there at first."""
 
-QUIET_MS = 900
+REGISTRATION_QUIET_MS = 900
 """At the first start, endpoints tell themselves one after the other: all are known once none was
 news for this time. One that is let go before it told itself would never be counted."""
 
@@ -72,8 +72,8 @@
     Attributes:
       first_start: whether the whole system starts for the first time: nothing runs yet, so
         that firm endpoints may go before the reclaimable ones have come.
-      first_seen: endpoints that were there at the first start.
-      first_count: how many those were, or how many the last holder needed; as many are needed
+      initial_endpoints: endpoints that were there at the first start.
+      initial_count: how many those were, or how many the last holder needed; as many are needed
         until the demand is known.
       found: endpoints that ran when the plan of a later start began, in place of the former
         two where neither is known.
@@ -89,15 +89,17 @@
     clock: clock.Clock
     service: str
     first_start: bool = False
-    first_seen: set[str] = dataclasses.field(default_factory=set)
-    first_count: int = 0
-    found: int = 0
+    initial_endpoints: set[str] = dataclasses.field(default_factory=set)
+    initial_count: int = 0
+    running_count: int = 0
     demand: float = 0.0
     samples: int = 0
     sized_for: int = 0
     began_ms: int | None = None
     last_new_ms: int = 0
-    given: dict[engine_pools.Pool, engine_pools.LastOrder] = dataclasses.field(default_factory=dict)
+    last_orders: dict[engine_pools.Pool, engine_pools.LastOrder] = dataclasses.field(
+        default_factory=dict
+    )
     regions: region_demand.RegionView = region_demand.ONE_REGION
     spot_placement: dict[str, int] = dataclasses.field(default_factory=dict)
 
@@ -128,16 +130,18 @@
         self.samples = 0
         self.demand = 0.0
         self.sized_for = 0
-        if self.began_ms is not None and self.clock.now() - self.began_ms >= LEARN_MS:
-            self.first_seen.clear()
+        if self.began_ms is not None and self.clock.now() - self.began_ms >= INITIAL_WINDOW_MS:
+            self.initial_endpoints.clear()
 
     def take_over(self, size: int) -> None:
         """Take in what the holder before needed, until this node knows the demand itself."""
-        self.first_count = max(self.first_count, size)
+        self.initial_count = max(self.initial_count, size)
 
     def size(self) -> int:
         """Return how many endpoints are needed by what is known, within no limits."""
-        return max(self.sized_for, 0 if self._demand_known() else self.first_count or self.found)
+        return max(
+            self.sized_for, 0 if self._demand_known() else self.initial_count or self.running_count
+        )
 
     def _demand_known(self) -> bool:
         return self.samples >= DEMAND_SAMPLES
@@ -145,26 +149,26 @@
     def needed(self, scaling: traffic.Scaling) -> int:
         """Return how many endpoints the demand asks for."""
         self._follow_demand()
-        places = len(scaling.prices)
-        most = scaling.maximum * places
+        centres = len(scaling.prices)
+        maximum = scaling.maximum * centres
         # Over regions a request may be served elsewhere: the least of each is no need of its own.
-        least = 1 if self._over_regions(scaling) else max(1, scaling.minimum) * places
-        return min(most, max(least, self.size()))
+        minimum = 1 if self._over_regions(scaling) else max(1, scaling.minimum) * centres
+        return min(maximum, max(minimum, self.size()))
 
     def _over_regions(self, scaling: traffic.Scaling) -> bool:
         return self.regions.are_several(scaling.prices)
 
     def _lost_at_once(self) -> float:
         """Return the loss to cover; none before the demand is known at the first start."""
-        return LOST_AT_ONCE if self._demand_known() or not self.first_seen else 0.0
+        return LOST_AT_ONCE if self._demand_known() or not self.initial_endpoints else 0.0
 
     def spot_wanted(self, scaling: traffic.Scaling) -> int:
         """Return how many reclaimable endpoints are wanted: what is needed, and a reserve."""
         needed = self.needed(scaling)
-        places = len(scaling.prices)
-        left = max(1.0, places - self._lost_at_once())
-        reserved = math.ceil(needed / left) * places
-        return min(scaling.maximum * places, reserved)
+        centres = len(scaling.prices)
+        left = max(1.0, centres - self._lost_at_once())
+        reserved = math.ceil(needed / left) * centres
+        return min(scaling.maximum * centres, reserved)
 
     def _follow_demand(self) -> None:
         """Size the service for the demand; it shrinks only by a clear margin."""
@@ -178,7 +182,7 @@
     ) -> dict[engine_pools.Pool, int]:
         """Return the wanted counts by place, given those that are ready."""
         spot = self._spot_counts(scaling, ready)
-        if self._refused_lately() or self._holds_what_runs():
+        if self._refused_lately() or self._keeps_running():
             # One that is let go now could not be had back, or may be needed.
             spot = {
                 name: max(spot[name], ready.get(engine_pools.Pool(name, True), 0)) for name in spot
@@ -186,7 +190,7 @@
         self.spot_placement = spot
         wanted = {engine_pools.Pool(name, True): count for name, count in spot.items()}
         firm = self._firm_wanted(scaling, ready)
-        firm = engine_regions.holds(self.regions, firm, False, ready, self.given)
+        firm = engine_regions.retain_running(self.regions, firm, False, ready, self.last_orders)
         for name, count in firm.items():
             wanted[engine_pools.Pool(name, False)] = count
         return wanted
@@ -199,18 +203,20 @@
             return engine_pools.spread(self.spot_wanted(scaling), scaling)
         known = self.regions if self._demand_known() else self.regions.without_shares()
         needed, lost, refused = self.needed(scaling), self._lost_at_once(), self._refused_lately()
-        next_loss = engine_regions.Loss(math.ceil(FLOOR * needed), LOST_WHILE_REFUSED)
+        next_loss = engine_regions.Loss(math.ceil(MIN_READY_FRACTION * needed), LOST_WHILE_REFUSED)
         counts = engine_regions.spot_counts(scaling, known, needed, lost, refused, next_loss)
-        counts = engine_regions.holds(self.regions, counts, True, ready, self.given)
-        return engine_regions.let_go_last(counts, ready, self._spot_by_centre(scaling, ready))
+        counts = engine_regions.retain_running(self.regions, counts, True, ready, self.last_orders)
+        return engine_regions.release_after_replacement(
+            counts, ready, self._spot_by_centre(scaling, ready)
+        )
 
-    def _holds_what_runs(self) -> bool:
+    def _keeps_running(self) -> bool:
         """Return whether endpoints that run are kept whatever the plan says.
 
         Without this, a member that turned coordinator after most nodes had lost power shrank a
         fleet that served 220 requests a second to six endpoints.
         """
-        return not self.first_seen and self.samples < NO_SHRINK_SAMPLES
+        return not self.initial_endpoints and self.samples < NO_SHRINK_SAMPLES
 
     def _firm_wanted(
         self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
@@ -221,30 +227,32 @@
         until the others have come. While reclaimable ones are refused, firm ones are held for
         those that are reclaimed sooner than others boot.
         """
-        if self._nothing_runs_yet(ready):
-            return self._firm_at_first(scaling, ready)
+        if self._is_initial_start(ready):
+            return self._initial_firm(scaling, ready)
         needed = self.needed(scaling)
-        spot_ready = sum(count for place, count in ready.items() if place.spot)
-        firm_ready = sum(count for place, count in ready.items() if not place.spot)
-        lacking = math.ceil(FLOOR * needed) - sum(self._spot_in_time(scaling, ready).values())
-        kept = firm_ready if self._holds_what_runs() else min(firm_ready, needed - spot_ready)
-        hedge = self._lacking_after_next_losses(scaling, ready) if self._refused_lately() else 0
+        spot_ready = sum(count for pool, count in ready.items() if pool.spot)
+        firm_ready = sum(count for pool, count in ready.items() if not pool.spot)
+        lacking = math.ceil(MIN_READY_FRACTION * needed) - sum(
+            self._spot_in_time(scaling, ready).values()
+        )
+        kept = firm_ready if self._keeps_running() else min(firm_ready, needed - spot_ready)
+        hedge = self._shortage_after_losses(scaling, ready) if self._refused_lately() else 0
         lacking = max(lacking, kept, hedge, 0)
         spot = self._spot_in_time(scaling, ready)
         return engine_firm.spread(scaling, self.regions, needed, lacking, ready, spot)
 
-    def _lacking_after_next_losses(
+    def _shortage_after_losses(
         self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> int:
         """Return how many firm endpoints are lacking once further data centres are reclaimed."""
-        spot = [count for place, count in ready.items() if place.spot]
+        spot = [count for pool, count in ready.items() if pool.spot]
         if self._over_regions(scaling):
             # Reclaimable ones were ordered in place of the lost ones, and boot as fast.
             spot = list(self._spot_in_time(scaling, ready).values())
         left = sum(sorted(spot, reverse=True)[LOST_WHILE_REFUSED:])
-        return math.ceil(FLOOR * self.needed(scaling)) - left
+        return math.ceil(MIN_READY_FRACTION * self.needed(scaling)) - left
 
-    def _firm_at_first(
+    def _initial_firm(
         self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> dict[str, int]:
         """Return firm counts while nothing runs: the least, then none.
@@ -254,7 +262,7 @@
         """
         counts = {}
         for name in scaling.prices:
-            replaced = engine_pools.Pool(name, True) in self.given
+            replaced = engine_pools.Pool(name, True) in self.last_orders
             counts[name] = (
                 0
                 if replaced
@@ -267,9 +275,9 @@
     ) -> dict[str, int]:
         """Return the reclaimable endpoints that are ready, or ordered and not yet overdue."""
         coming = {
-            place.data_centre: given.count
-            for place, given in self.given.items()
-            if place.spot and not given.refused and not self._overdue(given, scaling)
+            pool.data_centre: last.count
+            for pool, last in self.last_orders.items()
+            if pool.spot and not last.refused and not self._overdue(last, scaling)
         }
         found = {}
         for name in scaling.prices:
@@ -283,20 +291,20 @@
         """Return the reclaimable endpoints that are there as soon as firm ones could be."""
         found = self._spot_by_centre(scaling, ready)
         if self._over_regions(scaling):
-            return engine_regions.with_ordered_now(found, self.spot_placement, self.given)
+            return engine_regions.with_new_orders(found, self.spot_placement, self.last_orders)
         return found
 
     def _refused_lately(self) -> frozenset[str]:
         """Return the data centres that had no reclaimable endpoints lately."""
         now = self.clock.now()
         return frozenset(
-            place.data_centre
-            for place, given in self.given.items()
-            if given.refused and place.spot and now - given.at_ms < 2 * REPEAT_MS
+            pool.data_centre
+            for pool, last in self.last_orders.items()
+            if last.refused and pool.spot and now - last.at_ms < 2 * REPEAT_MS
         )
 
-    def _overdue(self, given: engine_pools.LastOrder, scaling: traffic.Scaling) -> bool:
-        return self.clock.now() - given.at_ms >= scaling.boot_ms + BOOT_MARGIN_MS
+    def _overdue(self, last: engine_pools.LastOrder, scaling: traffic.Scaling) -> bool:
+        return self.clock.now() - last.at_ms >= scaling.boot_ms + BOOT_MARGIN_MS
 
     def orders(
         self,
@@ -314,9 +322,9 @@
         if not self._settled():
             return []
         due = []
-        for place, count in self.wanted(scaling, ready).items():
-            if self._is_due(place, count, ready.get(place, 0), scaling):
-                due.append(records.EngineOrder(self.service, place.data_centre, count, place.spot))
+        for pool, count in self.wanted(scaling, ready).items():
+            if self._is_due(pool, count, ready.get(pool, 0), scaling):
+                due.append(records.EngineOrder(self.service, pool.data_centre, count, pool.spot))
         fewer = {
             one: one.count < ready.get(engine_pools.Pool(one.data_centre, one.spot), 0)
             for one in due
@@ -333,66 +341,66 @@
         now = self.clock.now()
         if self.began_ms is None:
             self.began_ms = now
-        if now - self.began_ms >= LEARN_MS:
+        if now - self.began_ms >= INITIAL_WINDOW_MS:
             return
         if not self.first_start:
-            self._find_running(endpoints)
+            self._count_running(endpoints)
             return
         for one in endpoints:
-            is_new = one.called() not in self.first_seen
+            is_new = one.called() not in self.initial_endpoints
             if one.service == self.service and not one.spot and is_new:
-                self.first_seen.add(one.called())
+                self.initial_endpoints.add(one.called())
                 self.last_new_ms = now
-        self.first_count = max(self.first_count, len(self.first_seen))
+        self.initial_count = max(self.initial_count, len(self.initial_endpoints))
 
-    def _find_running(self, endpoints: Iterable[traffic.Endpoint]) -> None:
+    def _count_running(self, endpoints: Iterable[traffic.Endpoint]) -> None:
         """Learn how many endpoints are needed from those that run, without the reserve in them."""
         ready = engine_pools.ready(self.service, endpoints)
-        centres = len({place.data_centre for place in ready})
+        centres = len({pool.data_centre for pool in ready})
         left = max(1.0, centres - LOST_AT_ONCE)
         kept = round(sum(ready.values()) * left / max(1, centres))
-        self.found = max(self.found, kept)
+        self.running_count = max(self.running_count, kept)
 
     def _settled(self) -> bool:
         """Return whether the endpoints had time to be told, so that orders may be given."""
         if self.began_ms is None:
             return False
         now = self.clock.now()
-        learns = self.first_start and now - self.began_ms < LEARN_MS
-        if learns and now - self.last_new_ms < QUIET_MS:
+        learns = self.first_start and now - self.began_ms < INITIAL_WINDOW_MS
+        if learns and now - self.last_new_ms < REGISTRATION_QUIET_MS:
             return False
         return now - self.began_ms >= SETTLE_MS
 
-    def _nothing_runs_yet(self, ready: Mapping[engine_pools.Pool, int]) -> bool:
+    def _is_initial_start(self, ready: Mapping[engine_pools.Pool, int]) -> bool:
         """Return whether firm endpoints may go at once: first start, no demand, none refused."""
         if not self.first_start or self.demand > 0:
             return False
-        if any(given.refused for given in self.given.values()):
+        if any(last.refused for last in self.last_orders.values()):
             return False
-        return not any(place.spot for place in ready)
+        return not any(pool.spot for pool in ready)
 
     def _is_due(
-        self, place: engine_pools.Pool, wanted: int, ready: int, scaling: traffic.Scaling
+        self, pool: engine_pools.Pool, wanted: int, ready: int, scaling: traffic.Scaling
     ) -> bool:
-        given = self.given.get(place)
-        if given is None:
+        last = self.last_orders.get(pool)
+        if last is None:
             return wanted != ready
-        waits = given.refused and self.clock.now() - given.at_ms < REPEAT_MS
-        if given.count != wanted:
-            return not (waits and wanted > given.count)
-        given.most_ready = max(given.most_ready, ready)
-        if ready < given.most_ready and not given.refused:
+        waits = last.refused and self.clock.now() - last.at_ms < REPEAT_MS
+        if last.count != wanted:
+            return not (waits and wanted > last.count)
+        last.max_ready = max(last.max_ready, ready)
+        if ready < last.max_ready and not last.refused:
             # Some were lost since. Waiting until the order was overdue, which was given a second
             # before a data centre was reclaimed, let 4 s pass without a firm one in their place.
             return ready < wanted
         if wanted == ready:
-            given.refused = False
+            last.refused = False
             return False
-        if given.refused:
-            return self.clock.now() - given.at_ms >= REPEAT_MS
-        return self._overdue(given, scaling)
+        if last.refused:
+            return self.clock.now() - last.at_ms >= REPEAT_MS
+        return self._overdue(last, scaling)
 
     def ordered(self, order: records.EngineOrder, refused: bool) -> None:
         """Note an order that was given, and whether the platform had none."""
-        place = engine_pools.Pool(order.data_centre, order.spot)
-        self.given[place] = engine_pools.LastOrder(order.count, self.clock.now(), refused)
+        pool = engine_pools.Pool(order.data_centre, order.spot)
+        self.last_orders[pool] = engine_pools.LastOrder(order.count, self.clock.now(), refused)
--- a/plumarch/fleet/engine_plan_test.py
+++ b/plumarch/fleet/engine_plan_test.py
@@ -9,9 +9,9 @@
 SCALING = traffic.Scaling(1, 3, 4_000.0, 0.22, PRICES)
 
 
-def engines(*places: tuple[str, bool, int]) -> list[traffic.Endpoint]:
+def engines(*pools: tuple[str, bool, int]) -> list[traffic.Endpoint]:
     found = []
-    for name, spot, count in places:
+    for name, spot, count in pools:
         for number in range(count):
             kind = "spot" if spot else "firm"
             one = traffic.Endpoint(
@@ -34,13 +34,13 @@
     return plan
 
 
-def by_place(orders: list[records.EngineOrder]) -> dict[tuple[str, bool], int]:
+def by_pool(orders: list[records.EngineOrder]) -> dict[tuple[str, bool], int]:
     return {(one.data_centre, one.spot): one.count for one in orders}
 
 
 def test_reclaimable_endpoints_are_ordered_in_all_data_centres_before_firm_ones_go():
     plan = settled(clock.ManualClock())
-    wanted = by_place(plan.orders(SCALING, FIRM_AT_FIRST))
+    wanted = by_pool(plan.orders(SCALING, FIRM_AT_FIRST))
     # As many as there were, spread evenly; the reserve comes with the demand.
     assert wanted == {("a", True): 2, ("c", True): 2, ("b", True): 2}
 
@@ -72,22 +72,22 @@
         [dataclasses.replace(one, state=traffic.EndpointState.DRAINING) for one in FIRM_AT_FIRST]
     )
     plan.observe_endpoints(ALL_SPOT)
-    assert plan.first_count == len(FIRM_AT_FIRST)
+    assert plan.initial_count == len(FIRM_AT_FIRST)
 
 
 def test_at_the_first_start_nothing_is_ordered_while_endpoints_still_tell_themselves():
     time = clock.ManualClock()
     plan = engine_plan.EnginePlan(time, "s", first_start=True)
-    told = []
+    registered = []
     for one in FIRM_AT_FIRST:
-        told.append(one)
-        plan.observe_endpoints(told)
-        assert plan.orders(SCALING, told) == []
-        time.advance_to(time.now() + engine_plan.QUIET_MS - 200)
-    assert plan.orders(SCALING, told) == []
+        registered.append(one)
+        plan.observe_endpoints(registered)
+        assert plan.orders(SCALING, registered) == []
+        time.advance_to(time.now() + engine_plan.REGISTRATION_QUIET_MS - 200)
+    assert plan.orders(SCALING, registered) == []
     time.advance_to(time.now() + 200)
-    assert plan.orders(SCALING, told) != []
-    assert plan.first_count == len(FIRM_AT_FIRST)
+    assert plan.orders(SCALING, registered) != []
+    assert plan.initial_count == len(FIRM_AT_FIRST)
 
 
 def test_the_demand_rises_faster_than_it_falls():
@@ -106,7 +106,7 @@
         plan.ordered(order, refused=False)
     time.advance_to(time.now() + round(SCALING.boot_ms))
     here = FIRM_AT_FIRST + engines(("a", True, 3), ("b", True, 3), ("c", True, 3))
-    wanted = by_place(plan.orders(SCALING, here))
+    wanted = by_pool(plan.orders(SCALING, here))
     assert wanted == {("a", False): 0, ("b", False): 0, ("c", False): 0}
 
 
@@ -114,8 +114,8 @@
     time = clock.ManualClock()
     plan = settled(time)
     left = engines(("b", True, 1))
-    time.advance_to(time.now() + engine_plan.LEARN_MS)
-    wanted = by_place(plan.orders(SCALING, left))
+    time.advance_to(time.now() + engine_plan.INITIAL_WINDOW_MS)
+    wanted = by_pool(plan.orders(SCALING, left))
     assert sum(count for (_, spot), count in wanted.items() if not spot) == 4
     assert wanted[("a", True)] == 2
 
@@ -123,7 +123,7 @@
 def test_firm_endpoints_stay_until_the_ordered_ones_have_come():
     time = clock.ManualClock()
     plan = settled(time)
-    time.advance_to(time.now() + engine_plan.LEARN_MS)
+    time.advance_to(time.now() + engine_plan.INITIAL_WINDOW_MS)
     for order in plan.orders(SCALING, FIRM_AT_FIRST):
         plan.ordered(order, refused=False)
     assert plan.orders(SCALING, FIRM_AT_FIRST) == []
@@ -135,7 +135,7 @@
 def test_while_reclaimable_endpoints_are_refused_some_firm_ones_are_held():
     time = clock.ManualClock()
     plan = settled(time)
-    time.advance_to(time.now() + engine_plan.LEARN_MS)
+    time.advance_to(time.now() + engine_plan.INITIAL_WINDOW_MS)
     here = engines(("b", True, 3), ("c", True, 3))
     for order in plan.orders(SCALING, here):
         plan.ordered(order, refused=order.spot)
@@ -148,7 +148,7 @@
 def test_no_firm_endpoints_are_ordered_while_reclaimable_ones_are_coming():
     time = clock.ManualClock()
     plan = settled(time)
-    time.advance_to(time.now() + engine_plan.LEARN_MS)
+    time.advance_to(time.now() + engine_plan.INITIAL_WINDOW_MS)
     left = engines(("b", True, 1))
     for order in plan.orders(SCALING, left):
         if order.spot:
@@ -163,7 +163,7 @@
     leaving = [
         dataclasses.replace(one, state=traffic.EndpointState.DRAINING) for one in ALL_SPOT[:2]
     ]
-    assert ("a", True) in by_place(plan.orders(SCALING, leaving + ALL_SPOT[2:]))
+    assert ("a", True) in by_pool(plan.orders(SCALING, leaving + ALL_SPOT[2:]))
 
 
 def test_a_refused_order_is_repeated_soon_and_a_taken_one_after_the_boot():
@@ -223,30 +223,30 @@
 
 
 def test_half_of_what_is_needed_is_left_when_two_data_centres_are_reclaimed():
-    for places in (3, 4, 5):
-        prices = {f"dc{number}": 1.0 for number in range(places)}
+    for centres in (3, 4, 5):
+        prices = {f"dc{number}": 1.0 for number in range(centres)}
         scaling = traffic.Scaling(1, 40, 4_000.0, 0.22, prices)
-        plan = engine_plan.EnginePlan(clock.ManualClock(), "s", first_count=30)
+        plan = engine_plan.EnginePlan(clock.ManualClock(), "s", initial_count=30)
         counts = sorted(engine_pools.spread(plan.spot_wanted(scaling), scaling).values())
         assert sum(counts) >= 30
-        assert sum(counts[: places - 2]) >= 15
+        assert sum(counts[: centres - 2]) >= 15
 
 
 def test_all_that_is_needed_is_left_when_one_data_centre_is_reclaimed():
-    for places in (2, 3, 4, 5):
-        prices = {f"dc{number}": 1.0 for number in range(places)}
+    for centres in (2, 3, 4, 5):
+        prices = {f"dc{number}": 1.0 for number in range(centres)}
         scaling = traffic.Scaling(1, 40, 4_000.0, 0.22, prices)
-        plan = engine_plan.EnginePlan(clock.ManualClock(), "s", first_count=30)
+        plan = engine_plan.EnginePlan(clock.ManualClock(), "s", initial_count=30)
         counts = sorted(engine_pools.spread(plan.spot_wanted(scaling), scaling).values())
-        assert sum(counts[: places - 1]) >= 30
+        assert sum(counts[: centres - 1]) >= 30
 
 
 def test_more_data_centres_need_less_of_a_reserve():
     wanted = []
-    for places in (3, 4, 5):
-        prices = {f"dc{number}": 1.0 for number in range(places)}
+    for centres in (3, 4, 5):
+        prices = {f"dc{number}": 1.0 for number in range(centres)}
         scaling = traffic.Scaling(1, 60, 4_000.0, 0.22, prices)
-        plan = engine_plan.EnginePlan(clock.ManualClock(), "s", first_count=60)
+        plan = engine_plan.EnginePlan(clock.ManualClock(), "s", initial_count=60)
         wanted.append(plan.spot_wanted(scaling))
     assert wanted == [120, 96, 90]
 
@@ -292,8 +292,8 @@
         for _ in range(samples):
             plan.sample_demand(2.5)
         ready = {("a", True): 15, ("b", True): 15, ("c", True): 15, ("b", False): 4}
-        for place, count in by_place(plan.orders(MANY, mixed)).items():
-            assert count >= ready.get(place, 0)
+        for pool, count in by_pool(plan.orders(MANY, mixed)).items():
+            assert count >= ready.get(pool, 0)
 
 
 def test_the_reserve_comes_with_the_demand():
@@ -318,7 +318,7 @@
 
 def test_while_reclaimable_ones_are_refused_the_loss_of_two_more_data_centres_is_covered():
     time = clock.ManualClock()
-    plan = engine_plan.EnginePlan(time, "s", first_count=12)
+    plan = engine_plan.EnginePlan(time, "s", initial_count=12)
     for _ in range(engine_plan.NO_SHRINK_SAMPLES):
         plan.sample_demand(12.0)
     plan.observe_endpoints(MANY_RUN)
@@ -348,7 +348,7 @@
 def test_a_node_that_heard_nothing_of_the_fleet_for_a_while_begins_to_learn_the_demand_anew():
     time = clock.ManualClock()
     plan = settled(time)
-    time.advance_to(time.now() + engine_plan.LEARN_MS)
+    time.advance_to(time.now() + engine_plan.INITIAL_WINDOW_MS)
     for _ in range(2 * engine_plan.DEMAND_SAMPLES):
         plan.sample_demand(1.0)
     plan.reset_demand()
@@ -400,8 +400,8 @@
     time = clock.ManualClock()
     plan = later_start(time, MANY_RUN)
     plan.ordered(records.EngineOrder("s", "c", 17, True), refused=True)
-    place = engine_pools.Pool("c", True)
-    assert not plan._is_due(place, 19, 0, MANY)
-    assert plan._is_due(place, 15, 17, MANY)
+    pool = engine_pools.Pool("c", True)
+    assert not plan._is_due(pool, 19, 0, MANY)
+    assert plan._is_due(pool, 15, 17, MANY)
     time.advance_to(time.now() + engine_plan.REPEAT_MS)
-    assert plan._is_due(place, 19, 0, MANY)
+    assert plan._is_due(pool, 19, 0, MANY)
--- a/plumarch/fleet/engine_pools.py
+++ b/plumarch/fleet/engine_pools.py
@@ -20,13 +20,13 @@
 
     Attributes:
       refused: whether the platform had none.
-      most_ready: the most endpoints that were ready there since.
+      max_ready: the most endpoints that were ready there since.
     """
 
     count: int
     at_ms: int
     refused: bool = False
-    most_ready: int = 0
+    max_ready: int = 0
 
 
 def spread(total: int, scaling: traffic.Scaling) -> dict[str, int]:
@@ -46,6 +46,6 @@
     found: dict[Pool, int] = {}
     for endpoint in endpoints:
         if endpoint.service == service and endpoint.state is traffic.EndpointState.READY:
-            place = Pool(endpoint.data_centre, endpoint.spot)
-            found[place] = found.get(place, 0) + 1
+            pool = Pool(endpoint.data_centre, endpoint.spot)
+            found[pool] = found.get(pool, 0) + 1
     return found
--- a/plumarch/fleet/engine_regions.py
+++ b/plumarch/fleet/engine_regions.py
@@ -45,16 +45,16 @@
       refused: data centres that had no reclaimable ones lately.
       next_loss: what is to be left of others that are lost while some are refused.
     """
-    counts = dict(_placed(scaling, regions, needed, lost, frozenset()).counts)
+    counts = dict(_placement(scaling, regions, needed, lost, frozenset()).counts)
     if not refused or len(refused) == len(scaling.prices):
         return counts
     for least, gone in ((needed, lost), (next_loss.left, next_loss.data_centres)):
-        for name, count in _placed(scaling, regions, least, gone, refused).counts:
+        for name, count in _placement(scaling, regions, least, gone, refused).counts:
             counts[name] = max(counts[name], count)
     return counts
 
 
-def _placed(
+def _placement(
     scaling: traffic.Scaling,
     regions: region_demand.RegionView,
     needed: int,
@@ -77,12 +77,12 @@
     return engine_reserve.placement(sites, needed, lost, regions.latency_fraction)
 
 
-def holds(
+def retain_running(
     regions: region_demand.RegionView,
     counts: Mapping[str, int],
     spot: bool,
     ready: Mapping[engine_pools.Pool, int],
-    given: Mapping[engine_pools.Pool, engine_pools.LastOrder],
+    last_orders: Mapping[engine_pools.Pool, engine_pools.LastOrder],
 ) -> dict[str, int]:
     """Return counts that let nothing go in regions that are heard in part.
 
@@ -91,17 +91,17 @@
     Args:
       spot: which kind they are of.
     """
-    held = dict(counts)
+    retained = dict(counts)
     for name in counts:
         if regions.of(name) not in regions.partially_reachable:
             continue
-        place = engine_pools.Pool(name, spot)
-        ordered = given[place].count if spot and place in given else 0
-        held[name] = max(counts[name], ready.get(place, 0), ordered)
-    return held
+        pool = engine_pools.Pool(name, spot)
+        ordered = last_orders[pool].count if spot and pool in last_orders else 0
+        retained[name] = max(counts[name], ready.get(pool, 0), ordered)
+    return retained
 
 
-def let_go_last(
+def release_after_replacement(
     counts: Mapping[str, int],
     ready: Mapping[engine_pools.Pool, int],
     coming: Mapping[str, int],
@@ -113,18 +113,18 @@
     """
     run = sum(ready.get(engine_pools.Pool(name, True), 0) for name in counts)
     spare = max(0, run - sum(counts.values()))
-    kept = dict(counts)
+    retained_counts = dict(counts)
     for name in sorted(counts, key=lambda name: (counts[name] - coming[name], name)):
         excess = max(0, coming[name] - counts[name])
-        kept[name] += max(0, excess - spare)
+        retained_counts[name] += max(0, excess - spare)
         spare -= min(excess, spare)
-    return kept
+    return retained_counts
 
 
-def with_ordered_now(
+def with_new_orders(
     coming: Mapping[str, int],
     wanted: Mapping[str, int],
-    given: Mapping[engine_pools.Pool, engine_pools.LastOrder],
+    last_orders: Mapping[engine_pools.Pool, engine_pools.LastOrder],
 ) -> dict[str, int]:
     """Return reclaimable endpoints with those that are ordered in this moment.
 
@@ -137,13 +137,13 @@
     """
     found = dict(coming)
     for name, count in wanted.items():
-        last = given.get(engine_pools.Pool(name, True))
+        last = last_orders.get(engine_pools.Pool(name, True))
         if last is None or (last.count < count and not last.refused):
             found[name] = max(found[name], count)
     return found
 
 
-def lacking(
+def shortages(
     scaling: traffic.Scaling,
     regions: region_demand.RegionView,
     needed: int,
--- a/plumarch/fleet/engine_regions_test.py
+++ b/plumarch/fleet/engine_regions_test.py
@@ -38,7 +38,7 @@
     plan.observe_endpoints([])
     for _ in range(2 * engine_plan.NO_SHRINK_SAMPLES):
         plan.sample_demand(demand)
-    time.advance_to(time.now() + engine_plan.LEARN_MS)
+    time.advance_to(time.now() + engine_plan.INITIAL_WINDOW_MS)
     return plan
 
 
@@ -74,7 +74,7 @@
     before = dataclasses.replace(REGIONS, shares={"n": 0.8, "s": 0.1, "w": 0.1})
     plan = plan_of(time, 12.0, before)
     wanted = plan.wanted(SCALING, {})
-    run = engines({place.data_centre: count for place, count in wanted.items() if place.spot})
+    run = engines({pool.data_centre: count for pool, count in wanted.items() if pool.spot})
     for order in plan.orders(SCALING, run):
         plan.ordered(order, refused=False)
     plan.regions = dataclasses.replace(REGIONS, shares={"n": 0.1, "s": 0.8, "w": 0.1})
--- a/plumarch/fleet/engine_replay_test.py
+++ b/plumarch/fleet/engine_replay_test.py
@@ -16,7 +16,7 @@
 START_MS = 1_000_000
 DAY_S = 60
 STEP_MS = 250
-WAY = 0.12
+LATENCY_FRACTION = 0.12
 LATEST_FIRST_REQUEST_S = 6
 
 Demand = Callable[[int], Mapping[str, float]]
@@ -45,7 +45,7 @@
     paid: float
     firm: float
     missing: float
-    away: float
+    remote: float
     asked: float
     started: int
 
@@ -64,7 +64,7 @@
     cloud.begin(dict.fromkeys(PRICES, first))
     plan = engine_plan.EnginePlan(time, "s", first_start=True)
     regions = region_demand.RegionDemand()
-    missing = away = asked = 0.0
+    missing = remote = asked = 0.0
     open_reclaims = sorted(reclaims, key=lambda one: one.at_s)
     for step in range(DAY_S * 1_000 // STEP_MS):
         second = step * STEP_MS / 1_000.0
@@ -76,7 +76,7 @@
             rate = regions.sample({one: 1_000.0 * many for one, many in now.items()}, frozenset())
             plan.sample_demand(rate / 1_000.0)
         if by_region:
-            plan.regions = regions.view(REGION_OF, WAY)
+            plan.regions = regions.view(REGION_OF, LATENCY_FRACTION)
         plan.observe_endpoints(cloud.endpoints())
         for order in plan.orders(SCALING, cloud.endpoints()):
             plan.ordered(order, cloud.order(order))
@@ -86,10 +86,12 @@
                 run[REGION_OF[endpoint.data_centre]] += 1
         part = STEP_MS / 1_000.0
         asked += sum(now.values()) * part
-        missing += max(0.0, sum(now.values()) * engine_plan.FLOOR - sum(run.values())) * part
-        away += sum(max(0.0, many - run[region]) for region, many in now.items()) * part
+        missing += (
+            max(0.0, sum(now.values()) * engine_plan.MIN_READY_FRACTION - sum(run.values())) * part
+        )
+        remote += sum(max(0.0, many - run[region]) for region, many in now.items()) * part
         cloud.advance(STEP_MS)
-    return Outcome(cloud.paid, cloud.paid_firm, missing, away, asked, cloud.started)
+    return Outcome(cloud.paid, cloud.paid_firm, missing, remote, asked, cloud.started)
 
 
 def waves(total: float, swing: float) -> Demand:
@@ -162,7 +164,7 @@
 @pytest.mark.parametrize("day", [day for day in DAYS if day.startswith("quiet")])
 def test_in_calm_times_regions_serve_their_callers_themselves(day: str):
     _, by_region = both(day)
-    assert by_region.away <= 0.04 * by_region.asked, by_region
+    assert by_region.remote <= 0.04 * by_region.asked, by_region
 
 
 def test_reclaimable_ones_elsewhere_come_in_place_of_firm_ones():
--- a/plumarch/fleet/engine_reserve.py
+++ b/plumarch/fleet/engine_reserve.py
@@ -35,8 +35,8 @@
     region: str
     price: float
     share: float
-    least: int
-    most: int
+    minimum: int
+    maximum: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -54,7 +54,9 @@
 
 
 @functools.lru_cache(maxsize=64)
-def placement(sites: tuple[Site, ...], needed: int, lost: float, way: float) -> Placement:
+def placement(
+    sites: tuple[Site, ...], needed: int, lost: float, latency_fraction: float
+) -> Placement:
     """Return the cheapest placement that leaves what is needed after a loss.
 
     Args:
@@ -63,8 +65,8 @@
       way: what a request to another region costs, as a part of the tightest target. Beyond
         MAX_LATENCY_FRACTION each region is a reserve for itself only.
     """
-    if way <= MAX_LATENCY_FRACTION:
-        return _cheapest(sites, _local(sites, needed), needed, lost, way)
+    if latency_fraction <= MAX_LATENCY_FRACTION:
+        return _cheapest(sites, _local_minimum(sites, needed), needed, lost, latency_fraction)
     found = []
     for region in sorted({site.region for site in sites}):
         own = tuple(site for site in sites if site.region == region)
@@ -90,36 +92,40 @@
     return sum(largest[whole:]) - partly
 
 
-def _local(sites: tuple[Site, ...], needed: int) -> dict[str, int]:
+def _local_minimum(sites: tuple[Site, ...], needed: int) -> dict[str, int]:
     """Return how many endpoints each region holds at least, without rounding up for each."""
     shares = {site.region: site.share for site in sites}
     total = max(sum(shares.values()), 1e-9)
     exact = {one: LOCAL_FRACTION * needed * share / total for one, share in shares.items()}
     found = {region: int(count) for region, count in exact.items()}
     left = round(LOCAL_FRACTION * needed) - sum(found.values())
-    by_rest = sorted(exact, key=lambda region: (found[region] - exact[region], region))
-    for region in by_rest[: max(0, left)]:
+    by_remainder = sorted(exact, key=lambda region: (found[region] - exact[region], region))
+    for region in by_remainder[: max(0, left)]:
         found[region] += 1
     return found
 
 
 def _cheapest(
-    sites: tuple[Site, ...], local: Mapping[str, int], needed: int, lost: float, way: float
+    sites: tuple[Site, ...],
+    local: Mapping[str, int],
+    needed: int,
+    lost: float,
+    latency_fraction: float,
 ) -> Placement:
     """Return a placement whose largest data centre is as small as can be: it is what gets lost."""
     base = _base(sites, local)
     lost = min(lost, len(sites) - 1.0)
     level = max(math.ceil(needed / (len(sites) - lost)), *base.values())
-    return _fill(sites, base, level, needed, lost, way)
+    return _fill(sites, base, level, needed, lost, latency_fraction)
 
 
 def _base(sites: tuple[Site, ...], local: Mapping[str, int]) -> dict[str, int]:
     """Return what each region holds itself, spread evenly over its data centres."""
-    counts = {site.name: site.least for site in sites}
+    counts = {site.name: site.minimum for site in sites}
     for region, wanted in local.items():
         own = [site for site in sites if site.region == region]
         while sum(counts[site.name] for site in own) < wanted:
-            open_sites = [site for site in own if counts[site.name] < site.most]
+            open_sites = [site for site in own if counts[site.name] < site.maximum]
             if not open_sites:
                 break
             least = min(open_sites, key=lambda one: (counts[one.name], one.price, one.name))
@@ -133,25 +139,25 @@
     level: int,
     needed: int,
     lost: float,
-    way: float,
+    latency_fraction: float,
 ) -> Placement:
     """Add endpoints up to a level in each data centre, the cheapest first, until enough are left.
 
     The demand of other regions gets to an endpoint over a way, which makes it worth less.
     """
     counts = collections.Counter(base)
-    ranked = sorted(sites, key=lambda one: (_cost(one, way), one.name))
+    ranked = sorted(sites, key=lambda one: (_cost(one, latency_fraction), one.name))
     while survivors(counts.values(), lost) < needed:
-        site = next((one for one in ranked if counts[one.name] < min(level, one.most)), None)
+        site = next((one for one in ranked if counts[one.name] < min(level, one.maximum)), None)
         if site is None:
             break
         counts[site.name] += 1
     return Placement(
         tuple((site.name, counts[site.name]) for site in sites),
-        sum(counts[site.name] * _cost(site, way) for site in sites),
+        sum(counts[site.name] * _cost(site, latency_fraction) for site in sites),
         survivors(counts.values(), lost),
     )
 
 
-def _cost(site: Site, way: float) -> float:
-    return site.price * (1.0 + way * (1.0 - site.share))
+def _cost(site: Site, latency_fraction: float) -> float:
+    return site.price * (1.0 + latency_fraction * (1.0 - site.share))
--- a/plumarch/fleet/orders.py
+++ b/plumarch/fleet/orders.py
@@ -71,19 +71,19 @@
         self.membership = membership
         self.book: Book | None = None
         self.version = 0
-        self.held = False
+        self.is_holder = False
         self.writing: dict[str, Book] = {}
         self.call = 0
         self.purpose = ""
         self.sequence = 0
-        self.given: dict[int, str] = {}
+        self.order_calls: dict[int, str] = {}
         self.done_ms: dict[str, int] = {}
         self.next_round_ms = ctx.now() + INTERVAL_MS
         self.retry_at_ms = -1
 
     def decides(self) -> bool:
         """Return whether this node is the one that decides."""
-        return self.held and self.book is not None and self.book.holder == self.ctx.node
+        return self.is_holder and self.book is not None and self.book.holder == self.ctx.node
 
     def tick(self, changes: list[plan.Change], listed: frozenset[str]) -> None:
         """Take over if the decider is out; write new orders; give those written.
@@ -101,21 +101,21 @@
             return
         self.next_round_ms = now + INTERVAL_MS
         if not self.decides():
-            if self._next_in_line():
+            if self._is_most_senior():
                 self._read()
             return
         if self.membership.leaving:
-            self.held = False
+            self.is_holder = False
             return
         self._order(changes, listed)
 
-    def _next_in_line(self) -> bool:
+    def _is_most_senior(self) -> bool:
         live = self.membership.live()
         return bool(live) and live[0] == self.ctx.node
 
     def _order(self, changes: list[plan.Change], listed: frozenset[str]) -> None:
         assert self.book is not None
-        self._give_again()
+        self._resend()
         if any(order.state is State.WRITTEN for order in self.book.orders):
             return
         kept = tuple(order for order in self.book.orders if self._awaits_list(order, listed))
@@ -141,18 +141,18 @@
             )
         return Order(token, False, change.name, "", "", "", change.why)
 
-    def _give_again(self) -> None:
+    def _resend(self) -> None:
         """Give every order that is written and not known to be carried out."""
         assert self.book is not None
-        under_way = set(self.given.values())
+        in_progress = set(self.order_calls.values())
         for order in self.book.orders:
-            if order.state is State.WRITTEN and order.token not in under_way:
-                self._give(order)
+            if order.state is State.WRITTEN and order.token not in in_progress:
+                self._send(order)
 
-    def _give(self, order: Order) -> None:
+    def _send(self, order: Order) -> None:
         assert self.book is not None
         call_id = self.ctx.next_call()
-        self.given[call_id] = order.token
+        self.order_calls[call_id] = order.token
         what = f"start {order.vm_class} in {order.data_centre}"
         if not order.start:
             what = f"release {order.name}"
@@ -228,7 +228,7 @@
         self.writing = {}
         self.version = answer.version
         self.book = found
-        self.held = False
+        self.is_holder = False
         out = self.membership.state(found.holder) in (data.NodeState.GONE, data.NodeState.LEAVING)
         mine = found.holder == self.ctx.node
         if (mine or not found.holder or out) and not self.membership.leaving:
@@ -239,18 +239,18 @@
         self.writing = {}
         self.version = version
         self.book = landed
-        self.held = True
-        self._give_again()
+        self.is_holder = True
+        self._resend()
 
     # What the cloud answers.
 
     def cloud_answered(self, answer: events.CloudAnswer) -> None:
         """Take in the cloud's answer to an order."""
-        token = self.given.pop(answer.call_id, "")
+        token = self.order_calls.pop(answer.call_id, "")
         if not token or self.book is None:
             return
         if answer.status is events.CloudStatus.FENCED:
-            self.held = False
+            self.is_holder = False
             return
         if answer.status is events.CloudStatus.UNKNOWN:
             return
@@ -292,7 +292,7 @@
                 return refusal
         return None
 
-    def on_their_way(self) -> list[Order]:
+    def pending_starts(self) -> list[Order]:
         """Return the starts that are ordered or done but may not be in the VM list yet."""
         orders = self.book.orders if self.book else ()
         return [o for o in orders if o.start and o.state is not State.REFUSED]
--- a/plumarch/fleet/plan.py
+++ b/plumarch/fleet/plan.py
@@ -61,8 +61,8 @@
     """Places that a target's requests take: all, and of these those that must not wait."""
 
     target: str
-    places: float
-    must_not_wait: float
+    requests: float
+    urgent: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -102,7 +102,7 @@
 Change = Start | Release
 
 
-def wanted_places(demand: Demand, centres: list[str]) -> dict[str, int]:
+def wanted_capacity(demand: Demand, centres: list[str]) -> dict[str, int]:
     """Return the places to hold in each data centre.
 
     Args:
@@ -110,9 +110,9 @@
       centres: the data centres it may use.
     """
     count = len(centres)
-    each = demand.places * HEADROOM / count
+    each = demand.requests * HEADROOM / count
     if count > 1:
-        each = max(each, demand.must_not_wait * LOSS_HEADROOM / (count - 1))
+        each = max(each, demand.urgent * LOSS_HEADROOM / (count - 1))
     return {centre: math.ceil(each) for centre in centres}
 
 
@@ -120,7 +120,7 @@
     demand: Demand,
     centres: list[str],
     classes: list[VmClass],
-    held: list[FleetVm],
+    vms: list[FleetVm],
     refusals: list[Refusal],
     now: int,
 ) -> list[Change]:
@@ -136,20 +136,20 @@
     Returns:
       Starts and releases; none if what is held is right.
     """
-    wanted = wanted_places(demand, centres)
+    wanted = wanted_capacity(demand, centres)
     missing = 0
     changes: list[Change] = []
     for centre in centres:
-        here = [vm for vm in held if vm.data_centre == centre and not vm.leaving]
-        places = sum(vm.capacity for vm in here)
-        if places < wanted[centre]:
+        centre_vms = [vm for vm in vms if vm.data_centre == centre and not vm.leaving]
+        capacity = sum(vm.capacity for vm in centre_vms)
+        if capacity < wanted[centre]:
             started, left = _starts(
-                demand.target, centre, wanted[centre] - places, classes, refusals, now
+                demand.target, centre, wanted[centre] - capacity, classes, refusals, now
             )
             changes += started
             missing += left
         else:
-            changes += _releases(wanted[centre], here)
+            changes += _releases(wanted[centre], centre_vms)
     if missing:
         changes += _starts_elsewhere(demand.target, centres, missing, classes, refusals, now)
     return changes
@@ -169,7 +169,7 @@
 def _starts(
     target: str,
     centre: str,
-    places: int,
+    capacity: int,
     classes: list[VmClass],
     refusals: list[Refusal],
     now: int,
@@ -177,17 +177,17 @@
     """Return starts for missing places, and the places for which no class can be had."""
     open_classes = _open_classes(centre, classes, refusals, now)
     if not open_classes:
-        return [], places
+        return [], capacity
     cheapest = open_classes[0]
-    count = math.ceil(places / cheapest.capacity)
-    why = f"{places} places missing in {centre}; cheapest that can be had"
+    count = math.ceil(capacity / cheapest.capacity)
+    why = f"{capacity} places missing in {centre}; cheapest that can be had"
     return [Start(target, centre, cheapest.name, why)] * count, 0
 
 
 def _starts_elsewhere(
     target: str,
     centres: list[str],
-    places: int,
+    capacity: int,
     classes: list[VmClass],
     refusals: list[Refusal],
     now: int,
@@ -197,16 +197,16 @@
     if not options:
         return []
     best = min(options, key=lambda c: (c.effective_price(), c.data_centre, c.name))
-    count = math.ceil(places / best.capacity)
-    why = f"{places} places refused elsewhere"
+    count = math.ceil(capacity / best.capacity)
+    why = f"{capacity} places refused elsewhere"
     return [Start(target, best.data_centre, best.name, why)] * count
 
 
-def _releases(wanted: int, here: list[FleetVm]) -> list[Change]:
+def _releases(wanted: int, centre_vms: list[FleetVm]) -> list[Change]:
     """Return at most one release: the dearest idle VM without which enough is left."""
-    places = sum(vm.capacity for vm in here)
-    for vm in sorted(here, key=lambda vm: (vm.load, -vm.price, vm.name)):
-        left = places - vm.capacity
+    capacity = sum(vm.capacity for vm in centre_vms)
+    for vm in sorted(centre_vms, key=lambda vm: (vm.load, -vm.price, vm.name)):
+        left = capacity - vm.capacity
         if vm.load == 0 and left > 0 and wanted <= left * IDLE_SHARE:
-            return [Release(vm.name, f"{wanted} places wanted, {places} held")]
+            return [Release(vm.name, f"{wanted} places wanted, {capacity} held")]
     return []
--- a/plumarch/fleet/region_demand.py
+++ b/plumarch/fleet/region_demand.py
@@ -11,13 +11,13 @@
 
 from plumarch.core import regions
 
-SHARE_PAST = 0.8
+PAST_WEIGHT = 0.8
 """Weight of the past in a region's rate, at each sample of a second: callers that move are followed
 within 5 s, and a second of few requests does not move engines. A judgement."""
 
 SHARE_MARGIN = 0.1
 """A region's share is adopted anew once it is off by this part of the whole. Smaller moves are
-taken by what engines have in hand (engine_demand.READ_SHARE)."""
+taken by what engines have in hand (engine_demand.MAX_READ_FRACTION)."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -96,7 +96,7 @@
             if known is not None and region in partially_reachable:
                 now = max(now, known)
             total += now
-            smoothed = now if known is None else SHARE_PAST * known + (1.0 - SHARE_PAST) * now
+            smoothed = now if known is None else PAST_WEIGHT * known + (1.0 - PAST_WEIGHT) * now
             self.rates[region] = smoothed
         self.partially_reachable = partially_reachable
         self._adopt()
@@ -116,6 +116,6 @@
         self.shares.clear()
         self.partially_reachable = frozenset()
 
-    def view(self, region_of: Mapping[str, str], way: float) -> RegionView:
+    def view(self, region_of: Mapping[str, str], latency_fraction: float) -> RegionView:
         """Return the regions as they are planned by now."""
-        return RegionView(region_of, dict(self.shares), self.partially_reachable, way)
+        return RegionView(region_of, dict(self.shares), self.partially_reachable, latency_fraction)
--- a/plumarch/fleet/rollout.py
+++ b/plumarch/fleet/rollout.py
@@ -14,11 +14,11 @@
 from plumarch.core import clock, rollouts
 from plumarch.fleet import version_tally, version_verdict
 
-EXPOSURE_USED = 0.8
+EXPOSURE_FRACTION = 0.8
 """Part of the tolerated share that a version gets before it is judged good: requests are chosen by
 hashing, so that the share itself varies."""
 
-SLACK_USED = 0.5
+EXTRA_REQUESTS_FRACTION = 0.5
 """Part of the tolerated number of requests besides that is given to services with few requests."""
 
 MAX_CANARY = 0.3
@@ -123,7 +123,7 @@
     reason: str = "ordered"
     periods: version_verdict.SharePeriods = version_verdict.SharePeriods()
 
-    def step(self, sight: Observation) -> bool:
+    def step(self, observation: Observation) -> bool:
         """Decide anew.
 
         Returns:
@@ -131,36 +131,36 @@
         """
         before = (self.stage, self.share)
         if not self.stage.is_over():
-            self._decide(sight)
-            self.periods = self.periods.with_period(self.share, sight.by_route)
+            self._decide(observation)
+            self.periods = self.periods.with_period(self.share, observation.by_route)
         return (self.stage, self.share) != before
 
     def elapsed(self) -> float:
         """Return the part of the roll-out's time that is over."""
         return (self.wall.now() - self.began_ms) / max(1.0, self.order.duration_ms)
 
-    def _decide(self, sight: Observation) -> None:
-        periods = self.periods.per_period(sight.by_route)
+    def _decide(self, observation: Observation) -> None:
+        periods = self.periods.per_period(observation.by_route)
         verdict, figures = version_verdict.judge_all(self.rule, *periods)
-        if sight.vetoed or verdict is version_verdict.Verdict.BAD:
-            self._enter(Stage.ROLLED_BACK, 0.0, figures if not sight.vetoed else "vetoed")
+        if observation.vetoed or verdict is version_verdict.Verdict.BAD:
+            self._enter(Stage.ROLLED_BACK, 0.0, figures if not observation.vetoed else "vetoed")
             return
-        if not sight.ready_new:
+        if not observation.ready_new:
             if self.elapsed() >= JUDGED_BY:
                 self._enter(Stage.ROLLED_BACK, 0.0, "no endpoint of the version came")
             return
         if self.stage is Stage.WAITING:
-            self._enter(Stage.FEW, self._canary_share(sight), "endpoints of the version came")
+            self._enter(Stage.FEW, self._canary_share(observation), "endpoints of the version came")
         good = verdict is version_verdict.Verdict.GOOD
-        carries = sight.ready_new >= MIN_CAPACITY * sight.ready_old
+        carries = observation.ready_new >= MIN_CAPACITY * observation.ready_old
         if self.stage in (Stage.FEW, Stage.MORE):
-            self._go_on(good, carries, figures)
+            self._advance(good, carries, figures)
         elif self.stage is Stage.ALL:
-            drained = not sight.running_old
+            drained = not observation.running_old
             if good and (drained or self.elapsed() >= COMPLETED_BY):
                 self._enter(Stage.COMPLETED, 1.0, figures)
 
-    def _go_on(self, good: bool, carries: bool, figures: str) -> None:
+    def _advance(self, good: bool, carries: bool, figures: str) -> None:
         """Give the version the next larger share that its time has come for, one at a time."""
         elapsed = self.elapsed()
         larger = [step for step in STEPS if step[1] > self.share]
@@ -171,11 +171,11 @@
             why = figures if carries else "too few endpoints of the version came"
             self._enter(Stage.ROLLED_BACK, 0.0, why)
 
-    def _canary_share(self, sight: Observation) -> float:
-        expected = max(1.0, sight.requests_per_s * self.order.duration_ms / 1_000.0)
+    def _canary_share(self, observation: Observation) -> float:
+        expected = max(1.0, observation.requests_per_s * self.order.duration_ms / 1_000.0)
         share = (
-            EXPOSURE_USED * self.exposure.share
-            + SLACK_USED * self.exposure.extra_requests / expected
+            EXPOSURE_FRACTION * self.exposure.share
+            + EXTRA_REQUESTS_FRACTION * self.exposure.extra_requests / expected
         )
         return min(MAX_CANARY, share, ENOUGH_ANSWERS / (STEPS[0][0] * expected))
 
--- a/plumarch/fleet/rollout_test.py
+++ b/plumarch/fleet/rollout_test.py
@@ -24,7 +24,7 @@
 OPEN = dataclasses.replace(GOOD, by_route=answers((2, 0), (400, 4)))
 
 
-class Playing:
+class PlanDriver:
     """A plan and its clock."""
 
     def __init__(self, stage: Stage = Stage.WAITING, share: float = 0.0) -> None:
@@ -32,94 +32,94 @@
         self.plan = rollout.RolloutPlan(self.time, ORDER, EXPOSURE, START_MS)
         self.plan.stage, self.plan.share = stage, share
 
-    def at(self, elapsed: float, sight: rollout.Observation) -> tuple[Stage, float]:
+    def at(self, elapsed: float, observation: rollout.Observation) -> tuple[Stage, float]:
         self.time.advance_to(START_MS + round(elapsed * DURATION_MS))
-        self.plan.step(sight)
+        self.plan.step(observation)
         return self.plan.stage, self.plan.share
 
 
 def test_a_version_gets_nothing_before_its_endpoints_come():
-    playing = Playing()
+    driver = PlanDriver()
     none_yet = dataclasses.replace(GOOD, ready_new=0, by_route={})
-    assert playing.at(0.1, none_yet) == (Stage.WAITING, 0.0)
-    assert playing.at(0.2, dataclasses.replace(GOOD, by_route={}))[0] is Stage.FEW
+    assert driver.at(0.1, none_yet) == (Stage.WAITING, 0.0)
+    assert driver.at(0.2, dataclasses.replace(GOOD, by_route={}))[0] is Stage.FEW
 
 
 def test_before_it_is_judged_a_version_gets_less_than_a_bad_one_may():
     for requests_per_s in (0.1, 1.0, 10.0, 100.0, 16_000.0):
-        playing = Playing()
-        sight = dataclasses.replace(GOOD, by_route={}, requests_per_s=requests_per_s)
-        _, share = playing.at(0.05, sight)
+        driver = PlanDriver()
+        observation = dataclasses.replace(GOOD, by_route={}, requests_per_s=requests_per_s)
+        _, share = driver.at(0.05, observation)
         expected = requests_per_s * DURATION_MS / 1_000
         assert 0 < share * expected <= EXPOSURE.share * expected + EXPOSURE.extra_requests
         assert share <= rollout.MAX_CANARY
 
 
 def test_a_good_version_goes_through_all_steps_one_at_a_time():
-    playing = Playing()
-    few = playing.at(0.1, GOOD)
+    driver = PlanDriver()
+    few = driver.at(0.1, GOOD)
     assert few[0] is Stage.FEW
-    assert playing.at(0.45, GOOD) == few
-    shares = [playing.at(0.9, GOOD)[1] for _ in rollout.STEPS]
+    assert driver.at(0.45, GOOD) == few
+    shares = [driver.at(0.9, GOOD)[1] for _ in rollout.STEPS]
     assert shares == [share for _, share in rollout.STEPS]
-    assert playing.plan.stage is Stage.ALL
+    assert driver.plan.stage is Stage.ALL
 
 
 def test_a_step_is_not_taken_before_its_time():
-    playing = Playing()
+    driver = PlanDriver()
     for elapsed in (0.1, 0.3, 0.499):
-        assert playing.at(elapsed, GOOD)[0] is Stage.FEW
+        assert driver.at(elapsed, GOOD)[0] is Stage.FEW
     for from_part, share in rollout.STEPS:
-        assert playing.at(from_part, GOOD)[1] == share
+        assert driver.at(from_part, GOOD)[1] == share
 
 
 def test_it_is_completed_once_nothing_runs_on_old_endpoints_or_time_is_short():
-    playing = Playing(Stage.ALL, 1.0)
-    assert playing.at(0.7, GOOD)[0] is Stage.ALL
-    assert playing.at(0.71, dataclasses.replace(GOOD, running_old=0))[0] is Stage.COMPLETED
-    playing = Playing(Stage.ALL, 1.0)
-    assert playing.at(rollout.COMPLETED_BY, GOOD)[0] is Stage.COMPLETED
+    driver = PlanDriver(Stage.ALL, 1.0)
+    assert driver.at(0.7, GOOD)[0] is Stage.ALL
+    assert driver.at(0.71, dataclasses.replace(GOOD, running_old=0))[0] is Stage.COMPLETED
+    driver = PlanDriver(Stage.ALL, 1.0)
+    assert driver.at(rollout.COMPLETED_BY, GOOD)[0] is Stage.COMPLETED
 
 
 @pytest.mark.parametrize("stage", [Stage.FEW, Stage.MORE, Stage.ALL])
 def test_a_bad_version_is_stopped_at_any_stage(stage: Stage):
-    playing = Playing(stage, 0.3)
-    assert playing.at(0.55, BAD) == (Stage.ROLLED_BACK, 0.0)
-    assert playing.at(0.6, GOOD) == (Stage.ROLLED_BACK, 0.0)
+    driver = PlanDriver(stage, 0.3)
+    assert driver.at(0.55, BAD) == (Stage.ROLLED_BACK, 0.0)
+    assert driver.at(0.6, GOOD) == (Stage.ROLLED_BACK, 0.0)
 
 
 def test_a_version_that_another_node_stopped_is_rolled_back():
-    playing = Playing(Stage.FEW, 0.08)
+    driver = PlanDriver(Stage.FEW, 0.08)
     vetoed = dataclasses.replace(GOOD, vetoed=True)
-    assert playing.at(0.2, vetoed) == (Stage.ROLLED_BACK, 0.0)
-    assert playing.plan.reason == "vetoed"
+    assert driver.at(0.2, vetoed) == (Stage.ROLLED_BACK, 0.0)
+    assert driver.plan.reason == "vetoed"
 
 
 def test_what_is_not_judged_good_in_time_is_rolled_back():
-    playing = Playing(Stage.FEW, 0.08)
-    assert playing.at(rollout.JUDGED_BY - 0.01, OPEN)[0] is Stage.FEW
-    assert playing.at(rollout.JUDGED_BY, OPEN)[0] is Stage.ROLLED_BACK
+    driver = PlanDriver(Stage.FEW, 0.08)
+    assert driver.at(rollout.JUDGED_BY - 0.01, OPEN)[0] is Stage.FEW
+    assert driver.at(rollout.JUDGED_BY, OPEN)[0] is Stage.ROLLED_BACK
 
 
 def test_too_few_new_endpoints_get_no_more_requests():
-    playing = Playing(Stage.FEW, 0.08)
+    driver = PlanDriver(Stage.FEW, 0.08)
     small = dataclasses.replace(GOOD, ready_new=7)
-    assert playing.at(0.6, small)[0] is Stage.FEW
-    assert playing.at(rollout.JUDGED_BY, small)[0] is Stage.ROLLED_BACK
-    assert "too few" in playing.plan.reason
+    assert driver.at(0.6, small)[0] is Stage.FEW
+    assert driver.at(rollout.JUDGED_BY, small)[0] is Stage.ROLLED_BACK
+    assert "too few" in driver.plan.reason
 
 
 def test_a_version_whose_endpoints_never_come_is_rolled_back():
-    playing = Playing()
+    driver = PlanDriver()
     none = dataclasses.replace(GOOD, ready_new=0, by_route={})
-    assert playing.at(0.7, none)[0] is Stage.WAITING
-    assert playing.at(rollout.JUDGED_BY, none)[0] is Stage.ROLLED_BACK
+    assert driver.at(0.7, none)[0] is Stage.WAITING
+    assert driver.at(rollout.JUDGED_BY, none)[0] is Stage.ROLLED_BACK
 
 
 def test_trouble_that_strikes_both_versions_rolls_nothing_back():
-    playing = Playing(Stage.FEW, 0.08)
+    driver = PlanDriver(Stage.FEW, 0.08)
     troubled = dataclasses.replace(GOOD, by_route=answers((120, 24), (1_200, 240)))
-    assert playing.at(0.3, troubled)[0] is Stage.FEW
+    assert driver.at(0.3, troubled)[0] is Stage.FEW
 
 
 def test_what_operators_are_told():
--- a/plumarch/fleet/usage.py
+++ b/plumarch/fleet/usage.py
@@ -8,7 +8,7 @@
 import dataclasses
 from collections.abc import Callable, Mapping
 
-WINDOWS_KEPT = 8
+RETAINED_WINDOWS = 8
 
 WindowCounts = Mapping[int, Mapping[str, int]]
 
@@ -38,7 +38,7 @@
         return int(wall_ms // self.window_ms)
 
     def _drop_old(self, window: int) -> None:
-        for old in [number for number in self.own if number < window - WINDOWS_KEPT]:
+        for old in [number for number in self.own if number < window - RETAINED_WINDOWS]:
             del self.own[old]
 
     def recent(self, wall_ms: float, windows: int) -> dict[int, dict[str, int]]:
@@ -52,7 +52,7 @@
         for number, told in counts.items():
             known[number] = dict(told)
         newest = max(known, default=0)
-        for old in [number for number in known if number < newest - WINDOWS_KEPT]:
+        for old in [number for number in known if number < newest - RETAINED_WINDOWS]:
             del known[old]
         if not known:
             del self.heard[node]
--- a/plumarch/fleet/version_tally.py
+++ b/plumarch/fleet/version_tally.py
@@ -61,7 +61,7 @@
     """
 
     own: dict[TallyKey, Tally] = dataclasses.field(default_factory=dict)
-    heard: dict[str, dict[TallyKey, Tally]] = dataclasses.field(default_factory=dict)
+    reported: dict[str, dict[TallyKey, Tally]] = dataclasses.field(default_factory=dict)
 
     def count(self, key: TallyKey, bad: bool) -> None:
         """Count an answer."""
@@ -69,7 +69,7 @@
 
     def merge_report(self, source: str, told: Mapping[TallyKey, Tally]) -> None:
         """Take in what a source counted; of a key told before, the larger count stands."""
-        known = self.heard.setdefault(source, {})
+        known = self.reported.setdefault(source, {})
         for key, tally in told.items():
             before = known.get(key)
             if before is None or tally.answers >= before.answers:
@@ -84,7 +84,7 @@
           counts_in: whether what a source told is part of it.
         """
         total = dict(self.own)
-        for source, told in self.heard.items():
+        for source, told in self.reported.items():
             if not counts_in(source):
                 continue
             for key, tally in told.items():
@@ -106,6 +106,6 @@
 
     def forget_service(self, service: str) -> None:
         """Drop all counts of a service, whose roll-out is over."""
-        for counts in (self.own, *self.heard.values()):
+        for counts in (self.own, *self.reported.values()):
             for key in [key for key in counts if key.service == service]:
                 del counts[key]
--- a/plumarch/fleet/version_verdict.py
+++ b/plumarch/fleet/version_verdict.py
@@ -150,7 +150,7 @@
     """
 
     share: float = 0.0
-    begins: tuple[ByRoute, ...] = ()
+    period_starts: tuple[ByRoute, ...] = ()
 
     def with_period(self, share: float, by_route: ByRoute) -> "SharePeriods":
         """Return the periods with a further one if the share changed.
@@ -160,14 +160,14 @@
         """
         if share == self.share:
             return self
-        begins = (*self.begins, by_route) if self.share > 0.0 else self.begins
-        return SharePeriods(share, begins)
+        period_starts = (*self.period_starts, by_route) if self.share > 0.0 else self.period_starts
+        return SharePeriods(share, period_starts)
 
     def per_period(self, by_route: ByRoute) -> list[ByRoute]:
         """Return what was counted in each period."""
         found = []
         until = by_route
-        for begin in reversed(self.begins):
+        for begin in reversed(self.period_starts):
             nothing = version_tally.NOTHING_COUNTED
             found.append(
                 {route: pair.since(begin.get(route, nothing)) for route, pair in until.items()}
