--- a/plumarch/fleet/__init__.py
+++ b/plumarch/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Which VMs to hold."""
+"""Planning of VMs, engines and roll-outs for the whole fleet."""
--- a/plumarch/fleet/engine_demand.py
+++ b/plumarch/fleet/engine_demand.py
@@ -1,9 +1,4 @@
-"""How many engines the requests of a service keep busy, from what is observed of both.
-
-Reading prompts and holding places bind apart. An engine that reads prompts most of the time lets
-first tokens wait, and one whose places are all taken lets requests wait, so that only a part of
-either is used.
-"""
+"""Engines that the requests of a service need, by prompt reading and by capacity."""
 
 import dataclasses
 import math
@@ -12,17 +7,14 @@
 from plumarch.routing import engine_speed
 
 MAX_READ_FRACTION = 0.5
-"""Part of the time that engines spend on reading prompts at most, by the speed of idle ones. The
-first tokens of long prompts wait for each other beyond it. 0.38 to 0.6 were tried
-(docs/design/shifted-work.md)."""
+"""Maximum fraction of time that engines spend reading prompts, at the speed of idle engines; beyond
+it the first tokens of long prompts queue up."""
 
 MAX_CAPACITY_FRACTION = 0.6
-"""Part of the engines' places that is taken on average at most; bursts take the rest.
-0.55 and 0.65 were tried as well (docs/design/capacity-plan.md)."""
+"""Maximum average fraction of the capacity in use; the rest absorbs bursts."""
 
 HALF_LIFE_MS = 8_000.0
-"""Age at which what was sent counts half in the mix of requests; a judgement: some hundred
-requests of one node."""
+"""Half-life of the weight of sent requests."""
 
 
 def engines_for(
@@ -31,10 +23,10 @@
     """Return how many engines are needed.
 
     Args:
-      read_tokens_per_s: prompt tokens that engines have to read, over all nodes.
-      ms_per_token: how long a token typically takes to be read.
-      running: requests that hold a place, over all nodes.
-      slots: places of an engine.
+      read_tokens_per_s: prompt tokens to be read, over all nodes.
+      ms_per_token: typical time to read a token.
+      running: concurrent requests, over all nodes.
+      capacity: concurrent requests that an engine takes.
     """
     by_reading = read_tokens_per_s * ms_per_token / 1_000.0 / MAX_READ_FRACTION
     by_capacity = running / (MAX_CAPACITY_FRACTION * max(1, capacity))
@@ -43,12 +35,12 @@
 
 @dataclasses.dataclass(slots=True)
 class SentWork:
-    """What this node sent to the engines of a service lately, old sends counting less.
+    """Work that this node sent to engines recently, with exponential decay.
 
     Attributes:
-      units: charged to allotments, over all services.
-      unread: prompt tokens that engines were expected to read, by service. Those of requests
-        that were refused since the engines were busy count as well: they are asked for.
+      units: charged to quotas, over all services.
+      unread: prompt tokens to be read, by service, including those of requests rejected by busy
+        engines.
     """
 
     clock: clock.Clock
@@ -57,23 +49,23 @@
     updated_ms: int = 0
 
     def sent(self, service: str, units: float, unread_tokens: float) -> None:
-        """Take in a request that was sent."""
+        """Count a request that was sent."""
         self._age()
         self.units += units
         self.unread[service] = self.unread.get(service, 0.0) + unread_tokens
 
     def rejected(self, service: str, unread_tokens: float) -> None:
-        """Take in a request that was refused since the engines were too busy."""
+        """Count a request that busy engines rejected."""
         self._age()
         self.unread[service] = self.unread.get(service, 0.0) + unread_tokens
 
     def reading(self, service: str) -> engine_speed.ReadingWork:
-        """Return what engines of a service were given to read lately."""
+        """Return the recent reading work of a service's engines."""
         self._age()
         return engine_speed.ReadingWork(self.units, self.unread.get(service, 0.0))
 
     def unread_per_s(self, service: str) -> float:
-        """Return the prompt tokens a second that this node gave engines to read lately."""
+        """Return the prompt tokens per second that this node sent recently."""
         self._age()
         return self.unread.get(service, 0.0) * math.log(2) * 1_000.0 / HALF_LIFE_MS
 
--- a/plumarch/fleet/engine_firm.py
+++ b/plumarch/fleet/engine_firm.py
@@ -1,4 +1,4 @@
-"""Where firm endpoints go: where one runs already, else where it costs least, within the limits."""
+"""Placement of firm endpoints: where they run already, else where they are cheapest."""
 
 from collections.abc import Mapping
 
@@ -14,11 +14,12 @@
     ready: Mapping[engine_pools.Pool, int],
     spot: Mapping[str, int],
 ) -> dict[str, int]:
-    """Return a number of firm endpoints by data centre, as far as there is room.
+    """Spread firm endpoints over the data centres, within the limits.
 
     Args:
       needed: endpoints of both kinds that all callers need.
-      spot: reclaimable endpoints that run or are coming, by data centre.
+      total: firm endpoints to place.
+      spot: spot endpoints that run or boot, by data centre.
     """
     counts = dict.fromkeys(scaling.prices, 0)
     for _ in range(total):
@@ -42,15 +43,15 @@
     both = {name: count + spot[name] for name, count in counts.items()}
     lacks = engine_regions.shortages(scaling, regions, needed, both) if over_regions else {}
     for name, price in scaling.prices.items():
-        # The limit holds for both kinds together, and the platform doesn't say what it holds
-        # back: what is ordered beyond the room would be waited for in vain.
+        # The maximum covers both kinds, and the platform accepts orders beyond it without
+        # fulfilling them.
         running = ready.get(engine_pools.Pool(name, False), 0)
         room = max(running, scaling.maximum - ready.get(engine_pools.Pool(name, True), 0))
         if counts[name] >= room:
             continue
         runs_already = running > counts[name]
         cost = engine_regions.firm_cost(regions, name, price, lacks)
-        # Firm ones are not reclaimed: over regions their price counts before even spreading.
+        # Firm endpoints are not reclaimed, so over regions price comes before even spreading.
         rank = (cost, counts[name]) if over_regions else (counts[name], cost)
         open_pools.append((not runs_already, *rank, name))
     return min(open_pools)[3] if open_pools else None
--- a/plumarch/fleet/engine_pools.py
+++ b/plumarch/fleet/engine_pools.py
@@ -1,4 +1,4 @@
-"""Where endpoints of a service run: kinds by data centre, orders given, and even spreading."""
+"""Pools of a service's endpoints, the last order for each, and even spreading."""
 
 import dataclasses
 from collections.abc import Iterable
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pool:
-    """A kind of endpoint in a data centre."""
+    """The firm or the spot endpoints of a data centre."""
 
     data_centre: str
     spot: bool
@@ -16,11 +16,11 @@
 
 @dataclasses.dataclass(slots=True)
 class LastOrder:
-    """The last order for a place.
+    """The last order for a pool.
 
     Attributes:
-      refused: whether the platform had none.
-      max_ready: the most endpoints that were ready there since.
+      refused: whether the platform had no such endpoint.
+      max_ready: highest number of ready endpoints in the pool since the order.
     """
 
     count: int
@@ -30,7 +30,7 @@
 
 
 def spread(total: int, scaling: traffic.Scaling) -> dict[str, int]:
-    """Spread a number evenly over the data centres, the cheapest first, within the limits."""
+    """Spread endpoints evenly over the data centres, cheapest first, within the limits."""
     names = sorted(scaling.prices, key=lambda name: (scaling.prices[name], name))
     counts = dict.fromkeys(names, 0)
     for _ in range(total):
@@ -42,7 +42,7 @@
 
 
 def ready(service: str, endpoints: Iterable[traffic.Endpoint]) -> dict[Pool, int]:
-    """Return how many endpoints of a service take new work, by place."""
+    """Return the number of ready endpoints of a service by pool."""
     found: dict[Pool, int] = {}
     for endpoint in endpoints:
         if endpoint.service == service and endpoint.state is traffic.EndpointState.READY:
--- a/plumarch/fleet/engine_regions.py
+++ b/plumarch/fleet/engine_regions.py
@@ -1,7 +1,4 @@
-"""Counts of endpoints by data centre where these lie in several regions.
-
-Pure functions over what the plan knows: what is needed, what runs or is coming, what was refused.
-"""
+"""Endpoint counts by data centre for services whose data centres lie in several regions."""
 
 import dataclasses
 import math
@@ -13,11 +10,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Loss:
-    """A loss to be covered.
+    """A loss of data centres to be covered.
 
     Attributes:
-      left: endpoints that are to be left.
-      data_centres: how many may be lost.
+      left: endpoints that must survive.
+      data_centres: how many are lost at once.
     """
 
     left: int
@@ -35,15 +32,15 @@
     refused: frozenset[str] = frozenset(),
     next_loss: Loss = NO_LOSS,
 ) -> dict[str, int]:
-    """Return reclaimable endpoints by data centre, what is needed and a reserve.
+    """Return spot endpoints by data centre: those needed and a reserve.
 
-    While some data centres have none, the others hold what is needed and a reserve among
-    themselves: these come as soon as firm ones would, and cost a fraction of them.
+    While some data centres refuse, the others carry the need and the reserve without them: spot
+    endpoints boot as fast as firm ones and are cheaper.
 
     Args:
       lost: data centres that may be lost at once.
-      refused: data centres that had no reclaimable ones lately.
-      next_loss: what is to be left of others that are lost while some are refused.
+      refused: data centres that refused spot orders recently.
+      next_loss: what must survive a further loss while some refuse.
     """
     counts = dict(_placement(scaling, regions, needed, lost, frozenset()).counts)
     if not refused or len(refused) == len(scaling.prices):
@@ -84,12 +81,12 @@
     ready: Mapping[engine_pools.Pool, int],
     last_orders: Mapping[engine_pools.Pool, engine_pools.LastOrder],
 ) -> dict[str, int]:
-    """Return counts that let nothing go in regions that are heard in part.
+    """Return counts that shrink nothing in partially reachable regions.
 
-    What was ordered there last is kept as well, so that it comes back after a reclaim.
+    There the last spot orders are kept as well, so that reclaimed endpoints are replaced.
 
     Args:
-      spot: which kind they are of.
+      spot: whether the counts are of spot endpoints.
     """
     retained = dict(counts)
     for name in counts:
@@ -106,10 +103,10 @@
     ready: Mapping[engine_pools.Pool, int],
     coming: Mapping[str, int],
 ) -> dict[str, int]:
-    """Return reclaimable counts that let only those go in whose place as many run elsewhere.
+    """Return spot counts that release endpoints only once their replacements run elsewhere.
 
     Args:
-      coming: those that run or boot, by data centre.
+      coming: endpoints that run or boot, by data centre.
     """
     run = sum(ready.get(engine_pools.Pool(name, True), 0) for name in counts)
     spare = max(0, run - sum(counts.values()))
@@ -126,14 +123,12 @@
     wanted: Mapping[str, int],
     last_orders: Mapping[engine_pools.Pool, engine_pools.LastOrder],
 ) -> dict[str, int]:
-    """Return reclaimable endpoints with those that are ordered in this moment.
+    """Return spot endpoints including those that are about to be ordered.
 
-    Without them firm ones were ordered beside them, and let go again a moment later.
+    Otherwise firm endpoints would be ordered beside them and released right after.
 
     Args:
-      coming: those that run or boot, by data centre.
-      wanted: those that are wanted now.
-      given: the last orders.
+      coming: endpoints that run or boot, by data centre.
     """
     found = dict(coming)
     for name, count in wanted.items():
@@ -149,7 +144,7 @@
     needed: int,
     here: Mapping[str, int],
 ) -> dict[str, int]:
-    """Return how many endpoints each region lacks of what its callers ask for.
+    """Return how many endpoints each region lacks for its local demand.
 
     Args:
       here: endpoints by data centre.
@@ -164,11 +159,7 @@
 def firm_cost(
     regions: region_demand.RegionView, data_centre: str, price: float, lacks: Mapping[str, int]
 ) -> float:
-    """Return what a firm endpoint costs, with the way of the requests that it serves.
-
-    Args:
-      lacks: how many endpoints each region lacks.
-    """
+    """Return the price of a firm endpoint, weighted by the latency of the requests it serves."""
     if max(lacks.values(), default=0) <= 0 or lacks.get(regions.of(data_centre), 0) > 0:
         return price
     if regions.latency_fraction > engine_reserve.MAX_LATENCY_FRACTION:
--- a/plumarch/fleet/engine_reserve.py
+++ b/plumarch/fleet/engine_reserve.py
@@ -1,8 +1,6 @@
-"""Where reclaimable endpoints go if data centres lie in several regions, and what that costs.
+"""Cheapest placement of spot endpoints over several regions.
 
-A data centre's reclaimable endpoints are lost all at once. More of them in it replace none of
-them, so that the reserve lies in its sister data centres or in other regions. Which is cheaper
-follows from prices, and from what the way to another region takes of the callers' target.
+All spot endpoints of a data centre may be reclaimed at once, so the reserve lies in other ones.
 """
 
 import collections
@@ -12,23 +10,21 @@
 from collections.abc import Iterable, Mapping
 
 MAX_LATENCY_FRACTION = 0.2
-"""Part of a first token's target that the way to another region may take, so that endpoints there
-are a reserve. A judgement: reading and waiting take four fifths and more."""
+"""Fraction of the first-token target that latency to a remote region may take, for endpoints there
+to count as a reserve."""
 
 LOCAL_FRACTION = 0.85
-"""Part of what a region's callers ask for that is placed in it at least. Needs hold a margin (half
-of the time is for reading at most), so that in calm times the rest is served there as well."""
+"""Minimum fraction of a region's demand that is placed in it. Needs include headroom, so that the
+region still serves its callers in calm times."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Site:
-    """A data centre in which reclaimable endpoints may be ordered.
+    """A data centre in which spot endpoints may be ordered.
 
     Attributes:
-      price: a second of one.
-      share: part of the demand that arises in its region.
-      least: how many there are at least.
-      most: how many there may be.
+      price: of one endpoint for a second.
+      share: fraction of the demand that arises in its region.
     """
 
     name: str
@@ -44,8 +40,8 @@
     """Endpoints by data centre, as pairs of name and count.
 
     Attributes:
-      cost: of a second of all, with what ways between regions take.
-      survivors: endpoints that are left after the loss that was to be covered.
+      cost: price of a second, weighted by latency to remote regions.
+      survivors: endpoints left after the loss to be covered.
     """
 
     counts: tuple[tuple[str, int], ...]
@@ -61,9 +57,9 @@
 
     Args:
       needed: endpoints that all regions need together.
-      lost: data centres that may be lost at once, the largest ones.
-      way: what a request to another region costs, as a part of the tightest target. Beyond
-        MAX_LATENCY_FRACTION each region is a reserve for itself only.
+      lost: number of data centres lost at once, the largest ones.
+      latency_fraction: latency to another region as a fraction of the tightest target. Beyond
+        MAX_LATENCY_FRACTION each region covers its own loss.
     """
     if latency_fraction <= MAX_LATENCY_FRACTION:
         return _cheapest(sites, _local_minimum(sites, needed), needed, lost, latency_fraction)
@@ -83,7 +79,7 @@
     """Return how many endpoints are left once the largest data centres are lost.
 
     Args:
-      lost: how many of them; of the last one a part, if it is no whole number.
+      lost: number of data centres; of the last one a fraction, if it is not an integer.
     """
     largest = sorted(counts, reverse=True)
     lost = min(lost, max(0, len(largest) - 1))
@@ -93,7 +89,7 @@
 
 
 def _local_minimum(sites: tuple[Site, ...], needed: int) -> dict[str, int]:
-    """Return how many endpoints each region holds at least, without rounding up for each."""
+    """Return the minimum of each region, rounded so that the sum stays exact."""
     shares = {site.region: site.share for site in sites}
     total = max(sum(shares.values()), 1e-9)
     exact = {one: LOCAL_FRACTION * needed * share / total for one, share in shares.items()}
@@ -112,7 +108,7 @@
     lost: float,
     latency_fraction: float,
 ) -> Placement:
-    """Return a placement whose largest data centre is as small as can be: it is what gets lost."""
+    """Return a placement whose largest data centre, the one that may be lost, is smallest."""
     base = _base(sites, local)
     lost = min(lost, len(sites) - 1.0)
     level = max(math.ceil(needed / (len(sites) - lost)), *base.values())
@@ -120,7 +116,7 @@
 
 
 def _base(sites: tuple[Site, ...], local: Mapping[str, int]) -> dict[str, int]:
-    """Return what each region holds itself, spread evenly over its data centres."""
+    """Return the local minimum of each region, spread evenly over its data centres."""
     counts = {site.name: site.minimum for site in sites}
     for region, wanted in local.items():
         own = [site for site in sites if site.region == region]
@@ -141,10 +137,7 @@
     lost: float,
     latency_fraction: float,
 ) -> Placement:
-    """Add endpoints up to a level in each data centre, the cheapest first, until enough are left.
-
-    The demand of other regions gets to an endpoint over a way, which makes it worth less.
-    """
+    """Add endpoints up to a level per data centre, cheapest first, until enough survive a loss."""
     counts = collections.Counter(base)
     ranked = sorted(sites, key=lambda one: (_cost(one, latency_fraction), one.name))
     while survivors(counts.values(), lost) < needed:
