--- a/plumarch/fleet/engine_plan.py
+++ b/plumarch/fleet/engine_plan.py
@@ -1,14 +1,8 @@
-"""How many endpoints of a service are wanted where, firm or reclaimable.
+"""Plans the spot and firm endpoints of a service in each data centre.
 
-The plan: carry the demand on reclaimable endpoints spread over all data centres, so that the
-loss of one leaves the others; hold firm ones only while fewer than a floor are left and
-reclaimable ones can't be had. Orders are counts, so that one that is repeated, late or lost
-does no harm: what lives is compared with what is wanted, and ordered again where it differs.
-
-Who doesn't know the demand lets nothing go: a node that has just begun to hear the fleet sees
-hardly any of its requests. It holds what the holder before it needed, or else what runs.
-
-Where data centres lie in several regions, fleet/engine_regions says how many go where.
+Demand runs on spot endpoints spread over all data centres; firm ones are ordered only while too
+few endpoints are left and spot ones are refused. Orders are absolute counts and thus idempotent.
+A node that does not know the demand yet shrinks nothing.
 """
 
 import dataclasses
@@ -19,50 +13,44 @@
 from plumarch.fleet import engine_firm, engine_pools, engine_regions, region_demand
 
 MIN_READY_FRACTION = 0.85
-"""Part of the needed endpoints below which firm ones are ordered: those that are left serve most
-of the requests in time, and a firm one costs several times as much (measured:
-docs/design/capacity-plan.md)."""
+"""Fraction of the needed endpoints below which the more expensive firm ones are ordered."""
 
 LOST_AT_ONCE = 1.5
-"""Data centres whose loss leaves as many reclaimable endpoints as are needed. Others are reclaimed
-3 s after the first one, and firm ones come after 4 s: for a moment a second one is missing too."""
+"""Number of data centres whose loss leaves enough spot endpoints. More than one, since further ones
+may be reclaimed before firm endpoints have booted."""
 
 LOST_WHILE_REFUSED = 2
-"""Data centres that are reclaimed within the time in which a firm endpoint boots, while reclaimable
-ones are refused everywhere: they went 1.1 to 3.1 s apart where a boot takes 4 s. Covering one
-instead cost 0.05 of the worth of such a day (0.564 and 0.516, one play each)."""
+"""Data centres that may be reclaimed while a firm endpoint boots and spot ones are refused."""
 
 REPEAT_MS = 1_500
-"""An order that was refused or not met is given again after this time."""
+"""Interval at which a refused order is repeated."""
 
 BOOT_MARGIN_MS = 1_500.0
 DEMAND_DECAY = 0.85
-"""Weight of the past in the demand when it falls, at each sample of a second: it follows a wave of
-40 s by 6 s. By 0.92 a day of such waves paid 5 in 100 more for engines (one play each)."""
+"""Weight of the past in falling demand, per sample of a second."""
 
 DEMAND_RISE = 0.75
-"""Weight of the past in the demand when it rises: a shortage costs more than a surplus."""
+"""Weight of the past in rising demand; lower, since a shortage costs more than a surplus."""
 
 DEMAND_SAMPLES = 3
-"""Seconds with requests and a known speed after which the demand is known. A judgement: one second
-of a few hundred requests varies by a tenth, and data centres are reclaimed from 5 s on."""
+"""Samples with requests and a known engine speed after which the demand is known."""
 
 NO_SHRINK_SAMPLES = 10
-"""Seconds for which a node that begins to hear the fleet lets nothing go: callers and nodes come
-back for some seconds after trouble, and what runs meanwhile costs little. A judgement."""
+"""Samples during which a new holder shrinks nothing: callers and nodes return gradually after an
+outage."""
 
 SETTLE_MS = 1_000
-"""Before the first order, the endpoints that are there have time to be told."""
+"""Delay of the first order, in which existing endpoints register."""
 
 INITIAL_WINDOW_MS = 4_000
-"""Endpoints told within this time of the plan's begin were there at first."""
+"""Endpoints that register within this time of the plan's start are the initial ones."""
 
 REGISTRATION_QUIET_MS = 900
-"""At the first start, endpoints tell themselves one after the other: all are known once none was
-news for this time. One that is let go before it told itself would never be counted."""
+"""At the first start, no order is sent until no endpoint has registered for this time: one released
+before it registers would not be counted."""
 
 SHRINK_MARGIN = 0.8
-"""Fewer endpoints are wanted once the demand is below this part of what they carry."""
+"""The plan shrinks once demand is below this fraction of what the endpoints carry."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -70,20 +58,18 @@
     """The plan for one service.
 
     Attributes:
-      first_start: whether the whole system starts for the first time: nothing runs yet, so
-        that firm endpoints may go before the reclaimable ones have come.
+      first_start: whether the whole system starts for the first time, so that firm endpoints may
+        be released before spot ones run.
       initial_endpoints: endpoints that were there at the first start.
-      initial_count: how many those were, or how many the last holder needed; as many are needed
-        until the demand is known.
-      found: endpoints that ran when the plan of a later start began, in place of the former
-        two where neither is known.
-      demand: endpoints that the requests of all nodes ask for, smoothed.
-      samples: how many seconds of demand were taken in without a break.
-      sized_for: endpoints that the demand asked for last.
-      began_ms: when the plan began.
-      last_new_ms: when an endpoint of the first start was told last.
-      regions: where the demand arises; set by who samples it.
-      placed: reclaimable endpoints that were wanted last, by data centre.
+      initial_count: their number, or the number that the previous holder needed; in force until
+        the demand is known.
+      running_count: endpoints needed by what ran when this plan started; in force if neither the
+        demand nor initial_count is known.
+      demand: endpoints that the requests of all nodes need, smoothed.
+      samples: consecutive samples of demand.
+      sized_for: endpoints that the demand needed last.
+      last_new_ms: when an initial endpoint registered last.
+      spot_placement: spot endpoints that were wanted last, by data centre.
     """
 
     clock: clock.Clock
@@ -106,16 +92,16 @@
     def sample_demand(
         self, engines: float, speed_known: bool = True, fleet_reachable: bool = True
     ) -> None:
-        """Take in the endpoints that the last second asked for; it rises faster than it falls.
+        """Add a sample of the endpoints needed; demand rises faster than it falls.
 
         Args:
-          speed_known: whether the engines' speed is known; until then the demand may be more.
+          speed_known: whether the engines' speed is known; if not, the demand may be higher.
           fleet_reachable: whether nearly all nodes report; if not, the demand only rises.
         """
         if engines > 0 and speed_known and fleet_reachable:
             self.samples += 1
             if self.samples == 1:
-                # Nothing is known before it that the demand would have to rise from.
+                # The first sample counts in full: there is no earlier demand to smooth with.
                 self.demand = max(self.demand, engines)
         if engines <= self.demand and not fleet_reachable:
             return
@@ -123,10 +109,7 @@
         self.demand = past * self.demand + (1.0 - past) * engines
 
     def reset_demand(self) -> None:
-        """Note that this node does not hear of the fleet's requests any more.
-
-        What it heard before is no measure for what it hears when that begins again.
-        """
+        """Reset the demand, since this node no longer receives the fleet's reports."""
         self.samples = 0
         self.demand = 0.0
         self.sized_for = 0
@@ -134,11 +117,11 @@
             self.initial_endpoints.clear()
 
     def take_over(self, size: int) -> None:
-        """Take in what the holder before needed, until this node knows the demand itself."""
+        """Apply the size of the previous holder until this node knows the demand."""
         self.initial_count = max(self.initial_count, size)
 
     def size(self) -> int:
-        """Return how many endpoints are needed by what is known, within no limits."""
+        """Return how many endpoints are needed, before limits."""
         return max(
             self.sized_for, 0 if self._demand_known() else self.initial_count or self.running_count
         )
@@ -147,11 +130,11 @@
         return self.samples >= DEMAND_SAMPLES
 
     def needed(self, scaling: traffic.Scaling) -> int:
-        """Return how many endpoints the demand asks for."""
+        """Return how many endpoints are needed, within limits."""
         self._follow_demand()
         centres = len(scaling.prices)
         maximum = scaling.maximum * centres
-        # Over regions a request may be served elsewhere: the least of each is no need of its own.
+        # Over regions a request may be served remotely, so minimums are not needs.
         minimum = 1 if self._over_regions(scaling) else max(1, scaling.minimum) * centres
         return min(maximum, max(minimum, self.size()))
 
@@ -159,11 +142,11 @@
         return self.regions.are_several(scaling.prices)
 
     def _lost_at_once(self) -> float:
-        """Return the loss to cover; none before the demand is known at the first start."""
+        """Return how many lost data centres to cover; 0 while initial demand is unknown."""
         return LOST_AT_ONCE if self._demand_known() or not self.initial_endpoints else 0.0
 
     def spot_wanted(self, scaling: traffic.Scaling) -> int:
-        """Return how many reclaimable endpoints are wanted: what is needed, and a reserve."""
+        """Return how many spot endpoints are wanted, reserve included."""
         needed = self.needed(scaling)
         centres = len(scaling.prices)
         left = max(1.0, centres - self._lost_at_once())
@@ -171,7 +154,7 @@
         return min(scaling.maximum * centres, reserved)
 
     def _follow_demand(self) -> None:
-        """Size the service for the demand; it shrinks only by a clear margin."""
+        """Adapt the size to the demand, shrinking only beyond SHRINK_MARGIN."""
         if self.demand > self.sized_for:
             self.sized_for = math.ceil(self.demand)
         elif self.demand < SHRINK_MARGIN * (self.sized_for - 1):
@@ -180,10 +163,10 @@
     def wanted(
         self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> dict[engine_pools.Pool, int]:
-        """Return the wanted counts by place, given those that are ready."""
+        """Return the wanted counts by pool."""
         spot = self._spot_counts(scaling, ready)
         if self._refused_lately() or self._keeps_running():
-            # One that is let go now could not be had back, or may be needed.
+            # A released endpoint could not be replaced, or may still be needed.
             spot = {
                 name: max(spot[name], ready.get(engine_pools.Pool(name, True), 0)) for name in spot
             }
@@ -198,7 +181,7 @@
     def _spot_counts(
         self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> dict[str, int]:
-        """Return reclaimable counts by data centre, spread evenly or by region."""
+        """Return spot counts by data centre, spread evenly or by region."""
         if not self._over_regions(scaling):
             return engine_pools.spread(self.spot_wanted(scaling), scaling)
         known = self.regions if self._demand_known() else self.regions.without_shares()
@@ -211,21 +194,16 @@
         )
 
     def _keeps_running(self) -> bool:
-        """Return whether endpoints that run are kept whatever the plan says.
-
-        Without this, a member that turned coordinator after most nodes had lost power shrank a
-        fleet that served 220 requests a second to six endpoints.
-        """
+        """Return whether running endpoints are kept, since too little of the demand is known."""
         return not self.initial_endpoints and self.samples < NO_SHRINK_SAMPLES
 
     def _firm_wanted(
         self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> dict[str, int]:
-        """Return firm counts: what lacks of the floor, in the cheapest places with room.
+        """Return firm counts: the shortfall below MIN_READY_FRACTION, where it is cheapest.
 
-        Reclaimable endpoints that are coming make new firm ones needless; those that run stay
-        until the others have come. While reclaimable ones are refused, firm ones are held for
-        those that are reclaimed sooner than others boot.
+        Spot endpoints that boot count; running firm ones stay until those are ready. While spot
+        orders are refused, firm ones cover the next losses as well.
         """
         if self._is_initial_start(ready):
             return self._initial_firm(scaling, ready)
@@ -244,10 +222,10 @@
     def _shortage_after_losses(
         self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> int:
-        """Return how many firm endpoints are lacking once further data centres are reclaimed."""
+        """Return the shortfall of endpoints once further data centres are reclaimed."""
         spot = [count for pool, count in ready.items() if pool.spot]
         if self._over_regions(scaling):
-            # Reclaimable ones were ordered in place of the lost ones, and boot as fast.
+            # Spot endpoints ordered as replacements boot as fast as firm ones.
             spot = list(self._spot_in_time(scaling, ready).values())
         left = sum(sorted(spot, reverse=True)[LOST_WHILE_REFUSED:])
         return math.ceil(MIN_READY_FRACTION * self.needed(scaling)) - left
@@ -255,10 +233,10 @@
     def _initial_firm(
         self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> dict[str, int]:
-        """Return firm counts while nothing runs: the least, then none.
+        """Return firm counts at the first start: the minimum, then none.
 
-        The platform holds both kinds together to the minimum, so that the last firm one can
-        go only once reclaimable ones are ordered in its place.
+        The platform's minimum covers both kinds, so the last firm endpoint can be released only
+        after a spot order.
         """
         counts = {}
         for name in scaling.prices:
@@ -273,7 +251,7 @@
     def _spot_by_centre(
         self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> dict[str, int]:
-        """Return the reclaimable endpoints that are ready, or ordered and not yet overdue."""
+        """Return the spot endpoints that are ready, or ordered and not overdue."""
         coming = {
             pool.data_centre: last.count
             for pool, last in self.last_orders.items()
@@ -288,14 +266,14 @@
     def _spot_in_time(
         self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> dict[str, int]:
-        """Return the reclaimable endpoints that are there as soon as firm ones could be."""
+        """Return the spot endpoints that are ready before new firm ones could be."""
         found = self._spot_by_centre(scaling, ready)
         if self._over_regions(scaling):
             return engine_regions.with_new_orders(found, self.spot_placement, self.last_orders)
         return found
 
     def _refused_lately(self) -> frozenset[str]:
-        """Return the data centres that had no reclaimable endpoints lately."""
+        """Return the data centres that refused spot orders recently."""
         now = self.clock.now()
         return frozenset(
             pool.data_centre
@@ -312,11 +290,11 @@
         endpoints: Iterable[traffic.Endpoint],
         may_shrink: bool = True,
     ) -> list[records.EngineOrder]:
-        """Return the orders that are due now, first those that make room.
+        """Return the orders that are due now, releases first.
 
         Args:
-          may_shrink: whether endpoints may be let go; not while a roll-out runs, since an order
-            does not say of which version.
+          may_shrink: whether endpoints may be released; not during a roll-out, since an order
+            names no version.
         """
         ready = engine_pools.ready(self.service, endpoints)
         if not self._settled():
@@ -333,10 +311,10 @@
         return sorted(due, key=lambda one: (not fewer[one], not one.spot, one.data_centre))
 
     def observe_endpoints(self, endpoints: Iterable[traffic.Endpoint]) -> None:
-        """Learn how many endpoints the operators gave the service at the first start, or run.
+        """Record the initial endpoints of the first start, or those that run at a later one.
 
-        Firm ones count in any state: those that this plan lets go while others are still being
-        told were given all the same.
+        At the first start firm endpoints count in any state: the plan may already release some
+        while others still register.
         """
         now = self.clock.now()
         if self.began_ms is None:
@@ -354,7 +332,7 @@
         self.initial_count = max(self.initial_count, len(self.initial_endpoints))
 
     def _count_running(self, endpoints: Iterable[traffic.Endpoint]) -> None:
-        """Learn how many endpoints are needed from those that run, without the reserve in them."""
+        """Estimate the need from the running endpoints, less the reserve."""
         ready = engine_pools.ready(self.service, endpoints)
         centres = len({pool.data_centre for pool in ready})
         left = max(1.0, centres - LOST_AT_ONCE)
@@ -362,7 +340,7 @@
         self.running_count = max(self.running_count, kept)
 
     def _settled(self) -> bool:
-        """Return whether the endpoints had time to be told, so that orders may be given."""
+        """Return whether endpoints had time to register, so that orders may be sent."""
         if self.began_ms is None:
             return False
         now = self.clock.now()
@@ -372,7 +350,7 @@
         return now - self.began_ms >= SETTLE_MS
 
     def _is_initial_start(self, ready: Mapping[engine_pools.Pool, int]) -> bool:
-        """Return whether firm endpoints may go at once: first start, no demand, none refused."""
+        """Return whether firm endpoints may go at once: no demand, no refusal, no spot yet."""
         if not self.first_start or self.demand > 0:
             return False
         if any(last.refused for last in self.last_orders.values()):
@@ -390,8 +368,7 @@
             return not (waits and wanted > last.count)
         last.max_ready = max(last.max_ready, ready)
         if ready < last.max_ready and not last.refused:
-            # Some were lost since. Waiting until the order was overdue, which was given a second
-            # before a data centre was reclaimed, let 4 s pass without a firm one in their place.
+            # Endpoints were lost after the order: don't wait until it is overdue.
             return ready < wanted
         if wanted == ready:
             last.refused = False
@@ -401,6 +378,6 @@
         return self._overdue(last, scaling)
 
     def ordered(self, order: records.EngineOrder, refused: bool) -> None:
-        """Note an order that was given, and whether the platform had none."""
+        """Record an order that was sent, and whether the platform refused it."""
         pool = engine_pools.Pool(order.data_centre, order.spot)
         self.last_orders[pool] = engine_pools.LastOrder(order.count, self.clock.now(), refused)
--- a/plumarch/fleet/region_demand.py
+++ b/plumarch/fleet/region_demand.py
@@ -1,9 +1,7 @@
-"""In which regions callers ask, as shares of what the whole fleet is asked for.
+"""Shares of the fleet's demand by region.
 
-The demand in engines is one figure for the fleet (fleet/engine_plan): waves of regions that are out
-of phase cancel out in it, and would not if each region rose fast and fell slowly by itself. Shares
-say where it arises. They are adopted by a margin, since an engine that is let go here and ordered
-there is missing for a boot.
+Total demand is one figure for the fleet (fleet/engine_plan), so that opposite waves in two regions
+cancel out. Shares change only by a margin, since moving an engine leaves a gap while one boots.
 """
 
 import dataclasses
@@ -12,12 +10,11 @@
 from plumarch.core import regions
 
 PAST_WEIGHT = 0.8
-"""Weight of the past in a region's rate, at each sample of a second: callers that move are followed
-within 5 s, and a second of few requests does not move engines. A judgement."""
+"""Weight of the past in a region's rate, per sample of a second."""
 
 SHARE_MARGIN = 0.1
-"""A region's share is adopted anew once it is off by this part of the whole. Smaller moves are
-taken by what engines have in hand (engine_demand.MAX_READ_FRACTION)."""
+"""Change of a region's share from which on the shares are updated; engine headroom absorbs smaller
+ones."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -25,10 +22,10 @@
     """The regions of a service's data centres at one moment.
 
     Attributes:
-      region_of: by data centre; empty where all are of one region.
-      shares: part of the demand that arises in each region; they add up to 1.
-      partially_reachable: regions of which too few nodes are heard to let anything go there.
-      way: what a request to another region costs, as a part of the tightest target.
+      region_of: by data centre; empty if there is one region.
+      shares: fraction of the demand by region; they add up to 1.
+      partially_reachable: regions with too few reachable nodes to release endpoints there.
+      latency_fraction: latency to another region as a fraction of the tightest target.
     """
 
     region_of: Mapping[str, str] = dataclasses.field(default_factory=dict)
@@ -37,7 +34,7 @@
     latency_fraction: float = 0.0
 
     def of(self, data_centre: str) -> str:
-        """Return a data centre's region; one that is not named is a region of its own."""
+        """Return a data centre's region; an unlisted one is a region of its own."""
         return regions.region_of(self.region_of, data_centre)
 
     def are_several(self, data_centres: Mapping[str, float]) -> bool:
@@ -45,11 +42,11 @@
         return bool(self.region_of) and len({self.of(name) for name in data_centres}) > 1
 
     def without_shares(self) -> "RegionView":
-        """Return the regions as if it was not known where the demand arises."""
+        """Return a view without shares."""
         return dataclasses.replace(self, shares={})
 
     def demand_shares(self, data_centres: Mapping[str, float]) -> dict[str, float]:
-        """Return the shares of the regions of data centres; as these are spread until known."""
+        """Return the shares by region; until known, in proportion to the data centres."""
         found: dict[str, float] = {}
         for name in data_centres:
             region = self.of(name)
@@ -66,12 +63,12 @@
 
 @dataclasses.dataclass(slots=True)
 class RegionDemand:
-    """What callers ask for in each region.
+    """Demand by region, smoothed.
 
     Attributes:
-      rates: units a second by region, smoothed; one that is heard in part does not fall.
-      shares: those that are planned by.
-      partially_reachable: regions that were heard in part at the last sample.
+      rates: units per second by region; that of a partially reachable region does not fall.
+      shares: those in force.
+      partially_reachable: as of the last sample.
     """
 
     rates: dict[str, float] = dataclasses.field(default_factory=dict)
@@ -81,13 +78,13 @@
     def sample(
         self, units_per_s: Mapping[str, float], partially_reachable: frozenset[str]
     ) -> float:
-        """Take in what the last second asked for.
+        """Add a sample of the last second.
 
         Args:
           units_per_s: by region.
-          partially_reachable: regions of which too few nodes are heard to take a fall for one.
+          partially_reachable: regions whose rate may not fall, since too few nodes are reachable.
         Returns:
-          What the whole fleet is asked for, in units a second.
+          The demand of the whole fleet, in units per second.
         """
         total = 0.0
         for region in {*units_per_s, *self.rates}:
@@ -111,11 +108,11 @@
             self.shares = now
 
     def reset(self) -> None:
-        """Begin anew, since this node does not hear of the fleet's requests any more."""
+        """Drop all samples, since this node no longer receives the fleet's reports."""
         self.rates.clear()
         self.shares.clear()
         self.partially_reachable = frozenset()
 
     def view(self, region_of: Mapping[str, str], latency_fraction: float) -> RegionView:
-        """Return the regions as they are planned by now."""
+        """Return the present view of the regions."""
         return RegionView(region_of, dict(self.shares), self.partially_reachable, latency_fraction)
--- a/plumarch/fleet/usage.py
+++ b/plumarch/fleet/usage.py
@@ -1,7 +1,7 @@
-"""Requests that began to run, counted by workspace and window of true time.
+"""Counts of started requests by workspace and time window.
 
-Each node counts its own and tells its peers; the node that holds the duty adds them up when
-a window is over. Counts of a node that is gone stay with those that heard them.
+Each node gossips its counts; the duty holder sums them once a window is over. Counts of a node
+that is gone remain with the nodes that received them.
 """
 
 import collections
@@ -15,12 +15,12 @@
 
 @dataclasses.dataclass(slots=True)
 class UsageCounter:
-    """Counts of this node and of those that it heard.
+    """Usage counts of this node and of those reported by others.
 
     Attributes:
-      window_ms: a window's length; window k begins k lengths after the start of 1970.
+      window_ms: length of a window; window k starts k lengths after the Unix epoch.
       own: this process's counts, by window and workspace.
-      heard: other incarnations' counts, by incarnation.
+      heard: counts reported by other incarnations, by incarnation.
     """
 
     window_ms: int
@@ -28,13 +28,13 @@
     heard: dict[str, dict[int, dict[str, int]]] = dataclasses.field(default_factory=dict)
 
     def began(self, workspace: str, wall_ms: float) -> None:
-        """Count a request that began to run at a time of day."""
+        """Count a request that started at a wall-clock time."""
         window = self.window_at(wall_ms)
         self.own.setdefault(window, collections.Counter())[workspace] += 1
         self._drop_old(window)
 
     def window_at(self, wall_ms: float) -> int:
-        """Return the number of the window that holds a time of day."""
+        """Return the number of the window at a wall-clock time."""
         return int(wall_ms // self.window_ms)
 
     def _drop_old(self, window: int) -> None:
@@ -47,10 +47,10 @@
         return {number: dict(counts) for number, counts in self.own.items() if number > oldest}
 
     def apply_node_report(self, node: str, counts: WindowCounts) -> None:
-        """Take in what an incarnation counted; later counts of a window replace earlier ones."""
+        """Apply an incarnation's counts; later counts of a window replace earlier ones."""
         known = self.heard.setdefault(node, {})
-        for number, told in counts.items():
-            known[number] = dict(told)
+        for number, reported in counts.items():
+            known[number] = dict(reported)
         newest = max(known, default=0)
         for old in [number for number in known if number < newest - RETAINED_WINDOWS]:
             del known[old]
@@ -58,17 +58,14 @@
             del self.heard[node]
 
     def apply_centre_summary(self, group: str, counts: WindowCounts) -> None:
-        """Take in what one of a group of nodes counted of all of them.
-
-        Each may have missed some of the others' counts, so that the largest sum counts.
-        """
+        """Merge the counts of a group by maximum, since each reporter may have missed some."""
         known = self.heard.get(group, {})
         largest = {
             number: {
-                name: max(told.get(name, 0), known.get(number, {}).get(name, 0))
-                for name in told.keys() | known.get(number, {}).keys()
+                name: max(reported.get(name, 0), known.get(number, {}).get(name, 0))
+                for name in reported.keys() | known.get(number, {}).keys()
             }
-            for number, told in counts.items()
+            for number, reported in counts.items()
         }
         self.apply_node_report(group, largest)
 
@@ -78,7 +75,7 @@
         """Return the counts of a window over all nodes.
 
         Args:
-          counts_in: whether what another incarnation or group counted is part of it.
+          counts_in: whether to include an incarnation or group.
         """
         total: collections.Counter[str] = collections.Counter(self.own.get(window, {}))
         for name, counts in self.heard.items():
