--- a/plumarch/fleet/duty_lease.py
+++ b/plumarch/fleet/duty_lease.py
@@ -1,9 +1,7 @@
-"""One holder of the duties at a time, by a conditional write; its fencing token only rises.
+"""Record of the duty lease: holder, fencing token and usage windows.
 
-The record names the holder, its incarnation, the token, and the usage windows that were
-summed up. Time decides only when another node tries; that two never act under one token
-follows from the conditional write alone, and that an old holder's calls do nothing from the
-token that the platform checks.
+Conditional writes ensure that no two nodes act under one token, whatever the clocks say; the
+platform ignores calls with an older token.
 """
 
 import dataclasses
@@ -18,10 +16,10 @@
 
 
 class RolloutRecord(msgspec.Struct, frozen=True):
-    """How far a roll-out is.
+    """Progress of a roll-out.
 
     Attributes:
-      began_ms: time of day at which its order was first seen.
+      began_ms: wall-clock time at which its order was first seen.
       stage: as of fleet.rollout.
     """
 
@@ -32,14 +30,14 @@
 
 
 class DutyRecord(msgspec.Struct, frozen=True):
-    """The duties' record in the store.
+    """The duty record in the store.
 
     Attributes:
       token: the holder's fencing token.
-      windows: counts of the newest usage windows, fixed before they are reported.
-      sizes: endpoints that each service had at the first start.
+      windows: counts of the newest usage windows, stored before they are reported.
+      sizes: endpoints that each service needs, for the next holder.
       rollouts: the last roll-out of each service.
-      renewals: how often a holder wrote it only to show that it lives.
+      renewals: number of writes that only renewed the lease.
     """
 
     holder: str
@@ -53,17 +51,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredRecord:
-    """A record as it was read or written last."""
+    """A record with its revision in the store."""
 
     record: DutyRecord
     revision: int
 
 
 def decode(found: records.Record | None) -> StoredRecord | None:
-    """Read a record.
+    """Decode a record from the store.
 
     Raises:
-      msgspec.DecodeError: its value is not a record.
+      msgspec.DecodeError: the value is not a duty record.
     """
     if found is None:
         return None
@@ -71,13 +69,13 @@
 
 
 def encode(stored: StoredRecord) -> records.Record:
-    """Return a record as the store takes it, to be written under its revision."""
+    """Encode a record for a conditional write at its revision."""
     value = msgspec.json.encode(stored.record).decode()
     return records.Record(NAME, value, stored.revision)
 
 
 def taken_over(found: StoredRecord | None, node: str, incarnation: int) -> StoredRecord:
-    """Return the record that makes a node the holder, in place of the one found."""
+    """Return the record that makes a node the holder under the next token."""
     if found is None:
         return StoredRecord(DutyRecord(node, incarnation, 1), 0)
     taken = msgspec.structs.replace(
@@ -89,10 +87,10 @@
 def with_window(
     stored: StoredRecord, window: int, counts: dict[str, int], sizes: dict[str, int]
 ) -> StoredRecord:
-    """Return the record with a window's counts, unless the window stands there already.
+    """Return the record with a window's counts, unless it has counts of that window.
 
     Args:
-      sizes: endpoints that services need now, for a holder that comes next.
+      sizes: endpoints that services need now, for the next holder.
     """
     windows = dict(stored.record.windows)
     windows.setdefault(str(window), counts)
@@ -106,25 +104,25 @@
 
 
 def with_rollout(stored: StoredRecord, service: str, rollout: RolloutRecord) -> StoredRecord:
-    """Return the record with how far a service's roll-out is."""
+    """Return the record with the progress of a service's roll-out."""
     rollouts = {**stored.record.rollouts, service: rollout}
     return StoredRecord(msgspec.structs.replace(stored.record, rollouts=rollouts), stored.revision)
 
 
 def renewed(stored: StoredRecord) -> StoredRecord:
-    """Return the record as a holder writes it to show that it lives."""
+    """Return the record that renews the lease."""
     record = msgspec.structs.replace(stored.record, renewals=stored.record.renewals + 1)
     return StoredRecord(record, stored.revision)
 
 
 @dataclasses.dataclass(slots=True)
 class RecordWatch:
-    """Since when a record stands unchanged, by one who looks at it again and again.
+    """Tracks for how long a record has stayed unchanged.
 
     Attributes:
-      revision: of the record when it was seen last.
-      since_ms: when it was seen first.
-      checked_ms: when it was looked at last.
+      revision: at the last check.
+      since_ms: when this revision was first seen.
+      checked_ms: time of the last check.
     """
 
     revision: int = -1
@@ -132,12 +130,12 @@
     checked_ms: int = 0
 
     def unchanged_ms(self, stored: StoredRecord, now: int, pause_ms: int) -> int:
-        """Look at the record.
+        """Check the record.
 
         Args:
-          pause_ms: after a longer pause between two looks the time counts anew.
+          pause_ms: a longer pause between two checks restarts the time.
         Returns:
-          For how long it is known to stand unchanged.
+          The time for which it is known to be unchanged.
         """
         if stored.revision != self.revision or now - self.checked_ms > pause_ms:
             self.revision = stored.revision
@@ -147,7 +145,7 @@
 
 
 def is_mine(stored: StoredRecord | None, node: str, incarnation: int) -> bool:
-    """Return whether a record names a process as the holder."""
+    """Return whether a record names this process as the holder."""
     if stored is None:
         return False
     return stored.record.holder == node and stored.record.incarnation == incarnation
--- a/plumarch/fleet/rollout.py
+++ b/plumarch/fleet/rollout.py
@@ -1,10 +1,7 @@
-"""How a roll-out goes on: first a few requests, then more, then all, or none any more.
+"""Plan of a roll-out: a canary share, larger shares in steps, then completion or rollback.
 
-A new version gets a small part of the requests for most of the time: a version may turn bad late.
-Only one that was judged good by then gets more, first some, to see it under load, then all. It is
-completed once what ran on the old endpoints has ended, since they stop at once. What isn't judged
-good in time is rolled back: a bad version that serves all requests costs far more than a good one
-that has to be ordered again.
+Only a version judged good gets more than the canary share. One that is not judged good in time is
+rolled back: a bad version in full use costs far more than repeating the order for a good one.
 """
 
 import dataclasses
@@ -15,37 +12,34 @@
 from plumarch.fleet import version_tally, version_verdict
 
 EXPOSURE_FRACTION = 0.8
-"""Part of the tolerated share that a version gets before it is judged good: requests are chosen by
-hashing, so that the share itself varies."""
+"""Fraction of the tolerated share used for the canary; hashing makes the actual share vary."""
 
 EXTRA_REQUESTS_FRACTION = 0.5
-"""Part of the tolerated number of requests besides that is given to services with few requests."""
+"""Fraction of the tolerated extra requests that is used for the canary."""
 
 MAX_CANARY = 0.3
-"""A version that was not judged yet gets no more than this part, whatever is tolerated."""
+"""Maximum canary share, whatever exposure is tolerated."""
 
 ENOUGH_ANSWERS = 250.0
-"""Answers of the new version after which more of them hardly change a verdict: they show an excess
-of 5 in 100 in 99 of 100 cases. What is left of the exposure is for the steps that follow."""
+"""Answers of the new version that suffice for a verdict; the rest of the exposure is left to the
+later steps."""
 
 STEPS = ((0.5, 0.2), (0.55, 0.4), (0.6, 0.7), (0.66, 1.0))
-"""From which part of the time on it gets which share, if it is judged good all the while. Less than
-all first: a version that is bad only under load gets half as much until that is seen, and news of
-answers are half a second old. Later steps leave less time to what runs on the old endpoints."""
+"""Pairs of elapsed fraction and share, for a version that stays good. Not all at once: faults that
+show only under load reach fewer requests."""
 
 JUDGED_BY = 0.75
-"""A version that isn't judged good by this part of the time is rolled back."""
+"""Elapsed fraction at which a version that is not judged good is rolled back."""
 
 COMPLETED_BY = 0.92
-"""By this part of the time it is completed though requests still run on old endpoints."""
+"""Elapsed fraction from which on it is completed even if requests still run on old endpoints."""
 
 MIN_CAPACITY = 0.8
-"""Part of the old endpoints' number from which on the new ones can carry the load: fleets are
-sized with a reserve of a third or more."""
+"""Fraction of the old endpoints' number from which on the new ones can carry the load."""
 
 
 class Stage(enum.Enum):
-    """How far a roll-out is."""
+    """Stages of a roll-out."""
 
     WAITING = "waiting"
     FEW = "few"
@@ -55,11 +49,11 @@
     ROLLED_BACK = "rolled_back"
 
     def is_over(self) -> bool:
-        """Return whether nothing is decided any more."""
+        """Return whether the roll-out has ended."""
         return self in (Stage.COMPLETED, Stage.ROLLED_BACK)
 
     def state(self) -> rollouts.RolloutState:
-        """Return what operators are told."""
+        """Return the state that operators see."""
         return {
             Stage.COMPLETED: rollouts.RolloutState.COMPLETED,
             Stage.ROLLED_BACK: rollouts.RolloutState.ROLLED_BACK,
@@ -68,11 +62,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Exposure:
-    """What a bad version may get.
+    """Tolerated exposure to a bad version.
 
     Attributes:
-      share: of the requests between the order and its deadline.
-      slack: requests besides.
+      share: fraction of the requests between the order and its deadline.
+      extra_requests: requests beyond that fraction.
     """
 
     share: float
@@ -81,15 +75,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observation:
-    """What a roll-out is decided by.
+    """Input of a roll-out decision.
 
     Attributes:
-      ready_new: endpoints of the version that take work.
-      ready_old: the others of the service.
+      ready_new: ready endpoints of the version.
+      ready_old: ready endpoints of other versions.
       running_old: requests that run on those.
       requests_per_s: of the service, over all nodes.
       by_route: answers of both since the order.
-      vetoed: whether some node saw that the version is bad.
+      vetoed: whether some node judged the version bad.
     """
 
     ready_new: int
@@ -105,10 +99,10 @@
     """The plan of one roll-out.
 
     Attributes:
-      began_ms: when the order was first seen, by the time of day.
-      share: the part of the requests that the version gets now.
+      began_ms: wall-clock time at which the order was first seen.
+      share: fraction of the requests that the version gets now.
       reason: why the stage is what it is, with figures.
-      periods: when its share changed; a plan that was taken over begins with one.
+      periods: split at changes of the share; a plan that was taken over starts with one.
     """
 
     wall: clock.Clock
@@ -124,10 +118,10 @@
     periods: version_verdict.SharePeriods = version_verdict.SharePeriods()
 
     def step(self, observation: Observation) -> bool:
-        """Decide anew.
+        """Decide on the stage and share.
 
         Returns:
-          Whether something changed.
+          Whether either changed.
         """
         before = (self.stage, self.share)
         if not self.stage.is_over():
@@ -136,7 +130,7 @@
         return (self.stage, self.share) != before
 
     def elapsed(self) -> float:
-        """Return the part of the roll-out's time that is over."""
+        """Return the elapsed fraction of the roll-out's duration."""
         return (self.wall.now() - self.began_ms) / max(1.0, self.order.duration_ms)
 
     def _decide(self, observation: Observation) -> None:
@@ -147,10 +141,12 @@
             return
         if not observation.ready_new:
             if self.elapsed() >= JUDGED_BY:
-                self._enter(Stage.ROLLED_BACK, 0.0, "no endpoint of the version came")
+                self._enter(Stage.ROLLED_BACK, 0.0, "no endpoint of the version became ready")
             return
         if self.stage is Stage.WAITING:
-            self._enter(Stage.FEW, self._canary_share(observation), "endpoints of the version came")
+            self._enter(
+                Stage.FEW, self._canary_share(observation), "endpoints of the version are ready"
+            )
         good = verdict is version_verdict.Verdict.GOOD
         carries = observation.ready_new >= MIN_CAPACITY * observation.ready_old
         if self.stage in (Stage.FEW, Stage.MORE):
@@ -161,14 +157,14 @@
                 self._enter(Stage.COMPLETED, 1.0, figures)
 
     def _advance(self, good: bool, carries: bool, figures: str) -> None:
-        """Give the version the next larger share that its time has come for, one at a time."""
+        """Move to the next larger share that is due, one at a time."""
         elapsed = self.elapsed()
         larger = [step for step in STEPS if step[1] > self.share]
         if good and carries and larger and larger[0][0] <= elapsed < COMPLETED_BY:
             share = larger[0][1]
             self._enter(Stage.ALL if share >= 1.0 else Stage.MORE, share, figures)
         elif elapsed >= JUDGED_BY:
-            why = figures if carries else "too few endpoints of the version came"
+            why = figures if carries else "too few endpoints of the version became ready"
             self._enter(Stage.ROLLED_BACK, 0.0, why)
 
     def _canary_share(self, observation: Observation) -> float:
--- a/plumarch/fleet/version_tally.py
+++ b/plumarch/fleet/version_tally.py
@@ -1,6 +1,6 @@
-"""Answers of the versions of a service, counted by route over all nodes.
+"""Counts of the answers of a service's versions by route, over all nodes.
 
-Counts only grow. Each node tells its own; a coordinator tells the sum of its data centre.
+Counts only grow. Each node reports its own; a coordinator reports the sum of its data centre.
 """
 
 import dataclasses
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TallyKey:
-    """What is counted apart."""
+    """Key of a tally."""
 
     service: str
     version: str
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tally:
-    """Answers, and those of them that failed or came several times too late."""
+    """Number of answers, and of those that failed or were far too slow."""
 
     answers: int = 0
     bad: int = 0
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionPair:
-    """The tallies of a new version and of all others, of the same requests."""
+    """Tallies of a new version and of all others."""
 
     new: Tally
     old: Tally
@@ -54,10 +54,10 @@
 
 @dataclasses.dataclass(slots=True)
 class TallyBook:
-    """Counts of this process and of those that it heard.
+    """Counts of this process and of those reported by others.
 
     Attributes:
-      heard: by an incarnation's or data centre's name.
+      reported: by incarnation or data centre.
     """
 
     own: dict[TallyKey, Tally] = dataclasses.field(default_factory=dict)
@@ -67,10 +67,10 @@
         """Count an answer."""
         self.own[key] = self.own.get(key, Tally()).plus(Tally(1, int(bad)))
 
-    def merge_report(self, source: str, told: Mapping[TallyKey, Tally]) -> None:
-        """Take in what a source counted; of a key told before, the larger count stands."""
+    def merge_report(self, source: str, tallies: Mapping[TallyKey, Tally]) -> None:
+        """Merge a source's counts; the larger count of a key prevails."""
         known = self.reported.setdefault(source, {})
-        for key, tally in told.items():
+        for key, tally in tallies.items():
             before = known.get(key)
             if before is None or tally.answers >= before.answers:
                 known[key] = tally
@@ -78,16 +78,16 @@
     def total(
         self, counts_in: Callable[[str], bool] = lambda source: True
     ) -> dict[TallyKey, Tally]:
-        """Return the sums over this process and what sources told.
+        """Return the sums over this process and all reports.
 
         Args:
-          counts_in: whether what a source told is part of it.
+          counts_in: whether to include a source.
         """
         total = dict(self.own)
-        for source, told in self.reported.items():
+        for source, tallies in self.reported.items():
             if not counts_in(source):
                 continue
-            for key, tally in told.items():
+            for key, tally in tallies.items():
                 total[key] = total.get(key, Tally()).plus(tally)
         return total
 
@@ -105,7 +105,7 @@
         }
 
     def forget_service(self, service: str) -> None:
-        """Drop all counts of a service, whose roll-out is over."""
+        """Drop all counts of a service after its roll-out."""
         for counts in (self.own, *self.reported.values()):
             for key in [key for key in counts if key.service == service]:
                 del counts[key]
--- a/plumarch/fleet/version_verdict.py
+++ b/plumarch/fleet/version_verdict.py
@@ -1,9 +1,7 @@
-"""Whether a new version is good, from its answers beside those of the old one.
+"""Verdict on a new version from its answers and those of the old one.
 
-Grey endpoints, cut data centres and lost answers strike both versions alike, so that a version is
-only judged against what the other one does on the same routes at the same time.
-
-The other rules that were weighed: docs/design/rollouts.md.
+Faults of endpoints or networks affect both versions, so a version is judged only against the
+other on the same routes at the same time.
 """
 
 import dataclasses
@@ -15,31 +13,28 @@
 from plumarch.fleet import version_tally
 
 EXCESSES = (0.05, 0.1, 0.2, 0.4, 0.6)
-"""By how much more often a bad version's answers are bad: from the least that some hundred answers
-show, to more than half. A judgement."""
+"""Excess rates of bad answers that a bad version may have."""
 
 PRIOR_OLD_BAD = 0.01
 PRIOR_OLD_ANSWERS = 50.0
-"""What is held of the old version before it was seen: one bad answer in a hundred, with the weight
-of 50 answers, so that a few of its answers don't count as a certainty. A judgement."""
+"""Prior of the old version's rate of bad answers, and its weight in answers."""
 
 CERTAINLY_BAD = 0.99
-"""Probability of a bad version from which on it is rolled back at once."""
+"""Probability of a bad version from which on it is rolled back."""
 
 PROBABLY_GOOD = 0.24
-"""Probability of a bad version below which it gets more requests than a bad one may. A lower one
-rolls more good versions back, a higher one lets more bad ones through (docs/design/rollouts.md)."""
+"""Probability of a bad version below which it counts as good. Lower values roll back more good
+versions, higher ones let more bad ones pass."""
 
 MIN_RATE = 1e-4
 MIN_LIKELIHOOD = 1e-300
-"""What stands for 0 where a logarithm is taken."""
+"""Lower bounds that keep logarithms finite."""
 
 PERIOD_ANSWERS = 30.0
-"""Weight of the usual rate in a period, in answers: a trouble of a tenth more that strikes both is
-believed once some thirty answers of the old version show it. A judgement."""
+"""Weight of the usual rate in a period, in answers."""
 
 RATES = tuple(0.0005 * 1.45**step for step in range(19))
-"""Rates of bad answers that a period may have, from 1 in 2,000 to 2 in 5, evenly by their logs."""
+"""Rates of bad answers considered for a period, evenly spaced by logarithm."""
 
 
 def _logs(rate: float) -> tuple[float, float]:
@@ -48,11 +43,11 @@
 
 
 _EXCESS_LOGS = tuple(tuple(_logs(rate + excess) for rate in RATES) for excess in (0.0, *EXCESSES))
-"""Logs of the parts of answers that are bad and good, by excess and rate."""
+"""Logs of the fractions of bad and good answers, by excess and rate."""
 
 
 class Verdict(enum.Enum):
-    """What is known of a version."""
+    """Verdict on a version."""
 
     BAD = "bad"
     OPEN = "open"
@@ -60,24 +55,23 @@
 
 
 class VerdictRule(Protocol):
-    """A way to judge a version."""
+    """Judges a version."""
 
     def judge(self, pair: version_tally.VersionPair) -> Verdict:
         """Judge by the answers of one route, or of all."""
         return self.judge_periods([pair])
 
     def judge_periods(self, pairs: Sequence[version_tally.VersionPair]) -> Verdict:
-        """Judge by the answers of one route, or of all, in each period of one share."""
+        """Judge by the answers of one route, or of all, by period."""
         ...
 
 
 def bad_probability(*pairs: version_tally.VersionPair) -> float:
-    """Return how probable it is that a version is bad, from even odds before its first answer.
+    """Return the probability that a version is bad, with even prior odds.
 
     Args:
-      pairs: the answers of each period in which the version had one share. Trouble that strikes
-        both versions comes in one period, in which the new one may have had more of the requests
-        than in all of them together.
+      pairs: answers by period of constant share. Periods are kept apart because a disturbance of
+        both versions may fall into one in which the new version had a larger share.
     """
     both = _sum(pairs)
     weight = both.old.answers + PRIOR_OLD_ANSWERS
@@ -94,11 +88,11 @@
 
 
 def _period_logs(pair: version_tally.VersionPair, usual: float) -> list[float]:
-    """Return the log likelihood of the new version's answers in a period, by its excess.
+    """Return the log likelihood of the new version's answers in a period, by excess.
 
-    The rate of both in the period isn't known; it is near the usual one, as far as the old
-    version's answers of the period don't tell another. Where there are none, as once the new one
-    serves all, a trouble of both is thereby told from a bad version by its size alone.
+    The common rate in the period is unknown: its prior is near the usual one, updated by the old
+    version's answers. Without any, only the size of the excess tells a bad version from a
+    disturbance of both.
     """
     bad_before = usual * PERIOD_ANSWERS + pair.old.bad
     good_before = (1.0 - usual) * PERIOD_ANSWERS + pair.old.answers - pair.old.bad
@@ -118,7 +112,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbabilityRule:
-    """Judges by the probability that the version is bad."""
+    """Judges by the probability of a bad version."""
 
     bad_from: float = CERTAINLY_BAD
     good_below: float = PROBABLY_GOOD
@@ -128,7 +122,7 @@
         return self.judge_periods([pair])
 
     def judge_periods(self, pairs: Sequence[version_tally.VersionPair]) -> Verdict:
-        """Judge by the answers of one route, or of all, in each period of one share."""
+        """Judge by the answers of one route, or of all, by period."""
         if not any(pair.new.answers for pair in pairs):
             return Verdict.OPEN
         probability = bad_probability(*pairs)
@@ -142,21 +136,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SharePeriods:
-    """The periods of a roll-out in which its version had one share.
+    """Periods of a roll-out with a constant share of the version.
 
     Attributes:
       share: of the present period.
-      begins: what was counted when each period but the first began.
+      period_starts: counts at the start of each period but the first.
     """
 
     share: float = 0.0
     period_starts: tuple[ByRoute, ...] = ()
 
     def with_period(self, share: float, by_route: ByRoute) -> "SharePeriods":
-        """Return the periods with a further one if the share changed.
+        """Return the periods, with a new one if the share changed.
 
         Args:
-          by_route: what was counted until now.
+          by_route: counts until now.
         """
         if share == self.share:
             return self
@@ -164,7 +158,7 @@
         return SharePeriods(share, period_starts)
 
     def per_period(self, by_route: ByRoute) -> list[ByRoute]:
-        """Return what was counted in each period."""
+        """Return the counts of each period."""
         found = []
         until = by_route
         for begin in reversed(self.period_starts):
@@ -177,15 +171,14 @@
 
 
 def judge_all(rule: VerdictRule, *periods: ByRoute) -> tuple[Verdict, str]:
-    """Judge a version by each route and by all of them together.
+    """Judge a version by each route and by all routes together.
 
-    It is bad as well if the latest period alone shows it: one that turns bad late or under load
-    was good in all periods before.
+    The latest period alone suffices for a bad verdict: the version may turn bad late or under load.
 
     Args:
-      periods: the answers by route in each period of one share, the latest one last.
+      periods: answers by route in each period, the latest last.
     Returns:
-      The verdict, and what it rests on, for a log line.
+      The verdict and its figures, for a log line.
     """
     for route in sorted({route for period in periods for route in period}):
         pairs = [period[route] for period in periods if route in period]
@@ -194,7 +187,7 @@
                 return Verdict.BAD, f"route {route}: {_figures(some)}"
     totals = [_sum(period.values()) for period in periods]
     if rule.judge_periods(totals[-1:]) is Verdict.BAD:
-        return Verdict.BAD, f"all routes lately: {_figures(totals[-1:])}"
+        return Verdict.BAD, f"all routes, latest period: {_figures(totals[-1:])}"
     return rule.judge_periods(totals), f"all routes: {_figures(totals)}"
 
 
