--- a/plumarch/fleet/decider.py
+++ b/plumarch/fleet/decider.py
@@ -1,4 +1,4 @@
-"""From what a region's nodes report to a plan for each target, when this node decides."""
+"""Plans the VMs of each target from the demand that a region's nodes report."""
 
 import dataclasses
 
@@ -10,10 +10,10 @@
 from plumarch.routing import placement
 
 PEAK_MS = 60_000
-"""Demand is the highest of this long: VMs take about as long to start."""
+"""Window of peak demand; VMs take about as long to start."""
 
 RECLAIM_MEMORY_MS = 6 * 3_600_000
-"""Reclaims seen in this long make up a class's rate."""
+"""Window of reclaims that make up a class's rate."""
 
 MUST_NOT_WAIT = frozenset({data.RequestClass.LOOKUP, data.RequestClass.CHAT})
 MS_PER_H = 3_600_000
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """A target's demand in the region at one time."""
+    """A target's demand in the region at a time."""
 
     at_ms: int
     requests: int
@@ -29,7 +29,7 @@
 
 
 class Decider:
-    """Demand, prices and reclaims as this node knows them, and the plan from these."""
+    """Collects demand, prices and reclaims, and derives the plan."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self.reclaims: list[tuple[int, str, str]] = []
 
     def own_demand(self) -> list[tuple[str, int, int]]:
-        """Return this node's demand by target: places, and those that must not wait."""
+        """Return this node's concurrent requests by target: all, and the urgent ones."""
         found: dict[str, list[int]] = {}
         for run in self.table.active.values():
             if run.phase not in (runs.Phase.QUEUED, runs.Phase.RUNNING):
@@ -62,7 +62,7 @@
         return [(target, total, urgent) for target, (total, urgent) in sorted(found.items())]
 
     def observe(self) -> None:
-        """Add the region's demand now to the samples."""
+        """Add a sample of the region's demand."""
         now = self.ctx.now()
         totals: dict[str, list[int]] = {}
         reports = [self.own_demand()]
@@ -81,21 +81,21 @@
                 del self.samples[target]
 
     def demand(self, target: str) -> plan.Demand:
-        """Return the highest demand for a target of the last PEAK_MS."""
+        """Return the peak demand for a target over PEAK_MS."""
         samples = self.samples.get(target, [])
         requests = max((s.requests for s in samples), default=0)
         urgent = max((s.urgent for s in samples), default=0)
         return plan.Demand(target, float(requests), float(urgent))
 
     def reclaimed(self, name: str) -> None:
-        """Remember that a VM was reclaimed."""
+        """Record that a VM was reclaimed."""
         endpoint = self.placement.endpoints.get(name)
         if endpoint is not None:
             self.reclaims.append((self.ctx.now(), endpoint.data_centre, endpoint.vm_class))
             del self.reclaims[:-1_000]
 
     def _reclaims_per_h(self, offer: data.Offer) -> float:
-        """Return how often a VM of a class was reclaimed an hour, of late."""
+        """Return the recent hourly reclaims per VM of a class."""
         now = self.ctx.now()
         count = sum(
             1
@@ -110,7 +110,7 @@
         return count / max(1, vms) / (RECLAIM_MEMORY_MS / MS_PER_H)
 
     def classes(self) -> list[plan.VmClass]:
-        """Return what the cloud sells, with the reclaim rates seen."""
+        """Return the classes on offer with their reclaim rates."""
         return [
             plan.VmClass(
                 offer.name,
@@ -124,7 +124,7 @@
         ]
 
     def vms(self, target: str) -> list[plan.FleetVm]:
-        """Return a target's VMs, those that are ordered and not listed yet included."""
+        """Return a target's VMs, including those ordered and not listed yet."""
         found = [
             plan.FleetVm(
                 e.name,
@@ -159,7 +159,7 @@
         return sorted(found)
 
     def _centres(self, target: str) -> list[str]:
-        """Return the data centres that a target's workspaces allow and the cloud sells in."""
+        """Return the data centres allowed by a target's workspaces that have offers."""
         sold = {offer.data_centre for offer in self.offers}
         allowed: set[str] = set()
         for workspace in self.config.workspaces.values():
@@ -168,7 +168,7 @@
         return sorted(sold & (allowed or sold))
 
     def changes(self) -> list[plan.Change]:
-        """Return what to change now, over all targets."""
+        """Return the changes due for all targets."""
         found: list[plan.Change] = []
         refusals = list(self.orders.book.refusals) if self.orders.book else []
         for target in self.targets():
@@ -186,7 +186,7 @@
         return found
 
     def wanted(self) -> list[tuple[str, str, int, int]]:
-        """Return target, data centre, places wanted and places held, for operators."""
+        """Return rows of target, data centre, wanted and present capacity, for operators."""
         rows = []
         for target in self.targets():
             centres = self._centres(target)
--- a/plumarch/fleet/orders.py
+++ b/plumarch/fleet/orders.py
@@ -1,9 +1,8 @@
-"""Orders to the cloud, so that each is carried out once although answers get lost.
+"""Orders to the cloud, each carried out once even if answers are lost.
 
-One node decides for a region at a time. It holds an object on the platform, with an
-epoch that grows with each change of holder and fences its orders. An order is written
-into that object before it is given; its token makes a repeated order the same order. So
-whoever comes after, or lost an answer, finds the orders and gives them again.
+One node per region decides. It holds a platform object whose epoch grows with each change of
+holder and fences its orders. Orders are stored there before they are sent, and their tokens make
+repeats idempotent, so that a successor can send them again.
 """
 
 import dataclasses
@@ -17,21 +16,21 @@
 
 OBJECT = "fleet/orders"
 INTERVAL_MS = 5_000
-"""Time between two looks at what is held."""
+"""Interval between two rounds of planning."""
 
 RETRY_MS = 1_000
 
 LIST_GRACE_MS = 300_000
-"""How long a started VM may take to come into the platform's list."""
+"""Maximum time until a started VM appears in the platform's list."""
 
 ORDERS_LIMIT = 50
-"""Orders in progress at most."""
+"""Maximum number of orders in progress."""
 
 REFUSALS_LIMIT = 100
 
 
 class State(enum.StrEnum):
-    """How far an order has got."""
+    """State of an order."""
 
     WRITTEN = "written"
     DONE = "done"
@@ -40,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """A start (with target and class) or a release (with a name)."""
+    """A start with target and class, or a release with a name."""
 
     token: str
     start: bool
@@ -54,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Book:
-    """The object: who decides, and the orders that are not finished."""
+    """The stored object: holder, unfinished orders and refusals."""
 
     epoch: int
     holder: str
@@ -64,7 +63,7 @@
 
 
 class Orders:
-    """This node's part in deciding which VMs to hold."""
+    """Sends VM orders while this node holds the object, and takes over from a holder that left."""
 
     def __init__(self, ctx: context.Context, membership: members.Membership) -> None:
         self.ctx = ctx
@@ -82,14 +81,14 @@
         self.retry_at_ms = -1
 
     def decides(self) -> bool:
-        """Return whether this node is the one that decides."""
+        """Return whether this node is the holder."""
         return self.is_holder and self.book is not None and self.book.holder == self.ctx.node
 
     def tick(self, changes: list[plan.Change], listed: frozenset[str]) -> None:
-        """Take over if the decider is out; write new orders; give those written.
+        """Take over from a holder that left, or write and send orders.
 
         Args:
-          changes: what the plan says now; empty if this node does not decide.
+          changes: changes due by the plan; empty if this node is not the holder.
           listed: names of the VMs that the platform lists.
         """
         now = self.ctx.now()
@@ -125,7 +124,7 @@
             self._write(dataclasses.replace(self.book, orders=kept + fresh))
 
     def _awaits_list(self, order: Order, listed: frozenset[str]) -> bool:
-        """Return whether a started VM is still to come into the platform's lagging list."""
+        """Return whether a started VM is missing in the platform's list, which lags behind."""
         if not order.start or order.state is not State.DONE or order.name in listed:
             self.done_ms.pop(order.token, None)
             return False
@@ -142,7 +141,7 @@
         return Order(token, False, change.name, "", "", "", change.why)
 
     def _resend(self) -> None:
-        """Give every order that is written and not known to be carried out."""
+        """Send every stored order without a known outcome."""
         assert self.book is not None
         in_progress = set(self.order_calls.values())
         for order in self.book.orders:
@@ -170,7 +169,7 @@
             )
         )
 
-    # The object.
+    # Reads and writes of the object.
 
     def _read(self) -> None:
         self.purpose = "read"
@@ -190,7 +189,7 @@
         self.ctx.act(events.PlatformPut(self.call, OBJECT, value, self.version))
 
     def platform_answered(self, answer: events.PlatformAnswer) -> bool:
-        """Take in an answer of the platform. Returns whether it was for this part."""
+        """Handle a platform answer; return whether it was addressed to this object."""
         if answer.call_id != self.call or not self.purpose:
             return False
         status = events.PlatformStatus
@@ -201,13 +200,13 @@
         elif self._certainly_unwritten(answer.status):
             self.purpose = ""
         else:
-            # Conflict, or an answer lost: read back before anything else.
+            # After a conflict or a lost answer, read the object first.
             self.purpose = "read"
             self.retry_at_ms = self.ctx.now() + RETRY_MS
         return True
 
     def _certainly_unwritten(self, status: events.PlatformStatus) -> bool:
-        """Return whether a failed call leaves nothing of ours that may still land."""
+        """Return whether no write of this node may still take effect after a failed call."""
         if self.purpose == "write":
             return status is events.PlatformStatus.UNREACHED
         return not self.writing
@@ -222,7 +221,7 @@
             self._was_written(answer.version, landed)
             return
         if self.writing and answer.version == self.version:
-            # It may still land: only a write of ours at this version can supersede it.
+            # The write may still take effect; repeating it at this version supersedes it.
             self._write(next(iter(self.writing.values())))
             return
         self.writing = {}
@@ -242,10 +241,10 @@
         self.is_holder = True
         self._resend()
 
-    # What the cloud answers.
+    # Answers of the cloud.
 
     def cloud_answered(self, answer: events.CloudAnswer) -> None:
-        """Take in the cloud's answer to an order."""
+        """Handle the cloud's answer to an order."""
         token = self.order_calls.pop(answer.call_id, "")
         if not token or self.book is None:
             return
@@ -286,13 +285,13 @@
         self.book = dataclasses.replace(self.book, refusals=tuple(kept[-REFUSALS_LIMIT:]))
 
     def refused(self, data_centre: str, vm_class: str) -> plan.Refusal | None:
-        """Return the refusals of a class, if there are any."""
+        """Return the refusals of a class, if any."""
         for refusal in self.book.refusals if self.book else ():
             if (refusal.data_centre, refusal.vm_class) == (data_centre, vm_class):
                 return refusal
         return None
 
     def pending_starts(self) -> list[Order]:
-        """Return the starts that are ordered or done but may not be in the VM list yet."""
+        """Return the starts that may not be in the VM list yet."""
         orders = self.book.orders if self.book else ()
         return [o for o in orders if o.start and o.state is not State.REFUSED]
--- a/plumarch/fleet/plan.py
+++ b/plumarch/fleet/plan.py
@@ -1,25 +1,23 @@
-"""Which VMs to hold: a pure function of demand, prices, reclaims and refused starts.
+"""Decides which VMs to start and release for a target.
 
-Demand is in places: requests that run or wait at once. Enough is held that all demand
-fits with room, and that demand which must not wait still fits when any one data centre
-is lost. Of the VM classes the cheapest is taken by effective price: the price and what
-its reclaims cost.
+Capacity covers all demand with headroom, and urgent demand after the loss of any one data centre.
+VM classes are ranked by effective price, reclaims included.
 """
 
 import dataclasses
 import math
 
 HEADROOM = 1.2
-"""Places held for each place of demand."""
+"""Capacity per concurrent request."""
 
 LOSS_HEADROOM = 1.1
-"""Places that are left after the loss of a data centre for each that must not wait."""
+"""Capacity per urgent concurrent request after the loss of a data centre."""
 
 IDLE_SHARE = 0.7
-"""VMs are released only while demand is under this share of what would be left."""
+"""A VM is released only if demand is below this fraction of the remaining capacity."""
 
 RECLAIM_COST_H = 0.15
-"""Hours of a VM's price that each of its reclaims costs: start, and work done again."""
+"""Cost of a reclaim in hours of the VM's price, for the start and repeated work."""
 
 COOLDOWN_MS = 30_000
 COOLDOWN_LIMIT_MS = 600_000
@@ -37,14 +35,14 @@
     reclaims_per_h: float = 0.0
 
     def effective_price(self) -> float:
-        """Return the hourly price of a place, reclaims included."""
+        """Return the hourly price per concurrent request, reclaims included."""
         loss = self.reclaims_per_h * RECLAIM_COST_H if self.reclaimable else 0.0
         return self.price * (1.0 + loss) / self.capacity
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetVm:
-    """A VM that is held, or ordered and on its way."""
+    """A VM of a target, running or ordered."""
 
     name: str
     target: str
@@ -58,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """Places that a target's requests take: all, and of these those that must not wait."""
+    """Concurrent requests of a target: all, and the urgent ones among them."""
 
     target: str
     requests: float
@@ -67,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """Starts of a class that the cloud refused, one after the other."""
+    """Consecutive refused starts of a VM class."""
 
     data_centre: str
     vm_class: str
@@ -75,7 +73,7 @@
     last_ms: int
 
     def until_ms(self) -> int:
-        """Return when the class is worth another try."""
+        """Return when the class may be ordered again."""
         doublings = max(0, min(self.count - 1, 10))
         wait = COOLDOWN_MS << doublings
         return self.last_ms + min(COOLDOWN_LIMIT_MS, wait)
@@ -103,12 +101,7 @@
 
 
 def wanted_capacity(demand: Demand, centres: list[str]) -> dict[str, int]:
-    """Return the places to hold in each data centre.
-
-    Args:
-      demand: a target's demand.
-      centres: the data centres it may use.
-    """
+    """Return the wanted capacity by data centre."""
     count = len(centres)
     each = demand.requests * HEADROOM / count
     if count > 1:
@@ -124,17 +117,13 @@
     refusals: list[Refusal],
     now: int,
 ) -> list[Change]:
-    """Return what to change for one target.
+    """Return the starts and releases due for one target.
 
     Args:
-      demand: what is asked of it.
-      centres: the data centres it may use and that are reachable.
-      classes: what the cloud sells.
-      held: the target's VMs, those on their way included.
-      refusals: refused starts.
+      centres: data centres that the target may use and that are reachable.
+      classes: VM classes on offer.
+      vms: the target's VMs, ordered ones included.
       now: the time in milliseconds.
-    Returns:
-      Starts and releases; none if what is held is right.
     """
     wanted = wanted_capacity(demand, centres)
     missing = 0
@@ -158,7 +147,7 @@
 def _open_classes(
     centre: str, classes: list[VmClass], refusals: list[Refusal], now: int
 ) -> list[VmClass]:
-    """Return the classes that can be had in a data centre, cheapest first."""
+    """Return the available classes of a data centre, cheapest first."""
     closed = {
         (refusal.data_centre, refusal.vm_class) for refusal in refusals if now < refusal.until_ms()
     }
@@ -174,13 +163,13 @@
     refusals: list[Refusal],
     now: int,
 ) -> tuple[list[Change], int]:
-    """Return starts for missing places, and the places for which no class can be had."""
+    """Return starts for missing capacity, and the capacity for which no class is available."""
     open_classes = _open_classes(centre, classes, refusals, now)
     if not open_classes:
         return [], capacity
     cheapest = open_classes[0]
     count = math.ceil(capacity / cheapest.capacity)
-    why = f"{capacity} places missing in {centre}; cheapest that can be had"
+    why = f"capacity for {capacity} requests missing in {centre}; cheapest available class"
     return [Start(target, centre, cheapest.name, why)] * count, 0
 
 
@@ -192,21 +181,21 @@
     refusals: list[Refusal],
     now: int,
 ) -> list[Change]:
-    """Return starts in other data centres for places that could not be had in their own."""
+    """Return starts in any data centre for capacity unavailable in its own."""
     options = [c for centre in centres for c in _open_classes(centre, classes, refusals, now)]
     if not options:
         return []
     best = min(options, key=lambda c: (c.effective_price(), c.data_centre, c.name))
     count = math.ceil(capacity / best.capacity)
-    why = f"{capacity} places refused elsewhere"
+    why = f"capacity for {capacity} requests unavailable in its own data centre"
     return [Start(target, best.data_centre, best.name, why)] * count
 
 
 def _releases(wanted: int, centre_vms: list[FleetVm]) -> list[Change]:
-    """Return at most one release: the dearest idle VM without which enough is left."""
+    """Return at most one release: the most expensive idle VM that is not needed."""
     capacity = sum(vm.capacity for vm in centre_vms)
     for vm in sorted(centre_vms, key=lambda vm: (vm.load, -vm.price, vm.name)):
         left = capacity - vm.capacity
         if vm.load == 0 and left > 0 and wanted <= left * IDLE_SHARE:
-            return [Release(vm.name, f"{wanted} places wanted, {capacity} held")]
+            return [Release(vm.name, f"capacity {wanted} wanted, {capacity} running or ordered")]
     return []
