--- a/plumarch/fleet/engine_demand_test.py
+++ b/plumarch/fleet/engine_demand_test.py
@@ -1,4 +1,4 @@
-"""How many engines are asked for: by reading, by places, and by the mix of what is sent."""
+"""Tests of engine demand by prompt reading and capacity."""
 
 import pytest
 
@@ -6,23 +6,23 @@
 from plumarch.fleet import engine_demand
 
 
-def test_reading_binds_where_prompts_are_long():
+def test_long_prompts_are_bound_by_reading():
     engines = engine_demand.engines_for(100_000, 0.0064, running=5, capacity=128)
     assert engines == 0.64 / engine_demand.MAX_READ_FRACTION
 
 
-def test_places_bind_where_answers_are_long():
+def test_long_answers_are_bound_by_capacity():
     engines = engine_demand.engines_for(1_000, 0.0064, running=100, capacity=24)
     assert engines == 100 / (24 * engine_demand.MAX_CAPACITY_FRACTION)
 
 
-def test_faster_engines_are_asked_for_less():
+def test_faster_engines_need_fewer():
     slow = engine_demand.engines_for(50_000, 0.031, 5, 128)
     fast = engine_demand.engines_for(50_000, 0.0062, 5, 128)
     assert fast * 5 == pytest.approx(slow)
 
 
-def test_the_mix_follows_what_is_sent():
+def test_the_unread_fraction_follows_sent_requests():
     time = clock.ManualClock()
     work = engine_demand.SentWork(time)
     assert work.reading("s").unread_per_unit() == 1.0
@@ -35,7 +35,7 @@
     assert abs(work.reading("s").unread_per_unit() - 0.2) < 0.01
 
 
-def test_services_share_what_is_charged():
+def test_charged_units_are_shared_by_services():
     work = engine_demand.SentWork(clock.ManualClock())
     work.sent("one", 1_000, 500)
     work.sent("two", 1_000, 1_000)
@@ -44,7 +44,7 @@
     assert work.reading("three").unread_per_unit() == 0.0
 
 
-def test_what_this_node_sends_is_known_without_charges():
+def test_sent_tokens_are_counted_without_charges():
     time = clock.ManualClock()
     work = engine_demand.SentWork(time)
     for _ in range(600):
--- a/plumarch/fleet/engine_plan_test.py
+++ b/plumarch/fleet/engine_plan_test.py
@@ -1,4 +1,4 @@
-"""Where endpoints are wanted: spread, reclaimed, refused, late and repeated orders."""
+"""Tests of the engine plan: spreading, reclaims, refusals and repeated orders."""
 
 import dataclasses
 
@@ -38,14 +38,14 @@
     return {(one.data_centre, one.spot): one.count for one in orders}
 
 
-def test_reclaimable_endpoints_are_ordered_in_all_data_centres_before_firm_ones_go():
+def test_spot_endpoints_are_ordered_in_all_data_centres_before_firm_ones_are_released():
     plan = settled(clock.ManualClock())
     wanted = by_pool(plan.orders(SCALING, FIRM_AT_FIRST))
-    # As many as there were, spread evenly; the reserve comes with the demand.
+    # The initial number, spread evenly; the reserve follows once demand is known.
     assert wanted == {("a", True): 2, ("c", True): 2, ("b", True): 2}
 
 
-def test_at_the_first_start_firm_endpoints_go_at_once_unless_there_are_no_others():
+def test_first_start_releases_firm_endpoints_at_once_unless_spot_orders_are_refused():
     plan = settled(clock.ManualClock())
     plan.first_start = True
     orders = plan.orders(SCALING, FIRM_AT_FIRST)
@@ -63,7 +63,7 @@
     assert any(not one.spot and one.count for one in plan.orders(SCALING, []))
 
 
-def test_endpoints_told_late_in_the_first_start_count_though_they_already_leave():
+def test_draining_endpoints_that_register_late_count_at_the_first_start():
     time = clock.ManualClock()
     plan = engine_plan.EnginePlan(time, "s", first_start=True)
     plan.observe_endpoints(FIRM_AT_FIRST[:1])
@@ -75,7 +75,7 @@
     assert plan.initial_count == len(FIRM_AT_FIRST)
 
 
-def test_at_the_first_start_nothing_is_ordered_while_endpoints_still_tell_themselves():
+def test_first_start_orders_nothing_while_endpoints_register():
     time = clock.ManualClock()
     plan = engine_plan.EnginePlan(time, "s", first_start=True)
     registered = []
@@ -90,7 +90,7 @@
     assert plan.initial_count == len(FIRM_AT_FIRST)
 
 
-def test_the_demand_rises_faster_than_it_falls():
+def test_demand_rises_faster_than_it_falls():
     plan = engine_plan.EnginePlan(clock.ManualClock(), "s")
     plan.sample_demand(10.0)
     assert plan.demand >= 2.5
@@ -99,7 +99,7 @@
     assert plan.demand > 0.8 * risen
 
 
-def test_firm_endpoints_go_when_the_reclaimable_ones_have_come():
+def test_firm_endpoints_are_released_once_spot_ones_are_ready():
     time = clock.ManualClock()
     plan = settled(time)
     for order in plan.orders(SCALING, FIRM_AT_FIRST):
@@ -110,7 +110,7 @@
     assert wanted == {("a", False): 0, ("b", False): 0, ("c", False): 0}
 
 
-def test_firm_endpoints_are_ordered_when_too_few_are_left():
+def test_firm_endpoints_are_ordered_when_too_few_are_ready():
     time = clock.ManualClock()
     plan = settled(time)
     left = engines(("b", True, 1))
@@ -120,7 +120,7 @@
     assert wanted[("a", True)] == 2
 
 
-def test_firm_endpoints_stay_until_the_ordered_ones_have_come():
+def test_firm_endpoints_stay_until_ordered_spot_ones_are_ready():
     time = clock.ManualClock()
     plan = settled(time)
     time.advance_to(time.now() + engine_plan.INITIAL_WINDOW_MS)
@@ -132,7 +132,7 @@
     assert firm == {"a": 1, "b": 0, "c": 1}
 
 
-def test_while_reclaimable_endpoints_are_refused_some_firm_ones_are_held():
+def test_firm_endpoints_are_kept_while_spot_orders_are_refused():
     time = clock.ManualClock()
     plan = settled(time)
     time.advance_to(time.now() + engine_plan.INITIAL_WINDOW_MS)
@@ -145,7 +145,7 @@
     assert all(one.count == 0 for one in plan.orders(SCALING, here) if not one.spot)
 
 
-def test_no_firm_endpoints_are_ordered_while_reclaimable_ones_are_coming():
+def test_no_firm_endpoints_are_ordered_while_spot_ones_boot():
     time = clock.ManualClock()
     plan = settled(time)
     time.advance_to(time.now() + engine_plan.INITIAL_WINDOW_MS)
@@ -158,7 +158,7 @@
     assert any(not one.spot for one in plan.orders(SCALING, left))
 
 
-def test_endpoints_that_drain_do_not_count():
+def test_draining_endpoints_do_not_count():
     plan = settled(clock.ManualClock())
     leaving = [
         dataclasses.replace(one, state=traffic.EndpointState.DRAINING) for one in ALL_SPOT[:2]
@@ -166,7 +166,7 @@
     assert ("a", True) in by_pool(plan.orders(SCALING, leaving + ALL_SPOT[2:]))
 
 
-def test_a_refused_order_is_repeated_soon_and_a_taken_one_after_the_boot():
+def test_refused_orders_are_repeated_early_and_accepted_ones_after_the_boot_time():
     time = clock.ManualClock()
     plan = settled(time)
     refused, taken = plan.orders(SCALING, FIRM_AT_FIRST)[:2]
@@ -180,7 +180,7 @@
     assert taken in plan.orders(SCALING, FIRM_AT_FIRST)
 
 
-def test_the_demand_asks_for_more_and_lets_go_only_by_a_margin():
+def test_the_plan_shrinks_only_by_a_margin():
     plan = settled(clock.ManualClock())
     for _ in range(100):
         plan.sample_demand(7.6)
@@ -193,7 +193,7 @@
     assert plan.needed(SCALING) == len(PRICES) * SCALING.minimum
 
 
-def test_the_size_at_the_first_start_holds_until_the_demand_is_known():
+def test_the_initial_size_is_kept_until_demand_is_known():
     plan = settled(clock.ManualClock())
     for _ in range(engine_plan.DEMAND_SAMPLES - 1):
         plan.sample_demand(0.5)
@@ -202,7 +202,7 @@
     assert plan.needed(SCALING) == len(PRICES) * SCALING.minimum
 
 
-def test_without_the_engines_speed_the_size_grows_but_never_falls_below_the_first():
+def test_with_unknown_engine_speed_the_size_never_falls_below_the_initial_one():
     plan = settled(clock.ManualClock())
     for _ in range(50):
         plan.sample_demand(1.0, speed_known=False)
@@ -212,7 +212,7 @@
     assert plan.needed(SCALING) == 8
 
 
-def test_a_successor_goes_on_with_what_was_needed_until_it_knows_the_demand():
+def test_a_new_holder_keeps_the_previous_size_until_demand_is_known():
     plan = engine_plan.EnginePlan(clock.ManualClock(), "s")
     plan.take_over(7)
     assert plan.needed(SCALING) == 7
@@ -222,7 +222,7 @@
     assert plan.size() == 4
 
 
-def test_half_of_what_is_needed_is_left_when_two_data_centres_are_reclaimed():
+def test_half_the_needed_endpoints_survive_the_loss_of_two_data_centres():
     for centres in (3, 4, 5):
         prices = {f"dc{number}": 1.0 for number in range(centres)}
         scaling = traffic.Scaling(1, 40, 4_000.0, 0.22, prices)
@@ -232,7 +232,7 @@
         assert sum(counts[: centres - 2]) >= 15
 
 
-def test_all_that_is_needed_is_left_when_one_data_centre_is_reclaimed():
+def test_all_needed_endpoints_survive_the_loss_of_one_data_centre():
     for centres in (2, 3, 4, 5):
         prices = {f"dc{number}": 1.0 for number in range(centres)}
         scaling = traffic.Scaling(1, 40, 4_000.0, 0.22, prices)
@@ -241,7 +241,7 @@
         assert sum(counts[: centres - 1]) >= 30
 
 
-def test_more_data_centres_need_less_of_a_reserve():
+def test_more_data_centres_need_a_smaller_reserve():
     wanted = []
     for centres in (3, 4, 5):
         prices = {f"dc{number}": 1.0 for number in range(centres)}
@@ -251,7 +251,7 @@
     assert wanted == [120, 96, 90]
 
 
-def test_no_reclaimable_endpoint_is_let_go_while_others_are_refused():
+def test_no_spot_endpoint_is_released_while_spot_orders_are_refused():
     time = clock.ManualClock()
     plan = settled(time)
     for _ in range(60):
@@ -264,7 +264,7 @@
     assert plan.wanted(SCALING, ready)[engine_pools.Pool("b", True)] == 2
 
 
-def test_the_limits_hold():
+def test_minimum_and_maximum_are_respected():
     plan = settled(clock.ManualClock())
     for _ in range(300):
         plan.sample_demand(1e9)
@@ -273,7 +273,7 @@
 
 
 MANY = traffic.Scaling(1, 20, 4_000.0, 0.22, PRICES)
-"""The limits of a larger service, of which 45 run: 30 that are needed and a reserve."""
+"""Limits of a larger service that runs 30 needed endpoints and a reserve of 15."""
 
 MANY_RUN = engines(("a", True, 15), ("b", True, 15), ("c", True, 15))
 
@@ -285,7 +285,7 @@
     return plan
 
 
-def test_who_does_not_know_the_demand_lets_no_endpoint_go():
+def test_no_endpoint_is_released_while_demand_is_unknown():
     mixed = MANY_RUN + engines(("b", False, 4))
     for samples in range(engine_plan.DEMAND_SAMPLES):
         plan = later_start(clock.ManualClock(), mixed)
@@ -296,7 +296,7 @@
             assert count >= ready.get(pool, 0)
 
 
-def test_the_reserve_comes_with_the_demand():
+def test_the_reserve_is_ordered_once_demand_is_known():
     plan = settled(clock.ManualClock())
     assert plan.spot_wanted(SCALING) == 6
     for _ in range(engine_plan.DEMAND_SAMPLES):
@@ -304,19 +304,19 @@
     assert plan.spot_wanted(SCALING) == 9
 
 
-def test_the_first_second_of_requests_counts_whole():
+def test_the_first_sample_counts_in_full():
     plan = settled(clock.ManualClock())
     plan.sample_demand(6.0)
     assert plan.demand == 6.0
 
 
-def test_a_size_that_was_written_while_engines_still_told_themselves_is_no_limit():
+def test_a_size_recorded_while_engines_registered_is_no_limit():
     plan = settled(clock.ManualClock())
     plan.take_over(2)
     assert plan.needed(SCALING) == len(FIRM_AT_FIRST)
 
 
-def test_while_reclaimable_ones_are_refused_the_loss_of_two_more_data_centres_is_covered():
+def test_two_further_losses_are_covered_while_spot_orders_are_refused():
     time = clock.ManualClock()
     plan = engine_plan.EnginePlan(time, "s", initial_count=12)
     for _ in range(engine_plan.NO_SHRINK_SAMPLES):
@@ -335,7 +335,7 @@
     assert firm(("a", True, 8), ("b", True, 8), ("c", True, 4)) == 7
 
 
-def test_without_the_size_of_a_holder_before_what_runs_is_the_size():
+def test_without_a_previous_size_the_running_endpoints_determine_it():
     plan = later_start(clock.ManualClock(), MANY_RUN)
     assert plan.needed(MANY) == 22
     left = MANY_RUN[:30]
@@ -345,7 +345,7 @@
     assert plan.needed(MANY) == 24
 
 
-def test_a_node_that_heard_nothing_of_the_fleet_for_a_while_begins_to_learn_the_demand_anew():
+def test_demand_is_measured_again_after_an_isolation():
     time = clock.ManualClock()
     plan = settled(time)
     time.advance_to(time.now() + engine_plan.INITIAL_WINDOW_MS)
@@ -357,7 +357,7 @@
     assert all(one.count >= 2 for one in plan.orders(SCALING, ALL_SPOT) if one.data_centre != "c")
 
 
-def test_a_demand_of_which_a_part_is_not_heard_does_not_fall():
+def test_demand_does_not_fall_while_nodes_are_unreachable():
     plan = settled(clock.ManualClock())
     for _ in range(60):
         plan.sample_demand(8.0)
@@ -369,7 +369,7 @@
     assert plan.needed(SCALING) == 9
 
 
-def test_endpoints_lost_soon_after_an_order_are_ordered_again_at_once():
+def test_endpoints_lost_soon_after_an_order_are_replaced_at_once():
     time = clock.ManualClock()
     plan = later_start(time, MANY_RUN)
     for order in plan.orders(MANY, MANY_RUN[:44]):
@@ -382,7 +382,7 @@
     assert plan.orders(MANY, MANY_RUN[:30]) == []
 
 
-def test_firm_ones_are_ordered_where_the_limit_of_both_kinds_leaves_room():
+def test_firm_orders_respect_the_maximum_of_both_kinds():
     time = clock.ManualClock()
     plan = later_start(time, MANY_RUN)
     full = engines(("a", True, 17), ("b", True, 17))
@@ -396,7 +396,7 @@
     assert firm["b"] > 3
 
 
-def test_more_of_what_was_refused_just_now_is_not_asked_for_at_once():
+def test_a_refused_pool_is_not_ordered_again_at_once():
     time = clock.ManualClock()
     plan = later_start(time, MANY_RUN)
     plan.ordered(records.EngineOrder("s", "c", 17, True), refused=True)
--- a/plumarch/fleet/engine_regions_test.py
+++ b/plumarch/fleet/engine_regions_test.py
@@ -1,4 +1,4 @@
-"""Plans over regions: nothing is let go where little is heard, nor before its replacement runs."""
+"""Tests of plans over several regions."""
 
 import dataclasses
 
@@ -13,7 +13,7 @@
 
 
 def engines(spot: dict[str, int], firm: dict[str, int] | None = None) -> list[traffic.Endpoint]:
-    """Return engines that take work, by data centre."""
+    """Return ready engines by data centre."""
     return [
         traffic.Endpoint(
             f"{name}-{is_spot}-{number}",
@@ -33,7 +33,7 @@
 def plan_of(
     time: clock.ManualClock, demand: float, regions: region_demand.RegionView
 ) -> engine_plan.EnginePlan:
-    """Return the plan of a holder that knows the demand for long."""
+    """Return the plan of a holder that knows the demand."""
     plan = engine_plan.EnginePlan(time, "s", regions=regions)
     plan.observe_endpoints([])
     for _ in range(2 * engine_plan.NO_SHRINK_SAMPLES):
@@ -50,7 +50,7 @@
     return dataclasses.replace(REGIONS, partially_reachable=frozenset(regions))
 
 
-def test_a_region_heard_in_part_keeps_what_runs_and_the_others_shrink():
+def test_a_partially_reachable_region_does_not_shrink():
     plan = plan_of(clock.ManualClock(), 3.0, partially_reachable("s"))
     run = engines(dict.fromkeys(PRICES, 8), {"s1": 2})
     orders = plan.orders(SCALING, run)
@@ -60,7 +60,7 @@
     assert shrunk["s1"] < 8 and shrunk["s2"] < 8
 
 
-def test_a_region_heard_in_part_gets_back_what_was_reclaimed_there():
+def test_a_partially_reachable_region_replaces_reclaimed_endpoints():
     time = clock.ManualClock()
     plan = plan_of(time, 3.0, partially_reachable("s"))
     plan.ordered(records.EngineOrder("s", "s1", 8, True), refused=False)
@@ -69,7 +69,7 @@
     assert spot_orders(plan, run)["s1"] == 8
 
 
-def test_none_is_let_go_in_one_region_before_its_replacement_in_another_runs():
+def test_endpoints_are_released_only_after_their_replacements_run():
     time = clock.ManualClock()
     before = dataclasses.replace(REGIONS, shares={"n": 0.8, "s": 0.1, "w": 0.1})
     plan = plan_of(time, 12.0, before)
@@ -89,7 +89,7 @@
     assert all(count < now_run[name] for name, count in later.items())
 
 
-def test_while_a_data_centre_has_none_the_others_hold_a_reserve_among_themselves():
+def test_while_a_data_centre_refuses_the_others_hold_the_reserve():
     whole = engine_regions.spot_counts(SCALING, REGIONS, 12, 1.5)
     found = engine_regions.spot_counts(SCALING, REGIONS, 12, 1.5, frozenset({"n1"}))
     assert found["n1"] == whole["n1"]
@@ -98,7 +98,7 @@
     assert engine_regions.spot_counts(SCALING, REGIONS, 12, 1.5, frozenset(PRICES)) == whole
 
 
-def test_no_firm_ones_are_ordered_beside_reclaimable_ones_that_are_ordered_in_their_place():
+def test_no_firm_endpoints_are_ordered_beside_replacement_spot_ones():
     time = clock.ManualClock()
     plan = plan_of(time, 12.0, REGIONS)
     run = engines(dict.fromkeys(PRICES, 3))
@@ -116,7 +116,7 @@
     assert any(not one.spot and one.count for one in refused)
 
 
-def test_firm_ones_go_to_a_region_that_lacks_some_unless_another_is_cheaper_by_more_than_the_way():
+def test_firm_endpoints_go_to_the_short_region_unless_remote_ones_are_cheaper():
     lacking_south = {"n1": 4, "n2": 4, "s1": 0, "s2": 0, "w1": 4, "w2": 4}
     found = engine_firm.spread(SCALING, REGIONS, 12, 2, {}, lacking_south)
     assert found["w1"] == 2
@@ -127,7 +127,7 @@
     assert engine_firm.spread(SCALING, far, 12, 2, {}, lacking_south)["s2"] == 2
 
 
-def test_with_one_region_the_plan_is_the_one_that_spreads_evenly():
+def test_one_region_is_spread_evenly():
     one_region = region_demand.RegionView(
         dict.fromkeys(PRICES, "n"), {"n": 1.0}, latency_fraction=0.0
     )
--- a/plumarch/fleet/engine_replay_test.py
+++ b/plumarch/fleet/engine_replay_test.py
@@ -1,4 +1,4 @@
-"""Replays of days: what plans pay for engines, and what is missing, by region or spread evenly."""
+"""Replays of demand that compare cost and shortage of regional plans and even spreading."""
 
 import dataclasses
 import math
@@ -31,15 +31,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Outcome:
-    """What a day cost.
+    """Result of a replay.
 
     Attributes:
       paid: weighted engine seconds.
-      firm: the part of them for firm ones.
-      missing: engine seconds that were asked for while fewer than half ran, over all regions.
-      away: engine seconds that were asked for in a region beyond what ran in it.
-      asked: all engine seconds that were asked for.
-      started: engines that were started.
+      firm: those of firm engines.
+      missing: engine seconds below MIN_READY_FRACTION of the demand, over all regions.
+      remote: engine seconds demanded in a region beyond those that ran in it.
+      asked: all engine seconds demanded.
+      started: engines started.
     """
 
     paid: float
@@ -53,10 +53,10 @@
 def replay(
     demand: Demand, reclaims: tuple[Reclaim, ...], by_region: bool, first: int = 4
 ) -> Outcome:
-    """Play a day.
+    """Replay a day.
 
     Args:
-      demand: engines asked for by region, at a second of the day.
+      demand: engines needed by region, at a second of the day.
       first: firm engines in each data centre at the start.
     """
     time = clock.ManualClock(START_MS)
@@ -95,7 +95,7 @@
 
 
 def waves(total: float, swing: float) -> Demand:
-    """Return a demand whose regions swing out of phase."""
+    """Return a demand whose regions oscillate out of phase."""
 
     def at(second: int) -> dict[str, float]:
         return {
@@ -107,7 +107,7 @@
 
 
 def moving(total: float) -> Demand:
-    """Return a demand of which most moves from one region to another, within 5 s."""
+    """Return a demand that shifts mostly from one region to another within 5 s."""
 
     def at(second: int) -> dict[str, float]:
         moved = min(1.0, max(0.0, (second - 25) / 5))
@@ -149,24 +149,24 @@
 
 
 @pytest.mark.parametrize("day", DAYS)
-def test_by_region_a_day_costs_less_than_spread_evenly(day: str):
+def test_regional_plans_cost_less_than_even_spreading(day: str):
     evenly, by_region = both(day)
     assert by_region.paid < evenly.paid, (evenly, by_region)
 
 
 @pytest.mark.parametrize("day", DAYS)
-def test_no_more_is_missing_than_what_three_losses_within_a_boot_take(day: str):
+def test_shortage_is_limited_to_three_losses_within_a_boot(day: str):
     _, by_region = both(day)
     least = 0.005 * by_region.asked if "several" in day else 0.0
     assert by_region.missing <= least, by_region
 
 
 @pytest.mark.parametrize("day", [day for day in DAYS if day.startswith("quiet")])
-def test_in_calm_times_regions_serve_their_callers_themselves(day: str):
+def test_calm_regions_serve_their_callers_locally(day: str):
     _, by_region = both(day)
     assert by_region.remote <= 0.04 * by_region.asked, by_region
 
 
-def test_reclaimable_ones_elsewhere_come_in_place_of_firm_ones():
+def test_remote_spot_endpoints_replace_firm_ones():
     evenly, by_region = both("several-10")
     assert by_region.firm < 0.5 * evenly.firm
--- a/plumarch/fleet/engine_reserve_test.py
+++ b/plumarch/fleet/engine_reserve_test.py
@@ -1,4 +1,4 @@
-"""Placements: what is left after a loss, what they cost, and what the ways weigh."""
+"""Tests of spot placements over regions."""
 
 import math
 
@@ -37,7 +37,7 @@
     return sum(count for name, count in found.counts if name.startswith(region))
 
 
-def test_what_is_left_after_a_loss():
+def test_survivors_after_a_loss():
     assert engine_reserve.survivors([3, 2, 2], 1.0) == 4
     assert engine_reserve.survivors([3, 2, 2], 1.5) == 3
     assert engine_reserve.survivors([5], 1.5) == 5
@@ -45,14 +45,14 @@
 
 
 @pytest.mark.parametrize(("needed", "evenly"), [(2, 6), (6, 12), (10, 18), (20, 30), (30, 42)])
-def test_a_reserve_over_regions_takes_no_more_than_even_spreading(needed: int, evenly: int):
+def test_a_reserve_over_regions_is_no_larger_than_even_spreading(needed: int, evenly: int):
     assert evenly == math.ceil(needed / (6 - LOST)) * 6
     found = engine_reserve.placement(sites(), needed, LOST, 0.1)
     assert found.survivors >= needed
     assert total(found) <= evenly
 
 
-def test_small_needs_share_endpoints_over_regions_instead_of_one_more_each():
+def test_regions_share_the_reserve_of_small_services():
     found = engine_reserve.placement(sites(least=0), 6, LOST, 0.1)
     alone = engine_reserve.placement(sites(least=0), 6, LOST, 0.5)
     assert total(found) == 9
@@ -60,7 +60,7 @@
     assert found.cost < alone.cost
 
 
-def test_where_targets_leave_no_room_for_the_way_each_region_covers_its_own_loss():
+def test_each_region_covers_its_own_loss_if_latency_is_too_high():
     found = engine_reserve.placement(sites((0.6, 0.3, 0.1)), 10, LOST, 0.5)
     counts = dict(found.counts)
     for region, share in zip("nsw", (0.6, 0.3, 0.1), strict=True):
@@ -68,13 +68,13 @@
         assert min(own) >= math.ceil(10 * share)
 
 
-def test_most_of_what_a_region_asks_for_is_placed_in_it():
+def test_most_of_a_region_is_served_locally():
     found = engine_reserve.placement(sites((0.7, 0.2, 0.1)), 20, LOST, 0.1)
     assert of_region(found, "n") >= math.floor(engine_reserve.LOCAL_FRACTION * 14)
     assert found.survivors >= 20
 
 
-def test_the_reserve_lies_where_it_is_cheap():
+def test_the_reserve_is_placed_where_it_is_cheap():
     dear_sister = engine_reserve.placement(
         sites(prices=(1.0, 3.0, 1.0, 1.0, 1.0, 1.0)), 15, LOST, 0.1
     )
@@ -84,13 +84,13 @@
     assert dict(dear_sister.counts)["n1"] < dict(cheap_sister.counts)["n1"]
 
 
-def test_more_in_the_data_centre_that_is_lost_replaces_nothing():
+def test_growing_the_largest_data_centre_adds_no_survivors():
     before = engine_reserve.survivors([4, 3, 3, 3, 3, 3], LOST)
     assert engine_reserve.survivors([5, 3, 3, 3, 3, 3], LOST) == before
     assert engine_reserve.survivors([4, 3, 3, 3, 3, 4], LOST) > before
 
 
-def test_limits_that_leave_too_few_are_used_up():
+def test_placement_stops_at_the_maximum():
     found = engine_reserve.placement(sites(most=3), 40, LOST, 0.1)
     assert total(found) == 18
 
--- a/plumarch/fleet/region_demand_test.py
+++ b/plumarch/fleet/region_demand_test.py
@@ -1,4 +1,4 @@
-"""Shares of regions: followed, held while a region is heard in part, adopted by a margin."""
+"""Tests of demand shares by region."""
 
 import pytest
 
@@ -8,12 +8,12 @@
 REGION_OF = {"n1": "n", "n2": "n", "s1": "s", "s2": "s"}
 
 
-def test_until_requests_come_shares_are_as_data_centres_are_spread():
+def test_shares_follow_data_centres_until_requests_arrive():
     view = region_demand.RegionDemand().view(REGION_OF, 0.1)
     assert view.demand_shares(PRICES) == pytest.approx({"n": 0.4, "s": 0.4, "w1": 0.2})
 
 
-def test_a_data_centre_that_is_not_named_is_a_region_of_its_own():
+def test_an_unlisted_data_centre_is_a_region_of_its_own():
     view = region_demand.RegionView(REGION_OF)
     assert view.of("w1") == "w1"
     assert view.are_several({"n1": 1.0, "w1": 1.0})
@@ -21,7 +21,7 @@
     assert not region_demand.ONE_REGION.are_several(PRICES)
 
 
-def test_callers_that_move_to_another_region_are_followed_within_seconds():
+def test_shares_follow_callers_within_seconds():
     demand = region_demand.RegionDemand()
     for _ in range(5):
         demand.sample({"n": 900.0, "s": 100.0}, frozenset())
@@ -31,7 +31,7 @@
     assert demand.shares["s"] > 0.65
 
 
-def test_small_moves_leave_the_shares_as_they_are():
+def test_small_changes_leave_the_shares_unchanged():
     demand = region_demand.RegionDemand()
     demand.sample({"n": 500.0, "s": 500.0}, frozenset())
     before = demand.shares
@@ -40,7 +40,7 @@
     assert demand.shares is before
 
 
-def test_a_region_that_is_heard_in_part_keeps_its_rate_and_the_others_are_followed():
+def test_the_rate_of_a_partially_reachable_region_does_not_fall():
     demand = region_demand.RegionDemand()
     for _ in range(5):
         demand.sample({"n": 500.0, "s": 500.0}, frozenset())
@@ -54,7 +54,7 @@
     assert demand.rates["s"] > 1_000.0
 
 
-def test_who_begins_to_hear_the_fleet_anew_forgets_what_it_knew():
+def test_reset_drops_all_samples():
     demand = region_demand.RegionDemand()
     demand.sample({"n": 500.0, "s": 100.0}, frozenset({"s"}))
     demand.reset()
--- a/plumarch/fleet/rollout_test.py
+++ b/plumarch/fleet/rollout_test.py
@@ -1,4 +1,4 @@
-"""How a roll-out goes on, by what is seen of its version."""
+"""Tests of the stages of a roll-out."""
 
 import dataclasses
 
@@ -38,14 +38,14 @@
         return self.plan.stage, self.plan.share
 
 
-def test_a_version_gets_nothing_before_its_endpoints_come():
+def test_a_version_gets_no_requests_before_its_endpoints_are_ready():
     driver = PlanDriver()
     none_yet = dataclasses.replace(GOOD, ready_new=0, by_route={})
     assert driver.at(0.1, none_yet) == (Stage.WAITING, 0.0)
     assert driver.at(0.2, dataclasses.replace(GOOD, by_route={}))[0] is Stage.FEW
 
 
-def test_before_it_is_judged_a_version_gets_less_than_a_bad_one_may():
+def test_the_canary_share_stays_within_the_tolerated_exposure():
     for requests_per_s in (0.1, 1.0, 10.0, 100.0, 16_000.0):
         driver = PlanDriver()
         observation = dataclasses.replace(GOOD, by_route={}, requests_per_s=requests_per_s)
@@ -55,7 +55,7 @@
         assert share <= rollout.MAX_CANARY
 
 
-def test_a_good_version_goes_through_all_steps_one_at_a_time():
+def test_a_good_version_passes_all_steps_in_order():
     driver = PlanDriver()
     few = driver.at(0.1, GOOD)
     assert few[0] is Stage.FEW
@@ -65,7 +65,7 @@
     assert driver.plan.stage is Stage.ALL
 
 
-def test_a_step_is_not_taken_before_its_time():
+def test_steps_are_not_taken_early():
     driver = PlanDriver()
     for elapsed in (0.1, 0.3, 0.499):
         assert driver.at(elapsed, GOOD)[0] is Stage.FEW
@@ -73,7 +73,7 @@
         assert driver.at(from_part, GOOD)[1] == share
 
 
-def test_it_is_completed_once_nothing_runs_on_old_endpoints_or_time_is_short():
+def test_completion_waits_for_old_endpoints_to_drain_or_the_deadline():
     driver = PlanDriver(Stage.ALL, 1.0)
     assert driver.at(0.7, GOOD)[0] is Stage.ALL
     assert driver.at(0.71, dataclasses.replace(GOOD, running_old=0))[0] is Stage.COMPLETED
@@ -82,26 +82,26 @@
 
 
 @pytest.mark.parametrize("stage", [Stage.FEW, Stage.MORE, Stage.ALL])
-def test_a_bad_version_is_stopped_at_any_stage(stage: Stage):
+def test_a_bad_version_is_rolled_back_at_any_stage(stage: Stage):
     driver = PlanDriver(stage, 0.3)
     assert driver.at(0.55, BAD) == (Stage.ROLLED_BACK, 0.0)
     assert driver.at(0.6, GOOD) == (Stage.ROLLED_BACK, 0.0)
 
 
-def test_a_version_that_another_node_stopped_is_rolled_back():
+def test_a_vetoed_version_is_rolled_back():
     driver = PlanDriver(Stage.FEW, 0.08)
     vetoed = dataclasses.replace(GOOD, vetoed=True)
     assert driver.at(0.2, vetoed) == (Stage.ROLLED_BACK, 0.0)
     assert driver.plan.reason == "vetoed"
 
 
-def test_what_is_not_judged_good_in_time_is_rolled_back():
+def test_an_open_verdict_at_the_deadline_is_rolled_back():
     driver = PlanDriver(Stage.FEW, 0.08)
     assert driver.at(rollout.JUDGED_BY - 0.01, OPEN)[0] is Stage.FEW
     assert driver.at(rollout.JUDGED_BY, OPEN)[0] is Stage.ROLLED_BACK
 
 
-def test_too_few_new_endpoints_get_no_more_requests():
+def test_too_few_new_endpoints_stop_the_steps():
     driver = PlanDriver(Stage.FEW, 0.08)
     small = dataclasses.replace(GOOD, ready_new=7)
     assert driver.at(0.6, small)[0] is Stage.FEW
@@ -109,20 +109,20 @@
     assert "too few" in driver.plan.reason
 
 
-def test_a_version_whose_endpoints_never_come_is_rolled_back():
+def test_a_version_without_ready_endpoints_is_rolled_back():
     driver = PlanDriver()
     none = dataclasses.replace(GOOD, ready_new=0, by_route={})
     assert driver.at(0.7, none)[0] is Stage.WAITING
     assert driver.at(rollout.JUDGED_BY, none)[0] is Stage.ROLLED_BACK
 
 
-def test_trouble_that_strikes_both_versions_rolls_nothing_back():
+def test_a_fault_of_both_versions_is_not_rolled_back():
     driver = PlanDriver(Stage.FEW, 0.08)
     troubled = dataclasses.replace(GOOD, by_route=answers((120, 24), (1_200, 240)))
     assert driver.at(0.3, troubled)[0] is Stage.FEW
 
 
-def test_what_operators_are_told():
+def test_states_that_operators_see():
     assert {stage: stage.state().value for stage in Stage if stage.is_over()} == {
         Stage.COMPLETED: "completed",
         Stage.ROLLED_BACK: "rolled_back",
--- a/plumarch/fleet/usage_test.py
+++ b/plumarch/fleet/usage_test.py
@@ -1,4 +1,4 @@
-"""Usage windows summed over nodes, also over those that are gone."""
+"""Tests of usage counts by window."""
 
 from plumarch.fleet import usage
 
@@ -11,7 +11,7 @@
     assert counter.total(1) == {"w": 2}
 
 
-def test_a_node_heard_twice_counts_once_and_a_new_process_adds_to_the_old_one():
+def test_reports_replace_each_other_and_incarnations_add_up():
     counter = usage.UsageCounter(5_000)
     counter.began("w", 100)
     counter.apply_node_report("b#1", {0: {"w": 3}})
@@ -29,7 +29,7 @@
     assert len(counter.heard["b#1"]) <= usage.RETAINED_WINDOWS + 1
 
 
-def test_only_recent_windows_are_told():
+def test_only_recent_windows_are_reported():
     counter = usage.UsageCounter(1_000)
     for window in range(6):
         counter.began("w", window * 1_000)
--- a/plumarch/fleet/version_tally_test.py
+++ b/plumarch/fleet/version_tally_test.py
@@ -1,4 +1,4 @@
-"""Answers of versions summed up over nodes."""
+"""Tests of answer tallies."""
 
 from plumarch.fleet import version_tally
 
@@ -6,7 +6,7 @@
 OLD = version_tally.TallyKey("s", "v1", "r")
 
 
-def test_counts_of_all_nodes_are_summed_by_route_and_side():
+def test_reports_are_summed_by_route_and_version():
     book = version_tally.TallyBook()
     book.count(NEW, bad=True)
     book.count(OLD, bad=False)
@@ -17,21 +17,21 @@
     assert pair.old == version_tally.Tally(36, 2)
 
 
-def test_a_late_report_takes_nothing_back():
+def test_stale_reports_are_ignored():
     book = version_tally.TallyBook()
     book.merge_report("n2#1", {NEW: version_tally.Tally(9, 2)})
     book.merge_report("n2#1", {NEW: version_tally.Tally(7, 1)})
     assert book.total() == {NEW: version_tally.Tally(9, 2)}
 
 
-def test_a_restart_counts_under_a_name_of_its_own():
+def test_incarnations_are_counted_separately():
     book = version_tally.TallyBook()
     book.merge_report("n2#1", {NEW: version_tally.Tally(9, 2)})
     book.merge_report("n2#5", {NEW: version_tally.Tally(1, 0)})
     assert book.total()[NEW] == version_tally.Tally(10, 2)
 
 
-def test_what_is_heard_may_be_left_out_and_a_service_forgotten():
+def test_reports_may_be_excluded_and_services_dropped():
     book = version_tally.TallyBook()
     book.count(NEW, bad=False)
     book.merge_report("centre b", {NEW: version_tally.Tally(9, 2)})
--- a/plumarch/fleet/version_verdict_test.py
+++ b/plumarch/fleet/version_verdict_test.py
@@ -1,4 +1,4 @@
-"""Whether versions are judged right by what they answer beside the old one."""
+"""Tests of verdicts on versions."""
 
 import pytest
 
@@ -26,30 +26,30 @@
         ((1, 1), (1_000, 10), Verdict.OPEN),
     ],
 )
-def test_a_version_is_judged_by_what_the_old_one_does(
+def test_a_version_is_judged_against_the_old_one(
     new: tuple[int, int], old: tuple[int, int], expected: Verdict
 ):
     assert RULE.judge(pair(new, old)) is expected
 
 
-def test_one_bad_route_is_enough():
+def test_one_bad_route_makes_a_version_bad():
     by_route = {"good": pair((500, 3), (5_000, 50)), "bad": pair((30, 12), (300, 3))}
     verdict, why = version_verdict.judge_all(RULE, by_route)
     assert verdict is Verdict.BAD
     assert "route bad" in why
 
 
-def test_a_version_is_good_by_all_routes_together():
+def test_a_version_is_good_by_the_sum_of_routes():
     by_route = {f"r{number}": pair((20, 0), (400, 4)) for number in range(5)}
     assert all(RULE.judge(one) is not Verdict.BAD for one in by_route.values())
     assert version_verdict.judge_all(RULE, by_route)[0] is Verdict.GOOD
 
 
-def test_no_answer_is_no_reason():
+def test_no_answers_leave_the_verdict_open():
     assert version_verdict.judge_all(RULE, {})[0] is Verdict.OPEN
 
 
-def test_the_probability_grows_with_bad_answers_and_falls_with_good_ones():
+def test_probability_rises_with_bad_answers_and_falls_with_good_ones():
     found = [version_verdict.bad_probability(pair((40, bad), (1_000, 10))) for bad in range(6)]
     assert found == sorted(found)
     found = [version_verdict.bad_probability(pair((n, 0), (1_000, 10))) for n in (1, 10, 100)]
@@ -57,16 +57,16 @@
 
 
 EARLY, LATE = pair((50, 0), (2_000, 20)), pair((70, 8), (30, 3))
-"""A trouble of a tenth more strikes both in a period in which the new version serves most."""
+"""Both versions fail more often in a period in which the new one serves most requests."""
 
 
-def test_trouble_of_both_while_the_share_is_large_is_no_sign_of_a_bad_version():
+def test_a_fault_of_both_versions_at_a_large_share_is_not_bad():
     assert RULE.judge(EARLY.plus(LATE)) is Verdict.BAD
     assert RULE.judge_periods([EARLY, LATE]) is not Verdict.BAD
     assert version_verdict.judge_all(RULE, {"r": EARLY}, {"r": LATE})[0] is not Verdict.BAD
 
 
-def test_a_version_that_turns_bad_with_a_larger_share_is_found_by_the_latest_period():
+def test_the_latest_period_alone_shows_a_version_that_turns_bad():
     good, bad = pair((900, 9), (9_000, 90)), pair((25, 7), (60, 1))
     assert RULE.judge(good.plus(bad)) is not Verdict.BAD
     verdict, why = version_verdict.judge_all(RULE, {"r": good}, {"r": bad})
@@ -74,14 +74,14 @@
     assert "7 of 25" in why
 
 
-def test_without_old_answers_much_is_still_bad_and_little_is_not():
+def test_without_old_answers_only_a_large_excess_is_bad():
     before = {"r": pair((300, 3), (3_000, 30))}
     little, much = {"r": pair((40, 3), (0, 0))}, {"r": pair((40, 12), (0, 0))}
     assert version_verdict.judge_all(RULE, before, little)[0] is not Verdict.BAD
     assert version_verdict.judge_all(RULE, before, much)[0] is Verdict.BAD
 
 
-def test_answers_are_parted_by_the_share_that_a_version_had():
+def test_answers_are_split_by_period():
     periods = version_verdict.SharePeriods()
     assert periods.per_period({"r": EARLY}) == [{"r": EARLY}]
     periods = periods.with_period(0.1, {}).with_period(0.1, {"r": EARLY})
