--- a/plumarch/fleet/duty_lease.py
+++ b/plumarch/fleet/duty_lease.py
@@ -78,10 +78,10 @@
     """Return the record that makes a node the holder under the next token."""
     if found is None:
         return StoredRecord(DutyRecord(node, incarnation, 1), 0)
-    taken = msgspec.structs.replace(
+    successor = msgspec.structs.replace(
         found.record, holder=node, incarnation=incarnation, token=found.record.token + 1
     )
-    return StoredRecord(taken, found.revision)
+    return StoredRecord(successor, found.revision)
 
 
 def with_window(
--- a/plumarch/fleet/engine_firm.py
+++ b/plumarch/fleet/engine_firm.py
@@ -46,8 +46,8 @@
         # The maximum covers both kinds, and the platform accepts orders beyond it without
         # fulfilling them.
         running = ready.get(engine_pools.Pool(name, False), 0)
-        room = max(running, scaling.maximum - ready.get(engine_pools.Pool(name, True), 0))
-        if counts[name] >= room:
+        limit = max(running, scaling.maximum - ready.get(engine_pools.Pool(name, True), 0))
+        if counts[name] >= limit:
             continue
         runs_already = running > counts[name]
         cost = engine_regions.firm_cost(regions, name, price, lacks)
--- a/plumarch/fleet/engine_plan.py
+++ b/plumarch/fleet/engine_plan.py
@@ -165,7 +165,7 @@
     ) -> dict[engine_pools.Pool, int]:
         """Return the wanted counts by pool."""
         spot = self._spot_counts(scaling, ready)
-        if self._refused_lately() or self._keeps_running():
+        if self._refusing_centres() or self._keeps_running():
             # A released endpoint could not be replaced, or may still be needed.
             spot = {
                 name: max(spot[name], ready.get(engine_pools.Pool(name, True), 0)) for name in spot
@@ -185,7 +185,7 @@
         if not self._over_regions(scaling):
             return engine_pools.spread(self.spot_wanted(scaling), scaling)
         known = self.regions if self._demand_known() else self.regions.without_shares()
-        needed, lost, refused = self.needed(scaling), self._lost_at_once(), self._refused_lately()
+        needed, lost, refused = self.needed(scaling), self._lost_at_once(), self._refusing_centres()
         next_loss = engine_regions.Loss(math.ceil(MIN_READY_FRACTION * needed), LOST_WHILE_REFUSED)
         counts = engine_regions.spot_counts(scaling, known, needed, lost, refused, next_loss)
         counts = engine_regions.retain_running(self.regions, counts, True, ready, self.last_orders)
@@ -210,14 +210,14 @@
         needed = self.needed(scaling)
         spot_ready = sum(count for pool, count in ready.items() if pool.spot)
         firm_ready = sum(count for pool, count in ready.items() if not pool.spot)
-        lacking = math.ceil(MIN_READY_FRACTION * needed) - sum(
+        shortfall = math.ceil(MIN_READY_FRACTION * needed) - sum(
             self._spot_in_time(scaling, ready).values()
         )
-        kept = firm_ready if self._keeps_running() else min(firm_ready, needed - spot_ready)
-        hedge = self._shortage_after_losses(scaling, ready) if self._refused_lately() else 0
-        lacking = max(lacking, kept, hedge, 0)
+        retained = firm_ready if self._keeps_running() else min(firm_ready, needed - spot_ready)
+        hedge = self._shortage_after_losses(scaling, ready) if self._refusing_centres() else 0
+        shortfall = max(shortfall, retained, hedge, 0)
         spot = self._spot_in_time(scaling, ready)
-        return engine_firm.spread(scaling, self.regions, needed, lacking, ready, spot)
+        return engine_firm.spread(scaling, self.regions, needed, shortfall, ready, spot)
 
     def _shortage_after_losses(
         self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
@@ -252,7 +252,7 @@
         self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> dict[str, int]:
         """Return the spot endpoints that are ready, or ordered and not overdue."""
-        coming = {
+        pending = {
             pool.data_centre: last.count
             for pool, last in self.last_orders.items()
             if pool.spot and not last.refused and not self._overdue(last, scaling)
@@ -260,7 +260,7 @@
         found = {}
         for name in scaling.prices:
             count = ready.get(engine_pools.Pool(name, True), 0)
-            found[name] = max(count, coming.get(name, 0))
+            found[name] = max(count, pending.get(name, 0))
         return found
 
     def _spot_in_time(
@@ -272,7 +272,7 @@
             return engine_regions.with_new_orders(found, self.spot_placement, self.last_orders)
         return found
 
-    def _refused_lately(self) -> frozenset[str]:
+    def _refusing_centres(self) -> frozenset[str]:
         """Return the data centres that refused spot orders recently."""
         now = self.clock.now()
         return frozenset(
@@ -336,16 +336,16 @@
         ready = engine_pools.ready(self.service, endpoints)
         centres = len({pool.data_centre for pool in ready})
         left = max(1.0, centres - LOST_AT_ONCE)
-        kept = round(sum(ready.values()) * left / max(1, centres))
-        self.running_count = max(self.running_count, kept)
+        retained = round(sum(ready.values()) * left / max(1, centres))
+        self.running_count = max(self.running_count, retained)
 
     def _settled(self) -> bool:
         """Return whether endpoints had time to register, so that orders may be sent."""
         if self.began_ms is None:
             return False
         now = self.clock.now()
-        learns = self.first_start and now - self.began_ms < INITIAL_WINDOW_MS
-        if learns and now - self.last_new_ms < REGISTRATION_QUIET_MS:
+        registering = self.first_start and now - self.began_ms < INITIAL_WINDOW_MS
+        if registering and now - self.last_new_ms < REGISTRATION_QUIET_MS:
             return False
         return now - self.began_ms >= SETTLE_MS
 
--- a/plumarch/fleet/engine_plan_test.py
+++ b/plumarch/fleet/engine_plan_test.py
@@ -105,8 +105,8 @@
     for order in plan.orders(SCALING, FIRM_AT_FIRST):
         plan.ordered(order, refused=False)
     time.advance_to(time.now() + round(SCALING.boot_ms))
-    here = FIRM_AT_FIRST + engines(("a", True, 3), ("b", True, 3), ("c", True, 3))
-    wanted = by_pool(plan.orders(SCALING, here))
+    ready_now = FIRM_AT_FIRST + engines(("a", True, 3), ("b", True, 3), ("c", True, 3))
+    wanted = by_pool(plan.orders(SCALING, ready_now))
     assert wanted == {("a", False): 0, ("b", False): 0, ("c", False): 0}
 
 
@@ -136,13 +136,13 @@
     time = clock.ManualClock()
     plan = settled(time)
     time.advance_to(time.now() + engine_plan.INITIAL_WINDOW_MS)
-    here = engines(("b", True, 3), ("c", True, 3))
-    for order in plan.orders(SCALING, here):
+    ready_now = engines(("b", True, 3), ("c", True, 3))
+    for order in plan.orders(SCALING, ready_now):
         plan.ordered(order, refused=order.spot)
-    firm = [one for one in plan.orders(SCALING, here) if not one.spot]
+    firm = [one for one in plan.orders(SCALING, ready_now) if not one.spot]
     assert [(one.data_centre, one.count) for one in firm] == [("a", 3)]
     time.advance_to(time.now() + 10 * engine_plan.REPEAT_MS)
-    assert all(one.count == 0 for one in plan.orders(SCALING, here) if not one.spot)
+    assert all(one.count == 0 for one in plan.orders(SCALING, ready_now) if not one.spot)
 
 
 def test_no_firm_endpoints_are_ordered_while_spot_ones_boot():
@@ -169,7 +169,7 @@
 def test_refused_orders_are_repeated_early_and_accepted_ones_after_the_boot_time():
     time = clock.ManualClock()
     plan = settled(time)
-    refused, taken = plan.orders(SCALING, FIRM_AT_FIRST)[:2]
+    refused, accepted = plan.orders(SCALING, FIRM_AT_FIRST)[:2]
     for order in plan.orders(SCALING, FIRM_AT_FIRST):
         plan.ordered(order, refused=order == refused)
     assert all(not one.spot for one in plan.orders(SCALING, FIRM_AT_FIRST))
@@ -177,7 +177,7 @@
     assert [one for one in plan.orders(SCALING, FIRM_AT_FIRST) if one.spot] == [refused]
     plan.ordered(refused, refused=True)
     time.advance_to(time.now() + round(SCALING.boot_ms + engine_plan.BOOT_MARGIN_MS))
-    assert taken in plan.orders(SCALING, FIRM_AT_FIRST)
+    assert accepted in plan.orders(SCALING, FIRM_AT_FIRST)
 
 
 def test_the_plan_shrinks_only_by_a_margin():
--- a/plumarch/fleet/engine_regions.py
+++ b/plumarch/fleet/engine_regions.py
@@ -45,8 +45,8 @@
     counts = dict(_placement(scaling, regions, needed, lost, frozenset()).counts)
     if not refused or len(refused) == len(scaling.prices):
         return counts
-    for least, gone in ((needed, lost), (next_loss.left, next_loss.data_centres)):
-        for name, count in _placement(scaling, regions, least, gone, refused).counts:
+    for minimum, lost_centres in ((needed, lost), (next_loss.left, next_loss.data_centres)):
+        for name, count in _placement(scaling, regions, minimum, lost_centres, refused).counts:
             counts[name] = max(counts[name], count)
     return counts
 
@@ -101,7 +101,7 @@
 def release_after_replacement(
     counts: Mapping[str, int],
     ready: Mapping[engine_pools.Pool, int],
-    coming: Mapping[str, int],
+    pending: Mapping[str, int],
 ) -> dict[str, int]:
     """Return spot counts that release endpoints only once their replacements run elsewhere.
 
@@ -111,15 +111,15 @@
     run = sum(ready.get(engine_pools.Pool(name, True), 0) for name in counts)
     spare = max(0, run - sum(counts.values()))
     retained_counts = dict(counts)
-    for name in sorted(counts, key=lambda name: (counts[name] - coming[name], name)):
-        excess = max(0, coming[name] - counts[name])
+    for name in sorted(counts, key=lambda name: (counts[name] - pending[name], name)):
+        excess = max(0, pending[name] - counts[name])
         retained_counts[name] += max(0, excess - spare)
         spare -= min(excess, spare)
     return retained_counts
 
 
 def with_new_orders(
-    coming: Mapping[str, int],
+    pending: Mapping[str, int],
     wanted: Mapping[str, int],
     last_orders: Mapping[engine_pools.Pool, engine_pools.LastOrder],
 ) -> dict[str, int]:
@@ -130,7 +130,7 @@
     Args:
       coming: endpoints that run or boot, by data centre.
     """
-    found = dict(coming)
+    found = dict(pending)
     for name, count in wanted.items():
         last = last_orders.get(engine_pools.Pool(name, True))
         if last is None or (last.count < count and not last.refused):
--- a/plumarch/fleet/engine_regions_test.py
+++ b/plumarch/fleet/engine_regions_test.py
@@ -90,12 +90,12 @@
 
 
 def test_while_a_data_centre_refuses_the_others_hold_the_reserve():
-    whole = engine_regions.spot_counts(SCALING, REGIONS, 12, 1.5)
+    full = engine_regions.spot_counts(SCALING, REGIONS, 12, 1.5)
     found = engine_regions.spot_counts(SCALING, REGIONS, 12, 1.5, frozenset({"n1"}))
-    assert found["n1"] == whole["n1"]
+    assert found["n1"] == full["n1"]
     others = [count for name, count in found.items() if name != "n1"]
     assert sum(sorted(others)[:-1]) >= 12
-    assert engine_regions.spot_counts(SCALING, REGIONS, 12, 1.5, frozenset(PRICES)) == whole
+    assert engine_regions.spot_counts(SCALING, REGIONS, 12, 1.5, frozenset(PRICES)) == full
 
 
 def test_no_firm_endpoints_are_ordered_beside_replacement_spot_ones():
@@ -117,14 +117,14 @@
 
 
 def test_firm_endpoints_go_to_the_short_region_unless_remote_ones_are_cheaper():
-    lacking_south = {"n1": 4, "n2": 4, "s1": 0, "s2": 0, "w1": 4, "w2": 4}
-    found = engine_firm.spread(SCALING, REGIONS, 12, 2, {}, lacking_south)
+    short_south = {"n1": 4, "n2": 4, "s1": 0, "s2": 0, "w1": 4, "w2": 4}
+    found = engine_firm.spread(SCALING, REGIONS, 12, 2, {}, short_south)
     assert found["w1"] == 2
-    near = dataclasses.replace(REGIONS, latency_fraction=0.19)
-    found = engine_firm.spread(SCALING, near, 12, 2, {}, lacking_south)
+    below_limit = dataclasses.replace(REGIONS, latency_fraction=0.19)
+    found = engine_firm.spread(SCALING, below_limit, 12, 2, {}, short_south)
     assert found["s2"] == 2
-    far = dataclasses.replace(REGIONS, latency_fraction=0.5)
-    assert engine_firm.spread(SCALING, far, 12, 2, {}, lacking_south)["s2"] == 2
+    above_limit = dataclasses.replace(REGIONS, latency_fraction=0.5)
+    assert engine_firm.spread(SCALING, above_limit, 12, 2, {}, short_south)["s2"] == 2
 
 
 def test_one_region_is_spread_evenly():
--- a/plumarch/fleet/engine_replay_test.py
+++ b/plumarch/fleet/engine_replay_test.py
@@ -84,12 +84,13 @@
         for endpoint in cloud.endpoints():
             if endpoint.state is traffic.EndpointState.READY:
                 run[REGION_OF[endpoint.data_centre]] += 1
-        part = STEP_MS / 1_000.0
-        asked += sum(now.values()) * part
+        step_s = STEP_MS / 1_000.0
+        asked += sum(now.values()) * step_s
         missing += (
-            max(0.0, sum(now.values()) * engine_plan.MIN_READY_FRACTION - sum(run.values())) * part
+            max(0.0, sum(now.values()) * engine_plan.MIN_READY_FRACTION - sum(run.values()))
+            * step_s
         )
-        remote += sum(max(0.0, many - run[region]) for region, many in now.items()) * part
+        remote += sum(max(0.0, many - run[region]) for region, many in now.items()) * step_s
         cloud.advance(STEP_MS)
     return Outcome(cloud.paid, cloud.paid_firm, missing, remote, asked, cloud.started)
 
--- a/plumarch/fleet/engine_reserve.py
+++ b/plumarch/fleet/engine_reserve.py
@@ -83,9 +83,9 @@
     """
     largest = sorted(counts, reverse=True)
     lost = min(lost, max(0, len(largest) - 1))
-    whole = int(lost)
-    partly = (lost - whole) * largest[whole] if whole < len(largest) else 0.0
-    return sum(largest[whole:]) - partly
+    complete = int(lost)
+    partly = (lost - complete) * largest[complete] if complete < len(largest) else 0.0
+    return sum(largest[complete:]) - partly
 
 
 def _local_minimum(sites: tuple[Site, ...], needed: int) -> dict[str, int]:
@@ -124,8 +124,8 @@
             open_sites = [site for site in own if counts[site.name] < site.maximum]
             if not open_sites:
                 break
-            least = min(open_sites, key=lambda one: (counts[one.name], one.price, one.name))
-            counts[least.name] += 1
+            smallest = min(open_sites, key=lambda one: (counts[one.name], one.price, one.name))
+            counts[smallest.name] += 1
     return counts
 
 
--- a/plumarch/fleet/engine_reserve_test.py
+++ b/plumarch/fleet/engine_reserve_test.py
@@ -75,13 +75,13 @@
 
 
 def test_the_reserve_is_placed_where_it_is_cheap():
-    dear_sister = engine_reserve.placement(
+    expensive_sibling = engine_reserve.placement(
         sites(prices=(1.0, 3.0, 1.0, 1.0, 1.0, 1.0)), 15, LOST, 0.1
     )
-    cheap_sister = engine_reserve.placement(
+    cheap_sibling = engine_reserve.placement(
         sites(prices=(1.0, 0.3, 1.0, 1.0, 1.0, 1.0)), 15, LOST, 0.1
     )
-    assert dict(dear_sister.counts)["n1"] < dict(cheap_sister.counts)["n1"]
+    assert dict(expensive_sibling.counts)["n1"] < dict(cheap_sibling.counts)["n1"]
 
 
 def test_growing_the_largest_data_centre_adds_no_survivors():
--- a/plumarch/fleet/orders.py
+++ b/plumarch/fleet/orders.py
@@ -118,8 +118,8 @@
         if any(order.state is State.WRITTEN for order in self.book.orders):
             return
         kept = tuple(order for order in self.book.orders if self._awaits_list(order, listed))
-        room = ORDERS_LIMIT - len(kept)
-        fresh = tuple(self._new_order(change) for change in changes[:room])
+        free = ORDERS_LIMIT - len(kept)
+        fresh = tuple(self._new_order(change) for change in changes[:free])
         if fresh or kept != self.book.orders:
             self._write(dataclasses.replace(self.book, orders=kept + fresh))
 
--- a/plumarch/fleet/version_verdict.py
+++ b/plumarch/fleet/version_verdict.py
@@ -104,9 +104,9 @@
     found = []
     for row in _EXCESS_LOGS:
         logs = [bad * log + good * rest for log, rest in row]
-        most = max(logs)
-        mean = sum(w * math.exp(one - most) for w, one in zip(weights, logs, strict=True))
-        found.append(most + math.log(max(mean / total, MIN_LIKELIHOOD)))
+        row_max = max(logs)
+        mean = sum(w * math.exp(one - row_max) for w, one in zip(weights, logs, strict=True))
+        found.append(row_max + math.log(max(mean / total, MIN_LIKELIHOOD)))
     return found
 
 
