--- a/bench/heartbeats.py
+++ b/bench/heartbeats.py
@@ -70,7 +70,7 @@
         name = f"space{int(rng.random() ** 2 * size.workspaces):04}"
         assert state.table is not None
         state.quota.admit(state.table.workspaces[name], rng.uniform(200, 9_000))
-        state.usage.began(name, state.wall.now())
+        state.usage.started(name, state.wall.now())
     running = int(share * RUNNING_S) + 1
     state.chooser.own = {
         f"i-{rng.randrange(size.endpoints):010x}": endpoint_choice.Load(1, rng.uniform(0, 5_000))
--- a/plumarch/fleet/usage.py
+++ b/plumarch/fleet/usage.py
@@ -27,7 +27,7 @@
     own: dict[int, collections.Counter[str]] = dataclasses.field(default_factory=dict)
     heard: dict[str, dict[int, dict[str, int]]] = dataclasses.field(default_factory=dict)
 
-    def began(self, workspace: str, wall_ms: float) -> None:
+    def started(self, workspace: str, wall_ms: float) -> None:
         """Count a request that started at a wall-clock time."""
         window = self.window_at(wall_ms)
         self.own.setdefault(window, collections.Counter())[workspace] += 1
--- a/plumarch/gateway/dispatch/attempts.py
+++ b/plumarch/gateway/dispatch/attempts.py
@@ -494,7 +494,7 @@
 def count_began(state: fleet_state.FleetState, admitted: admission.Admitted) -> None:
     """Count the request as one that began to run."""
     if admitted.workspace is not None:
-        state.usage.began(admitted.workspace.name, state.wall.now())
+        state.usage.started(admitted.workspace.name, state.wall.now())
 
 
 def was_lost(attempt: Attempt) -> bool:
--- a/plumarch/gateway/duties/duty_holder_test.py
+++ b/plumarch/gateway/duties/duty_holder_test.py
@@ -200,7 +200,7 @@
     elif name == "thaw":
         node.frozen = False
     elif name == "begin":
-        node.state.usage.began("w", world.time.now())
+        node.state.usage.started("w", world.time.now())
     else:
         pass_time(world, 700)
 
@@ -239,7 +239,7 @@
 def test_counts_of_a_node_that_is_gone_are_reported():
     world = World(1)
     pass_time(world, 3_000)
-    world.nodes[2].state.usage.began("w", world.time.now())
+    world.nodes[2].state.usage.started("w", world.time.now())
     window = world.time.now() // WINDOW_MS
     pass_time(world, 300)
     world.nodes[2].frozen = True
@@ -452,7 +452,7 @@
     world = World(1)
     node = world.nodes[0]
     for number in range(200):
-        node.state.usage.began(f"workspace-{number % 5}", world.time.now())
+        node.state.usage.started(f"workspace-{number % 5}", world.time.now())
     assert (
         len(gossip.encoder.encode(node.gossiper.composer.next(leaving=False)))
         < gossip.DATAGRAM_LIMIT
--- a/plumarch/gateway/duties/suspended_duties_test.py
+++ b/plumarch/gateway/duties/suspended_duties_test.py
@@ -74,7 +74,7 @@
         self.holder.frozen = True
         for _ in range(TICKS):
             self.holder.state.suspensions.look()
-            self.holder.state.usage.began("w", self.world.time.now())
+            self.holder.state.usage.started("w", self.world.time.now())
             duties_test.pass_time(self.world, TICK_MS)
             self.run_step(self.holder.duties.step)
 
--- a/plumarch/gateway/duties/usage_windows_test.py
+++ b/plumarch/gateway/duties/usage_windows_test.py
@@ -62,7 +62,7 @@
         self.fleet = gossip_fleet.GossipFleet(size, seed, knows_all=False, starts=starts)
         self.platform = Platform()
         self.rng = random.Random(seed)
-        self.began: collections.Counter[int] = collections.Counter()
+        self.started: collections.Counter[int] = collections.Counter()
         self.duties: dict[str, duty_holder.Duties] = {}
         self.run(SETTLE_MS)
 
@@ -72,8 +72,8 @@
             now = self.fleet.time.now()
             nodes = [node for node in self.fleet.live() if not node.frozen]
             for node in self.rng.choices(nodes, k=REQUESTS_PER_STEP):
-                node.state.usage.began("w0", now)
-                self.began[now // WINDOW_MS] += 1
+                node.state.usage.started("w0", now)
+                self.started[now // WINDOW_MS] += 1
             for node in nodes:
                 self.step(node)
 
@@ -108,10 +108,10 @@
         first = (gossip_fleet.START_MS + SETTLE_MS) // WINDOW_MS + 1
         last = (self.fleet.time.now() - DUE_MS) // WINDOW_MS - 1
         off = {
-            window: (self.platform.reports.get(window), self.began[window])
+            window: (self.platform.reports.get(window), self.started[window])
             for window in range(first, last + 1)
-            if abs(self.platform.reports.get(window, {}).get("w0", 0) - self.began[window])
-            > TOLERATED * self.began[window]
+            if abs(self.platform.reports.get(window, {}).get("w0", 0) - self.started[window])
+            > TOLERATED * self.started[window]
         }
         assert last >= first
         assert not off
--- a/plumarch/gateway/gossip/coordinators_test.py
+++ b/plumarch/gateway/gossip/coordinators_test.py
@@ -129,7 +129,7 @@
     fleet = gossip_fleet.GossipFleet(gossip_fleet.Size(3, 12))
     now = fleet.time.now()
     for node in fleet.live():
-        node.state.usage.began("w0", now)
+        node.state.usage.started("w0", now)
         node.state.chooser.own["e"] = endpoint_choice.Load(1, 0.0)
     fleet.run(1_500)
     for node in fleet.with_role(tiers.Role.COORDINATOR):
--- a/plumarch/gateway/gossip/gossiper_test.py
+++ b/plumarch/gateway/gossip/gossiper_test.py
@@ -118,7 +118,7 @@
         await pair.until(lambda: bool(pair.one.view.live() and pair.two.view.live()))
         state = pair.one.state
         state.chooser.own["e"] = endpoint_choice.Load(2, 300.0)
-        state.usage.began("w", state.wall.now())
+        state.usage.started("w", state.wall.now())
         state.quota.admit(table(7).workspaces["w"], 5.0)
         other = pair.two.state
         await pair.until(lambda: other.chooser.load("e").running == 2)
--- a/plumarch/gateway/gossip/large_fleet_test.py
+++ b/plumarch/gateway/gossip/large_fleet_test.py
@@ -211,7 +211,7 @@
     coordinator = fleet.with_role(tiers.Role.COORDINATOR)[0]
     now = fleet.time.now()
     for node in fleet.live():
-        node.state.usage.began("w0", now)
+        node.state.usage.started("w0", now)
     fleet.run(2_500)
     window = coordinator.state.usage.window_at(now)
     assert coordinator.state.usage.total(window) == {"w0": 36}
--- a/plumarch/gateway/gossip/usage_report_test.py
+++ b/plumarch/gateway/gossip/usage_report_test.py
@@ -35,7 +35,7 @@
     now = fleet.time.now()
     coordinators = fleet.with_role(tiers.Role.COORDINATOR)
     for node in coordinators:
-        node.state.usage.began("w0", now)
+        node.state.usage.started("w0", now)
     fleet.run(1_200)
     for node in coordinators:
         if node.data_centre == "dc-a":
