--- a/plumarch/fleet/engine_regions.py
+++ b/plumarch/fleet/engine_regions.py
@@ -106,7 +106,7 @@
     """Return spot counts that release endpoints only once their replacements run elsewhere.
 
     Args:
-      coming: endpoints that run or boot, by data centre.
+      pending: endpoints that run or boot, by data centre.
     """
     run = sum(ready.get(engine_pools.Pool(name, True), 0) for name in counts)
     spare = max(0, run - sum(counts.values()))
@@ -128,7 +128,7 @@
     Otherwise firm endpoints would be ordered beside them and released right after.
 
     Args:
-      coming: endpoints that run or boot, by data centre.
+      pending: endpoints that run or boot, by data centre.
     """
     found = dict(pending)
     for name, count in wanted.items():
