--- a/plumarch/fleet/decider.py
+++ b/plumarch/fleet/decider.py
@@ -1,4 +1,4 @@
-"""From what a region's nodes report to a plan for each target, when this node decides."""
+"""Plans the VMs of each target from the demand that a region's nodes report."""
 
 import dataclasses
 
@@ -10,10 +10,10 @@
 from plumarch.routing import placement
 
 PEAK_MS = 60_000
-"""Demand is the highest of this long: VMs take about as long to start."""
+"""Window of peak demand; VMs take about as long to start."""
 
 RECLAIM_MEMORY_MS = 6 * 3_600_000
-"""Reclaims seen in this long make up a class's rate."""
+"""Window of reclaims that make up a class's rate."""
 
 MUST_NOT_WAIT = frozenset({data.RequestClass.LOOKUP, data.RequestClass.CHAT})
 MS_PER_H = 3_600_000
@@ -21,29 +21,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """A target's demand in the region at one time."""
+    """A target's demand in the region at a time."""
 
     at_ms: int
-    places: int
-    must_not_wait: int
+    requests: int
+    urgent: int
 
 
 class Decider:
-    """Demand, prices and reclaims as this node knows them, and the plan from these."""
+    """Collects demand, prices and reclaims, and derives the plan."""
 
     def __init__(
         self,
         ctx: context.Context,
         membership: members.Membership,
         table: runs.RunTable,
-        places: placement.Placement,
+        endpoint_placement: placement.Placement,
         config: config_state.ConfigState,
         book: orders.Orders,
     ) -> None:
         self.ctx = ctx
         self.membership = membership
         self.table = table
-        self.places = places
+        self.placement = endpoint_placement
         self.config = config
         self.orders = book
         self.offers: tuple[data.Offer, ...] = ()
@@ -51,7 +51,7 @@
         self.reclaims: list[tuple[int, str, str]] = []
 
     def own_demand(self) -> list[tuple[str, int, int]]:
-        """Return this node's demand by target: places, and those that must not wait."""
+        """Return this node's concurrent requests by target: all, and the urgent ones."""
         found: dict[str, list[int]] = {}
         for run in self.table.active.values():
             if run.phase not in (runs.Phase.QUEUED, runs.Phase.RUNNING):
@@ -62,7 +62,7 @@
         return [(target, total, urgent) for target, (total, urgent) in sorted(found.items())]
 
     def observe(self) -> None:
-        """Add the region's demand now to the samples."""
+        """Add a sample of the region's demand."""
         now = self.ctx.now()
         totals: dict[str, list[int]] = {}
         reports = [self.own_demand()]
@@ -81,36 +81,36 @@
                 del self.samples[target]
 
     def demand(self, target: str) -> plan.Demand:
-        """Return the highest demand for a target of the last PEAK_MS."""
+        """Return the peak demand for a target over PEAK_MS."""
         samples = self.samples.get(target, [])
-        places = max((s.places for s in samples), default=0)
-        urgent = max((s.must_not_wait for s in samples), default=0)
-        return plan.Demand(target, float(places), float(urgent))
+        requests = max((s.requests for s in samples), default=0)
+        urgent = max((s.urgent for s in samples), default=0)
+        return plan.Demand(target, float(requests), float(urgent))
 
     def reclaimed(self, name: str) -> None:
-        """Remember that a VM was reclaimed."""
-        endpoint = self.places.endpoints.get(name)
+        """Record that a VM was reclaimed."""
+        endpoint = self.placement.endpoints.get(name)
         if endpoint is not None:
             self.reclaims.append((self.ctx.now(), endpoint.data_centre, endpoint.vm_class))
             del self.reclaims[:-1_000]
 
     def _reclaims_per_h(self, offer: data.Offer) -> float:
-        """Return how often a VM of a class was reclaimed an hour, of late."""
+        """Return the recent hourly reclaims per VM of a class."""
         now = self.ctx.now()
         count = sum(
             1
             for at, centre, name in self.reclaims
             if (centre, name) == (offer.data_centre, offer.name) and now - at <= RECLAIM_MEMORY_MS
         )
-        held = sum(
+        vms = sum(
             1
-            for e in self.places.endpoints.values()
+            for e in self.placement.endpoints.values()
             if (e.data_centre, e.vm_class) == (offer.data_centre, offer.name)
         )
-        return count / max(1, held) / (RECLAIM_MEMORY_MS / MS_PER_H)
+        return count / max(1, vms) / (RECLAIM_MEMORY_MS / MS_PER_H)
 
     def classes(self) -> list[plan.VmClass]:
-        """Return what the cloud sells, with the reclaim rates seen."""
+        """Return the classes on offer with their reclaim rates."""
         return [
             plan.VmClass(
                 offer.name,
@@ -123,29 +123,31 @@
             for offer in self.offers
         ]
 
-    def held(self, target: str) -> list[plan.Held]:
-        """Return a target's VMs, those that are ordered and not listed yet included."""
+    def vms(self, target: str) -> list[plan.FleetVm]:
+        """Return a target's VMs, including those ordered and not listed yet."""
         found = [
-            plan.Held(
+            plan.FleetVm(
                 e.name,
                 target,
                 e.data_centre,
                 e.vm_class,
                 e.capacity,
                 e.price,
-                self.places.load(e.name),
-                e.name in self.places.leaving or e.state is not data.EndpointState.LIVE,
+                self.placement.load(e.name),
+                e.name in self.placement.leaving or e.state is not data.EndpointState.LIVE,
             )
-            for _, e in sorted(self.places.endpoints.items())
+            for _, e in sorted(self.placement.endpoints.items())
             if target in e.targets
         ]
         capacity = {(o.data_centre, o.name): o.capacity for o in self.offers}
-        for order in self.orders.on_their_way():
-            if order.target != target or order.name in self.places.endpoints:
+        for order in self.orders.pending_starts():
+            if order.target != target or order.name in self.placement.endpoints:
                 continue
             centre = order.data_centre
-            places = capacity.get((centre, order.vm_class), 0)
-            found.append(plan.Held(order.token, target, centre, order.vm_class, places, 0.0, 1))
+            vm_capacity = capacity.get((centre, order.vm_class), 0)
+            found.append(
+                plan.FleetVm(order.token, target, centre, order.vm_class, vm_capacity, 0.0, 1)
+            )
         return found
 
     def targets(self) -> list[str]:
@@ -157,7 +159,7 @@
         return sorted(found)
 
     def _centres(self, target: str) -> list[str]:
-        """Return the data centres that a target's workspaces allow and the cloud sells in."""
+        """Return the data centres allowed by a target's workspaces that have offers."""
         sold = {offer.data_centre for offer in self.offers}
         allowed: set[str] = set()
         for workspace in self.config.workspaces.values():
@@ -166,7 +168,7 @@
         return sorted(sold & (allowed or sold))
 
     def changes(self) -> list[plan.Change]:
-        """Return what to change now, over all targets."""
+        """Return the changes due for all targets."""
         found: list[plan.Change] = []
         refusals = list(self.orders.book.refusals) if self.orders.book else []
         for target in self.targets():
@@ -177,20 +179,20 @@
                 self.demand(target),
                 centres,
                 self.classes(),
-                self.held(target),
+                self.vms(target),
                 refusals,
                 self.ctx.now(),
             )
         return found
 
     def wanted(self) -> list[tuple[str, str, int, int]]:
-        """Return target, data centre, places wanted and places held, for operators."""
+        """Return rows of target, data centre, wanted and present capacity, for operators."""
         rows = []
         for target in self.targets():
             centres = self._centres(target)
-            wanted = plan.wanted_places(self.demand(target), centres) if centres else {}
-            held = self.held(target)
-            for centre, places in wanted.items():
-                have = sum(v.capacity for v in held if v.data_centre == centre and not v.leaving)
-                rows.append((target, centre, places, have))
+            wanted = plan.wanted_capacity(self.demand(target), centres) if centres else {}
+            vms = self.vms(target)
+            for centre, capacity in wanted.items():
+                have = sum(v.capacity for v in vms if v.data_centre == centre and not v.leaving)
+                rows.append((target, centre, capacity, have))
         return rows
--- a/plumarch/fleet/duty_lease.py
+++ b/plumarch/fleet/duty_lease.py
@@ -1,9 +1,7 @@
-"""One holder of the duties at a time, by a conditional write; its fencing token only rises.
+"""Record of the duty lease: holder, fencing token and usage windows.
 
-The record names the holder, its incarnation, the token, and the usage windows that were
-summed up. Time decides only when another node tries; that two never act under one token
-follows from the conditional write alone, and that an old holder's calls do nothing from the
-token that the platform checks.
+Conditional writes ensure that no two nodes act under one token, whatever the clocks say; the
+platform ignores calls with an older token.
 """
 
 import dataclasses
@@ -14,14 +12,14 @@
 
 KIND = "plumarch-duties"
 NAME = "holder"
-WINDOWS_KEPT = 6
+RETAINED_WINDOWS = 6
 
 
 class RolloutRecord(msgspec.Struct, frozen=True):
-    """How far a roll-out is.
+    """Progress of a roll-out.
 
     Attributes:
-      began_ms: time of day at which its order was first seen.
+      began_ms: wall-clock time at which its order was first seen.
       stage: as of fleet.rollout.
     """
 
@@ -32,14 +30,14 @@
 
 
 class DutyRecord(msgspec.Struct, frozen=True):
-    """The duties' record in the store.
+    """The duty record in the store.
 
     Attributes:
       token: the holder's fencing token.
-      windows: counts of the newest usage windows, fixed before they are reported.
-      sizes: endpoints that each service had at the first start.
+      windows: counts of the newest usage windows, stored before they are reported.
+      sizes: endpoints that each service needs, for the next holder.
       rollouts: the last roll-out of each service.
-      renewals: how often a holder wrote it only to show that it lives.
+      renewals: number of writes that only renewed the lease.
     """
 
     holder: str
@@ -52,102 +50,102 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeldRecord:
-    """A record as it was read or written last."""
+class StoredRecord:
+    """A record with its revision in the store."""
 
     record: DutyRecord
     revision: int
 
 
-def decode(found: records.Record | None) -> HeldRecord | None:
-    """Read a record.
+def decode(found: records.Record | None) -> StoredRecord | None:
+    """Decode a record from the store.
 
     Raises:
-      msgspec.DecodeError: its value is not a record.
+      msgspec.DecodeError: the value is not a duty record.
     """
     if found is None:
         return None
-    return HeldRecord(msgspec.json.decode(found.value, type=DutyRecord), found.revision)
+    return StoredRecord(msgspec.json.decode(found.value, type=DutyRecord), found.revision)
 
 
-def encode(held: HeldRecord) -> records.Record:
-    """Return a record as the store takes it, to be written under its revision."""
-    value = msgspec.json.encode(held.record).decode()
-    return records.Record(NAME, value, held.revision)
+def encode(stored: StoredRecord) -> records.Record:
+    """Encode a record for a conditional write at its revision."""
+    value = msgspec.json.encode(stored.record).decode()
+    return records.Record(NAME, value, stored.revision)
 
 
-def taken_over(found: HeldRecord | None, node: str, incarnation: int) -> HeldRecord:
-    """Return the record that makes a node the holder, in place of the one found."""
+def taken_over(found: StoredRecord | None, node: str, incarnation: int) -> StoredRecord:
+    """Return the record that makes a node the holder under the next token."""
     if found is None:
-        return HeldRecord(DutyRecord(node, incarnation, 1), 0)
-    taken = msgspec.structs.replace(
+        return StoredRecord(DutyRecord(node, incarnation, 1), 0)
+    successor = msgspec.structs.replace(
         found.record, holder=node, incarnation=incarnation, token=found.record.token + 1
     )
-    return HeldRecord(taken, found.revision)
+    return StoredRecord(successor, found.revision)
 
 
 def with_window(
-    held: HeldRecord, window: int, counts: dict[str, int], sizes: dict[str, int]
-) -> HeldRecord:
-    """Return the record with a window's counts, unless the window stands there already.
+    stored: StoredRecord, window: int, counts: dict[str, int], sizes: dict[str, int]
+) -> StoredRecord:
+    """Return the record with a window's counts, unless it has counts of that window.
 
     Args:
-      sizes: endpoints that services need now, for a holder that comes next.
+      sizes: endpoints that services need now, for the next holder.
     """
-    windows = dict(held.record.windows)
+    windows = dict(stored.record.windows)
     windows.setdefault(str(window), counts)
-    newest = sorted(windows, key=int)[-WINDOWS_KEPT:]
+    newest = sorted(windows, key=int)[-RETAINED_WINDOWS:]
     record = msgspec.structs.replace(
-        held.record,
+        stored.record,
         windows={number: windows[number] for number in newest},
-        sizes={**held.record.sizes, **sizes},
+        sizes={**stored.record.sizes, **sizes},
     )
-    return HeldRecord(record, held.revision)
+    return StoredRecord(record, stored.revision)
 
 
-def with_rollout(held: HeldRecord, service: str, rollout: RolloutRecord) -> HeldRecord:
-    """Return the record with how far a service's roll-out is."""
-    rollouts = {**held.record.rollouts, service: rollout}
-    return HeldRecord(msgspec.structs.replace(held.record, rollouts=rollouts), held.revision)
+def with_rollout(stored: StoredRecord, service: str, rollout: RolloutRecord) -> StoredRecord:
+    """Return the record with the progress of a service's roll-out."""
+    rollouts = {**stored.record.rollouts, service: rollout}
+    return StoredRecord(msgspec.structs.replace(stored.record, rollouts=rollouts), stored.revision)
 
 
-def renewed(held: HeldRecord) -> HeldRecord:
-    """Return the record as a holder writes it to show that it lives."""
-    record = msgspec.structs.replace(held.record, renewals=held.record.renewals + 1)
-    return HeldRecord(record, held.revision)
+def renewed(stored: StoredRecord) -> StoredRecord:
+    """Return the record that renews the lease."""
+    record = msgspec.structs.replace(stored.record, renewals=stored.record.renewals + 1)
+    return StoredRecord(record, stored.revision)
 
 
 @dataclasses.dataclass(slots=True)
 class RecordWatch:
-    """Since when a record stands unchanged, by one who looks at it again and again.
+    """Tracks for how long a record has stayed unchanged.
 
     Attributes:
-      revision: of the record when it was seen last.
-      since_ms: when it was seen first.
-      looked_ms: when it was looked at last.
+      revision: at the last check.
+      since_ms: when this revision was first seen.
+      checked_ms: time of the last check.
     """
 
     revision: int = -1
     since_ms: int = 0
-    looked_ms: int = 0
+    checked_ms: int = 0
 
-    def unchanged_ms(self, held: HeldRecord, now: int, pause_ms: int) -> int:
-        """Look at the record.
+    def unchanged_ms(self, stored: StoredRecord, now: int, pause_ms: int) -> int:
+        """Check the record.
 
         Args:
-          pause_ms: after a longer pause between two looks the time counts anew.
+          pause_ms: a longer pause between two checks restarts the time.
         Returns:
-          For how long it is known to stand unchanged.
+          The time for which it is known to be unchanged.
         """
-        if held.revision != self.revision or now - self.looked_ms > pause_ms:
-            self.revision = held.revision
+        if stored.revision != self.revision or now - self.checked_ms > pause_ms:
+            self.revision = stored.revision
             self.since_ms = now
-        self.looked_ms = now
+        self.checked_ms = now
         return now - self.since_ms
 
 
-def is_mine(held: HeldRecord | None, node: str, incarnation: int) -> bool:
-    """Return whether a record names a process as the holder."""
-    if held is None:
+def is_mine(stored: StoredRecord | None, node: str, incarnation: int) -> bool:
+    """Return whether a record names this process as the holder."""
+    if stored is None:
         return False
-    return held.record.holder == node and held.record.incarnation == incarnation
+    return stored.record.holder == node and stored.record.incarnation == incarnation
--- a/plumarch/fleet/engine_regions.py
+++ b/plumarch/fleet/engine_regions.py
@@ -1,7 +1,4 @@
-"""Counts of endpoints by data centre where these lie in several regions.
-
-Pure functions over what the plan knows: what is needed, what runs or is coming, what was refused.
-"""
+"""Endpoint counts by data centre for services whose data centres lie in several regions."""
 
 import dataclasses
 import math
@@ -13,11 +10,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Loss:
-    """A loss to be covered.
+    """A loss of data centres to be covered.
 
     Attributes:
-      left: endpoints that are to be left.
-      data_centres: how many may be lost.
+      left: endpoints that must survive.
+      data_centres: how many are lost at once.
     """
 
     left: int
@@ -35,26 +32,26 @@
     refused: frozenset[str] = frozenset(),
     next_loss: Loss = NO_LOSS,
 ) -> dict[str, int]:
-    """Return reclaimable endpoints by data centre, what is needed and a reserve.
+    """Return spot endpoints by data centre: those needed and a reserve.
 
-    While some data centres have none, the others hold what is needed and a reserve among
-    themselves: these come as soon as firm ones would, and cost a fraction of them.
+    While some data centres refuse, the others carry the need and the reserve without them: spot
+    endpoints boot as fast as firm ones and are cheaper.
 
     Args:
       lost: data centres that may be lost at once.
-      refused: data centres that had no reclaimable ones lately.
-      next_loss: what is to be left of others that are lost while some are refused.
+      refused: data centres that refused spot orders recently.
+      next_loss: what must survive a further loss while some refuse.
     """
-    counts = dict(_placed(scaling, regions, needed, lost, frozenset()).counts)
+    counts = dict(_placement(scaling, regions, needed, lost, frozenset()).counts)
     if not refused or len(refused) == len(scaling.prices):
         return counts
-    for least, gone in ((needed, lost), (next_loss.left, next_loss.data_centres)):
-        for name, count in _placed(scaling, regions, least, gone, refused).counts:
+    for minimum, lost_centres in ((needed, lost), (next_loss.left, next_loss.data_centres)):
+        for name, count in _placement(scaling, regions, minimum, lost_centres, refused).counts:
             counts[name] = max(counts[name], count)
     return counts
 
 
-def _placed(
+def _placement(
     scaling: traffic.Scaling,
     regions: region_demand.RegionView,
     needed: int,
@@ -62,7 +59,7 @@
     without: frozenset[str],
 ) -> engine_reserve.Placement:
     prices = {name: price for name, price in scaling.prices.items() if name not in without}
-    shares = regions.shares_of(prices)
+    shares = regions.demand_shares(prices)
     sites = tuple(
         engine_reserve.Site(
             name,
@@ -74,103 +71,97 @@
         )
         for name, price in sorted(prices.items())
     )
-    return engine_reserve.placement(sites, needed, lost, regions.way)
+    return engine_reserve.placement(sites, needed, lost, regions.latency_fraction)
 
 
-def holds(
+def retain_running(
     regions: region_demand.RegionView,
     counts: Mapping[str, int],
     spot: bool,
     ready: Mapping[engine_pools.Pool, int],
-    given: Mapping[engine_pools.Pool, engine_pools.LastOrder],
+    last_orders: Mapping[engine_pools.Pool, engine_pools.LastOrder],
 ) -> dict[str, int]:
-    """Return counts that let nothing go in regions that are heard in part.
+    """Return counts that shrink nothing in partially reachable regions.
 
-    What was ordered there last is kept as well, so that it comes back after a reclaim.
+    There the last spot orders are kept as well, so that reclaimed endpoints are replaced.
 
     Args:
-      spot: which kind they are of.
+      spot: whether the counts are of spot endpoints.
     """
-    held = dict(counts)
+    retained = dict(counts)
     for name in counts:
         if regions.of(name) not in regions.partially_reachable:
             continue
-        place = engine_pools.Pool(name, spot)
-        ordered = given[place].count if spot and place in given else 0
-        held[name] = max(counts[name], ready.get(place, 0), ordered)
-    return held
+        pool = engine_pools.Pool(name, spot)
+        ordered = last_orders[pool].count if spot and pool in last_orders else 0
+        retained[name] = max(counts[name], ready.get(pool, 0), ordered)
+    return retained
 
 
-def let_go_last(
+def release_after_replacement(
     counts: Mapping[str, int],
     ready: Mapping[engine_pools.Pool, int],
-    coming: Mapping[str, int],
+    pending: Mapping[str, int],
 ) -> dict[str, int]:
-    """Return reclaimable counts that let only those go in whose place as many run elsewhere.
+    """Return spot counts that release endpoints only once their replacements run elsewhere.
 
     Args:
-      coming: those that run or boot, by data centre.
+      pending: endpoints that run or boot, by data centre.
     """
     run = sum(ready.get(engine_pools.Pool(name, True), 0) for name in counts)
     spare = max(0, run - sum(counts.values()))
-    kept = dict(counts)
-    for name in sorted(counts, key=lambda name: (counts[name] - coming[name], name)):
-        excess = max(0, coming[name] - counts[name])
-        kept[name] += max(0, excess - spare)
+    retained_counts = dict(counts)
+    for name in sorted(counts, key=lambda name: (counts[name] - pending[name], name)):
+        excess = max(0, pending[name] - counts[name])
+        retained_counts[name] += max(0, excess - spare)
         spare -= min(excess, spare)
-    return kept
+    return retained_counts
 
 
-def with_ordered_now(
-    coming: Mapping[str, int],
+def with_new_orders(
+    pending: Mapping[str, int],
     wanted: Mapping[str, int],
-    given: Mapping[engine_pools.Pool, engine_pools.LastOrder],
+    last_orders: Mapping[engine_pools.Pool, engine_pools.LastOrder],
 ) -> dict[str, int]:
-    """Return reclaimable endpoints with those that are ordered in this moment.
+    """Return spot endpoints including those that are about to be ordered.
 
-    Without them firm ones were ordered beside them, and let go again a moment later.
+    Otherwise firm endpoints would be ordered beside them and released right after.
 
     Args:
-      coming: those that run or boot, by data centre.
-      wanted: those that are wanted now.
-      given: the last orders.
+      pending: endpoints that run or boot, by data centre.
     """
-    found = dict(coming)
+    found = dict(pending)
     for name, count in wanted.items():
-        last = given.get(engine_pools.Pool(name, True))
+        last = last_orders.get(engine_pools.Pool(name, True))
         if last is None or (last.count < count and not last.refused):
             found[name] = max(found[name], count)
     return found
 
 
-def lacking(
+def shortages(
     scaling: traffic.Scaling,
     regions: region_demand.RegionView,
     needed: int,
     here: Mapping[str, int],
 ) -> dict[str, int]:
-    """Return how many endpoints each region lacks of what its callers ask for.
+    """Return how many endpoints each region lacks for its local demand.
 
     Args:
       here: endpoints by data centre.
     """
     found = {}
-    for region, share in regions.shares_of(scaling.prices).items():
+    for region, share in regions.demand_shares(scaling.prices).items():
         own = sum(count for name, count in here.items() if regions.of(name) == region)
-        found[region] = math.floor(engine_reserve.LOCAL_PART * needed * share) - own
+        found[region] = math.floor(engine_reserve.LOCAL_FRACTION * needed * share) - own
     return found
 
 
 def firm_cost(
     regions: region_demand.RegionView, data_centre: str, price: float, lacks: Mapping[str, int]
 ) -> float:
-    """Return what a firm endpoint costs, with the way of the requests that it serves.
-
-    Args:
-      lacks: how many endpoints each region lacks.
-    """
+    """Return the price of a firm endpoint, weighted by the latency of the requests it serves."""
     if max(lacks.values(), default=0) <= 0 or lacks.get(regions.of(data_centre), 0) > 0:
         return price
-    if regions.way > engine_reserve.WAY_OF_TARGET:
+    if regions.latency_fraction > engine_reserve.MAX_LATENCY_FRACTION:
         return math.inf
-    return price * (1.0 + regions.way)
+    return price * (1.0 + regions.latency_fraction)
--- a/plumarch/fleet/engine_replay_test.py
+++ b/plumarch/fleet/engine_replay_test.py
@@ -1,4 +1,4 @@
-"""Replays of days: what plans pay for engines, and what is missing, by region or spread evenly."""
+"""Replays of demand that compare cost and shortage of regional plans and even spreading."""
 
 import dataclasses
 import math
@@ -16,7 +16,7 @@
 START_MS = 1_000_000
 DAY_S = 60
 STEP_MS = 250
-WAY = 0.12
+LATENCY_FRACTION = 0.12
 LATEST_FIRST_REQUEST_S = 6
 
 Demand = Callable[[int], Mapping[str, float]]
@@ -31,21 +31,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class Outcome:
-    """What a day cost.
+    """Result of a replay.
 
     Attributes:
       paid: weighted engine seconds.
-      firm: the part of them for firm ones.
-      missing: engine seconds that were asked for while fewer than half ran, over all regions.
-      away: engine seconds that were asked for in a region beyond what ran in it.
-      asked: all engine seconds that were asked for.
-      started: engines that were started.
+      firm: those of firm engines.
+      missing: engine seconds below MIN_READY_FRACTION of the demand, over all regions.
+      remote: engine seconds demanded in a region beyond those that ran in it.
+      asked: all engine seconds demanded.
+      started: engines started.
     """
 
     paid: float
     firm: float
     missing: float
-    away: float
+    remote: float
     asked: float
     started: int
 
@@ -53,10 +53,10 @@
 def replay(
     demand: Demand, reclaims: tuple[Reclaim, ...], by_region: bool, first: int = 4
 ) -> Outcome:
-    """Play a day.
+    """Replay a day.
 
     Args:
-      demand: engines asked for by region, at a second of the day.
+      demand: engines needed by region, at a second of the day.
       first: firm engines in each data centre at the start.
     """
     time = clock.ManualClock(START_MS)
@@ -64,7 +64,7 @@
     cloud.begin(dict.fromkeys(PRICES, first))
     plan = engine_plan.EnginePlan(time, "s", first_start=True)
     regions = region_demand.RegionDemand()
-    missing = away = asked = 0.0
+    missing = remote = asked = 0.0
     open_reclaims = sorted(reclaims, key=lambda one: one.at_s)
     for step in range(DAY_S * 1_000 // STEP_MS):
         second = step * STEP_MS / 1_000.0
@@ -76,24 +76,27 @@
             rate = regions.sample({one: 1_000.0 * many for one, many in now.items()}, frozenset())
             plan.sample_demand(rate / 1_000.0)
         if by_region:
-            plan.regions = regions.view(REGION_OF, WAY)
-        plan.learn(cloud.endpoints())
+            plan.regions = regions.view(REGION_OF, LATENCY_FRACTION)
+        plan.observe_endpoints(cloud.endpoints())
         for order in plan.orders(SCALING, cloud.endpoints()):
             plan.ordered(order, cloud.order(order))
         run: dict[str, float] = dict.fromkeys("nsw", 0.0)
         for endpoint in cloud.endpoints():
             if endpoint.state is traffic.EndpointState.READY:
                 run[REGION_OF[endpoint.data_centre]] += 1
-        part = STEP_MS / 1_000.0
-        asked += sum(now.values()) * part
-        missing += max(0.0, sum(now.values()) * engine_plan.FLOOR - sum(run.values())) * part
-        away += sum(max(0.0, many - run[region]) for region, many in now.items()) * part
+        step_s = STEP_MS / 1_000.0
+        asked += sum(now.values()) * step_s
+        missing += (
+            max(0.0, sum(now.values()) * engine_plan.MIN_READY_FRACTION - sum(run.values()))
+            * step_s
+        )
+        remote += sum(max(0.0, many - run[region]) for region, many in now.items()) * step_s
         cloud.advance(STEP_MS)
-    return Outcome(cloud.paid, cloud.paid_firm, missing, away, asked, cloud.started)
+    return Outcome(cloud.paid, cloud.paid_firm, missing, remote, asked, cloud.started)
 
 
 def waves(total: float, swing: float) -> Demand:
-    """Return a demand whose regions swing out of phase."""
+    """Return a demand whose regions oscillate out of phase."""
 
     def at(second: int) -> dict[str, float]:
         return {
@@ -105,7 +108,7 @@
 
 
 def moving(total: float) -> Demand:
-    """Return a demand of which most moves from one region to another, within 5 s."""
+    """Return a demand that shifts mostly from one region to another within 5 s."""
 
     def at(second: int) -> dict[str, float]:
         moved = min(1.0, max(0.0, (second - 25) / 5))
@@ -147,24 +150,24 @@
 
 
 @pytest.mark.parametrize("day", DAYS)
-def test_by_region_a_day_costs_less_than_spread_evenly(day: str):
+def test_regional_plans_cost_less_than_even_spreading(day: str):
     evenly, by_region = both(day)
     assert by_region.paid < evenly.paid, (evenly, by_region)
 
 
 @pytest.mark.parametrize("day", DAYS)
-def test_no_more_is_missing_than_what_three_losses_within_a_boot_take(day: str):
+def test_shortage_is_limited_to_three_losses_within_a_boot(day: str):
     _, by_region = both(day)
     least = 0.005 * by_region.asked if "several" in day else 0.0
     assert by_region.missing <= least, by_region
 
 
 @pytest.mark.parametrize("day", [day for day in DAYS if day.startswith("quiet")])
-def test_in_calm_times_regions_serve_their_callers_themselves(day: str):
+def test_calm_regions_serve_their_callers_locally(day: str):
     _, by_region = both(day)
-    assert by_region.away <= 0.04 * by_region.asked, by_region
+    assert by_region.remote <= 0.04 * by_region.asked, by_region
 
 
-def test_reclaimable_ones_elsewhere_come_in_place_of_firm_ones():
+def test_remote_spot_endpoints_replace_firm_ones():
     evenly, by_region = both("several-10")
     assert by_region.firm < 0.5 * evenly.firm
