--- a/bench/heartbeats.py
+++ b/bench/heartbeats.py
@@ -57,7 +57,9 @@
     node = gossiper.Gossiper(state, view, heartbeats.DutyStatus(), ())
     state.adopt_table(configured(size), "store")
     for number in range(size.nodes - 1):
-        view.heard(f"front-hall-b-{number}", 1_700_000_000_000, f"10.2.{number}.1:7600", "hall-b")
+        view.mark_seen(
+            f"front-hall-b-{number}", 1_700_000_000_000, f"10.2.{number}.1:7600", "hall-b"
+        )
     return node
 
 
--- a/plumarch/daemon/gateway.py
+++ b/plumarch/daemon/gateway.py
@@ -90,7 +90,7 @@
             self.view.shares_following,
         )
         self.quarantine = quarantine_record.QuarantineRecord(
-            self.state, store, self.view.is_oldest_candidate
+            self.state, store, self.view.is_most_senior_candidate
         )
         self.duties = duty_holder.Duties(
             self.state,
--- a/plumarch/daemon/status_pages.py
+++ b/plumarch/daemon/status_pages.py
@@ -85,7 +85,7 @@
         sizes["endpoints_with_announced_rate"] = len(self._limited())
         sizes["heard_fraction"] = state.quota.fraction
         sizes["data_centres_known"] = state.contact.known
-        sizes["data_centres_unheard"] = state.contact.unheard
+        sizes["data_centres_unheard"] = state.contact.unreachable
         sizes["data_centre_news_oldest_ms"] = state.contact.oldest_ms
         for data_centre in state.distances.measured:
             sizes[f"round_trip_ms:{data_centre}"] = state.distances.round_trip_ms(data_centre)
--- a/plumarch/daemon/status_pages_test.py
+++ b/plumarch/daemon/status_pages_test.py
@@ -72,7 +72,7 @@
     steady = clock.ManualClock(1_000)
     view = fleet_view.FleetView(steady, "n", 1_764_720_000_000, "10.0.0.9:7", "a")
     for number, name in enumerate(("", "", "later")):
-        peer = view.heard(f"m{number}", 1_764_730_000_000 + number, f"10.0.0.{number}:7", "a")
+        peer = view.mark_seen(f"m{number}", 1_764_730_000_000 + number, f"10.0.0.{number}:7", "a")
         assert peer is not None
         peer.build = name
     metrics = page(b"/metrics", gateway_parts.new_state(steady))
--- a/plumarch/gateway/centre_contact.py
+++ b/plumarch/gateway/centre_contact.py
@@ -14,5 +14,5 @@
     """
 
     known: int = 0
-    unheard: int = 0
+    unreachable: int = 0
     oldest_ms: int = 0
--- a/plumarch/gateway/duties/duty_holder.py
+++ b/plumarch/gateway/duties/duty_holder.py
@@ -162,11 +162,11 @@
         """Do what is due now."""
         self.engines.keep_plans()
         self.status.candidate = (
-            self.state.clock.now() >= self.no_candidate_before_ms and self.view.sees_fleet()
+            self.state.clock.now() >= self.no_candidate_before_ms and self.view.has_full_view()
         )
         if self.status.token and self.view.role is tiers.Role.MEMBER:
             self._resign("no coordinator any more", DISPLACED_PAUSE_MS)
-        if self.rollouts.stop_bad_versions(self.view.sees_fleet()):
+        if self.rollouts.stop_bad_versions(self.view.has_full_view()):
             self.tell_soon()
         if not self.tasks.usage and not self.tasks.scaling and not self.rollouts.enabled():
             return
@@ -276,7 +276,7 @@
     async def _maybe_take_over(self) -> None:
         if self.state.clock.now() < self.not_before_ms or self.view.has_holder():
             return
-        if not self.view.is_oldest_candidate():
+        if not self.view.is_most_senior_candidate():
             return
         asked_ms = self.state.clock.now()
         self.not_before_ms = asked_ms + TRY_PAUSE_MS
@@ -408,12 +408,12 @@
 
     def _all_heard_since(self, window: int, ago_ms: int) -> bool:
         """Return whether each node that may exist told its counts since a window's end."""
-        if self.view.unheard_centres():
+        if self.view.unreachable_centres():
             return False
         now = self.state.clock.now()
         two_beats = heartbeats.USAGE_EVERY * max(gossiper.BEAT_MS, self.view.interval_ms)
         last_seen_ms = [
-            peer.last_seen_ms for peer in self.view.known_directly() if peer.incarnation
+            peer.last_seen_ms for peer in self.view.direct_peers() if peer.incarnation
         ] + [centre.usage_reported_ms.get(window) for centre in self.view.centres.values()]
         return all(at is not None and now - at < ago_ms - two_beats for at in last_seen_ms)
 
--- a/plumarch/gateway/duties/engine_orders.py
+++ b/plumarch/gateway/duties/engine_orders.py
@@ -67,7 +67,7 @@
     def _sample_demand(self) -> None:
         """Take in what the last second asked for, on a node that is told of all requests."""
         now = self.state.clock.now()
-        if not self.view.sees_fleet():
+        if not self.view.has_full_view():
             # Members know the level of an allotment, not what was charged to it.
             self.sampled_ms = 0
             self.regions.forget()
--- a/plumarch/gateway/duties/rollout_duty.py
+++ b/plumarch/gateway/duties/rollout_duty.py
@@ -211,13 +211,13 @@
 
     # As any node.
 
-    def stop_bad_versions(self, sees_fleet: bool) -> bool:
+    def stop_bad_versions(self, has_full_view: bool) -> bool:
         """Stop versions that are bad by what this node knows.
 
         Returns:
           Whether it stopped one.
         """
-        certain = version_verdict.CERTAINLY_BAD if sees_fleet else ALONE_CERTAIN
+        certain = version_verdict.CERTAINLY_BAD if has_full_view else ALONE_CERTAIN
         rule = version_verdict.ProbabilityRule(bad_from=certain)
         stopped = False
         running = self.state.splits.running()
--- a/plumarch/gateway/gossip/bootstrap.py
+++ b/plumarch/gateway/gossip/bootstrap.py
@@ -43,7 +43,7 @@
     view: fleet_view.FleetView
     composer: heartbeats.HeartbeatComposer
     send: Send
-    told: dict[str, tuple[int, int]] = dataclasses.field(default_factory=dict)
+    reported: dict[str, tuple[int, int]] = dataclasses.field(default_factory=dict)
     silent: dict[str, int] = dataclasses.field(default_factory=dict)
     noted: set[str] = dataclasses.field(default_factory=set)
 
@@ -58,15 +58,15 @@
             return
         live = self.view.reachable_centres()
         one_by_one = live - self.view.centres.keys()
-        self.view.all_centres.still_heard(one_by_one, self.state.clock.now())
-        self._note(self.view.all_centres.unheard(live))
+        self.view.all_centres.refresh_seen(one_by_one, self.state.clock.now())
+        self._note(self.view.all_centres.unreachable(live))
         self._ask(live, leaving)
 
     def _ask(self, live: set[str], leaving: bool) -> None:
         """Ask with a heartbeat that any node answers with whom it knows."""
         view = self.view
         heard = {one.address for one in view.peers.values() if self._is_reached(one, live)}
-        due = view.all_centres.to_ask(live, heard, self.state.clock.now()) - {view.address}
+        due = view.all_centres.due_addresses(live, heard, self.state.clock.now()) - {view.address}
         if due:
             self.send(self.composer.question(leaving), due)
 
@@ -81,13 +81,13 @@
         """
         mine = self.view.digest()
         if not told.centres_digest or told.centres_digest == mine:
-            self.told.pop(told.node, None)
+            self.reported.pop(told.node, None)
             return
         now = self.state.clock.now()
-        told_ms, told_digest = self.told.get(told.node, (0, 0))
+        told_ms, told_digest = self.reported.get(told.node, (0, 0))
         if told_digest == mine and now - told_ms < TELL_AGAIN_MS:
             return
-        self.told[told.node] = (now, mine)
+        self.reported[told.node] = (now, mine)
         for directory in self._directories():
             self.send(directory, [told.address])
 
@@ -115,7 +115,7 @@
         for one in told.centres:
             if one.data_centre == self.state.data_centre:
                 self.view.note_reported_seniors(seniors.from_messages(one.seniors))
-            elif one.data_centre not in live and self.view.all_centres.told(
+            elif one.data_centre not in live and self.view.all_centres.reported(
                 one.data_centre, seniors.from_messages(one.seniors), now
             ):
                 news |= {senior.address for senior in one.seniors}
@@ -128,7 +128,7 @@
         Heartbeats name some of them now and then: by these alone the last pairs of nodes would hear
         each other only some seconds after their start.
         """
-        if self.view.known_size() <= tiers.FLAT_FLEET:
+        if self.view.estimated_size() <= tiers.FLAT_FLEET:
             known = [gossip.KnownPeer(one.name, one.address) for one in self.view.live()]
             self.send(gossip.CentreDirectory(self.view.node, [], known), [peer.address])
 
@@ -136,7 +136,7 @@
         """Take in whom a node of another data centre calls the elders of it."""
         if beat.seniors and beat.data_centre not in self.view.reachable_centres():
             told = seniors.from_messages(beat.seniors)
-            self.view.all_centres.told(beat.data_centre, told, self.state.clock.now())
+            self.view.all_centres.reported(beat.data_centre, told, self.state.clock.now())
 
     def remember(self, peer: peer_node.Peer) -> None:
         """Keep in mind a node that is counted no more, for when it is reached again."""
@@ -144,11 +144,11 @@
             senior = tiers.Senior(peer.seniority(), peer.address)
             self.view.all_centres.remember(peer.data_centre, senior, peer.last_seen_ms)
 
-    def _note(self, unheard: list[str]) -> None:
+    def _note(self, unreachable: list[str]) -> None:
         """Log when a data centre begins and ends not to be heard, and keep what gauges show."""
         now = self.state.clock.now()
         known = self.view.all_centres.centres
-        self.silent = {name: self.silent.get(name, now) for name in unheard}
+        self.silent = {name: self.silent.get(name, now) for name in unreachable}
         for name in sorted(self.noted - self.silent.keys()):
             self.noted.discard(name)
             self.state.log.write("centre_heard", urgent=True, centre=name)
@@ -159,13 +159,13 @@
                     "centre_unheard",
                     urgent=True,
                     centre=name,
-                    ever_heard=known[name].heard,
+                    ever_heard=known[name].ever_seen,
                     elders=[senior.address for senior in known[name].seniors],
                 )
         contact = self.state.contact
         if self.view.role is tiers.Role.MEMBER:
-            contact.known = contact.unheard = contact.oldest_ms = 0
+            contact.known = contact.unreachable = contact.oldest_ms = 0
             return
         contact.known = len(known.keys() - {self.state.data_centre})
-        contact.unheard = len(unheard)
+        contact.unreachable = len(unreachable)
         contact.oldest_ms = max([0, *(now - one.since_ms for one in known.values())])
--- a/plumarch/gateway/gossip/bootstrap_test.py
+++ b/plumarch/gateway/gossip/bootstrap_test.py
@@ -32,20 +32,20 @@
     fleet = settled()
     node = coordinator(fleet)
     contact = node.state.contact
-    assert (contact.known, contact.unheard) == (3, 0)
+    assert (contact.known, contact.unreachable) == (3, 0)
     assert contact.oldest_ms < bootstrap.NOTED_MS
     begun, ended = lines(node, b"centre_unheard"), lines(node, b"centre_heard")
     fleet.cut = lambda one, two: (one.data_centre == "dc-c") != (two.data_centre == "dc-c")
     fleet.run(6_000)
     assert lines(node, b"centre_unheard") == begun + 1
     assert lines(node, b"centre_heard") == ended
-    assert (contact.known, contact.unheard) == (3, 1)
+    assert (contact.known, contact.unreachable) == (3, 1)
     assert 5_000 < contact.oldest_ms <= 6_000
     fleet.cut = lambda one, two: False
     fleet.run(1_500)
     assert lines(node, b"centre_unheard") == begun + 1
     assert lines(node, b"centre_heard") == ended + 1
-    assert (contact.known, contact.unheard) == (3, 0)
+    assert (contact.known, contact.unreachable) == (3, 0)
 
 
 def test_a_directory_is_sent_where_views_differ_and_not_each_time():
@@ -78,29 +78,29 @@
 def test_those_that_stay_silent_are_asked_less_and_less():
     centres = known_centres.KnownCentres()
     senior = tiers.Senior(tiers.Seniority(1, "n"), "10.0.0.1:7")
-    assert centres.told("dc-z", (senior,), 1_000)
-    assert not centres.told("dc-z", (senior,), 1_100)
+    assert centres.reported("dc-z", (senior,), 1_000)
+    assert not centres.reported("dc-z", (senior,), 1_100)
     asked = [
         now
         for now in range(1_000, 121_000, 250)
-        if centres.to_ask({"dc-a"}, set(), now) == {"10.0.0.1:7"}
+        if centres.due_addresses({"dc-a"}, set(), now) == {"10.0.0.1:7"}
     ]
     pauses = [later - earlier for earlier, later in itertools.pairwise(asked)]
-    assert pauses[0] == known_centres.ASK_MS
+    assert pauses[0] == known_centres.REQUEST_INTERVAL_MS
     assert pauses == sorted(pauses)
-    assert pauses[-1] == known_centres.MAX_ASK_MS
-    assert not centres.to_ask({"dc-z"}, set(), 130_000)
-    assert not centres.to_ask(set(), set(), 1_001 + known_centres.RETENTION_MS)
+    assert pauses[-1] == known_centres.MAX_REQUEST_INTERVAL_MS
+    assert not centres.due_addresses({"dc-z"}, set(), 130_000)
+    assert not centres.due_addresses(set(), set(), 1_001 + known_centres.RETENTION_MS)
     assert not centres.centres
 
 
 def test_a_seed_is_asked_until_it_is_reached():
     centres = known_centres.KnownCentres()
-    centres.seed("10.0.0.9:7", 1_000)
-    assert not centres.to_ask(set(), set(), 1_100)
-    assert centres.to_ask(set(), set(), 1_500) == {"10.0.0.9:7"}
-    assert not centres.to_ask(set(), {"10.0.0.9:7"}, 9_000)
-    assert centres.to_ask(set(), set(), 3_600_000_000) == {"10.0.0.9:7"}
+    centres.add_seed("10.0.0.9:7", 1_000)
+    assert not centres.due_addresses(set(), set(), 1_100)
+    assert centres.due_addresses(set(), set(), 1_500) == {"10.0.0.9:7"}
+    assert not centres.due_addresses(set(), {"10.0.0.9:7"}, 9_000)
+    assert centres.due_addresses(set(), set(), 3_600_000_000) == {"10.0.0.9:7"}
 
 
 def test_a_node_that_is_gone_makes_no_data_centre_silent_that_is_heard():
@@ -111,12 +111,12 @@
     fleet.run(fleet_view.RETENTION_MS + 5_000)
     cut_ms = fleet.time.now()
     for node in fleet.live():
-        assert node.state.contact.unheard == 0
+        assert node.state.contact.unreachable == 0
         assert node.state.contact.oldest_ms < bootstrap.NOTED_MS
     fleet.cut = lambda one, two: one.data_centre != two.data_centre
     fleet.run(5_000)
     for node in fleet.live():
-        assert node.state.contact.unheard == 2
+        assert node.state.contact.unreachable == 2
         for name in {"dc-a", "dc-b", "dc-c"} - {node.data_centre}:
             assert node.view.all_centres.centres[name].since_ms >= cut_ms
 
@@ -129,7 +129,7 @@
     fleet.time.advance_to(fleet.time.now() + 60_000)
     node.gossip.bootstrap.step(False)
     contact = node.state.contact
-    assert (contact.known, contact.unheard, contact.oldest_ms) == (0, 0, 0)
+    assert (contact.known, contact.unreachable, contact.oldest_ms) == (0, 0, 0)
 
 
 def test_seeds_that_the_settings_name_no_more_are_not_asked_any_more():
--- a/plumarch/gateway/gossip/coordination.py
+++ b/plumarch/gateway/gossip/coordination.py
@@ -103,7 +103,7 @@
             # Windows that ended while it was not heard are told in whole summaries only.
             self.whole_summaries = WHOLE_AT_RETURN
             self.resync_until_ms[told.data_centre] = now + RESYNC_MS
-        self.view.all_centres.heard(told.data_centre, seniors.from_messages(told.seniors), now)
+        self.view.all_centres.mark_seen(told.data_centre, seniors.from_messages(told.seniors), now)
         self.view.centres[told.data_centre] = tiers.CentreView(
             nodes=told.nodes,
             reachable_nodes=told.reachable_nodes,
@@ -114,7 +114,7 @@
             usage_age_ms=told.usage_age_ms,
             received_ms=now,
             usage_reported_ms=self._usage_told(told, now - told.usage_age_ms),
-            oldest_ms=now if _leads(told) else self._oldest_ms(told.data_centre),
+            senior_received_ms=now if _leads(told) else self._oldest_ms(told.data_centre),
         )
         self.duty.reported = max(self.duty.reported, told.reported)
         self._charge(told, now < self.resync_until_ms[told.data_centre])
@@ -131,7 +131,7 @@
     def _oldest_ms(self, data_centre: str) -> int:
         """Return when the oldest coordinator of a data centre told last, 0 if it never did."""
         before = self.view.centres.get(data_centre)
-        return before.oldest_ms if before is not None else 0
+        return before.senior_received_ms if before is not None else 0
 
     def _usage_told(self, told: gossip.CentreSummary, as_of_ms: int) -> dict[int, int]:
         """Return as of when the newest usage windows of a data centre were told."""
--- a/plumarch/gateway/gossip/coordinators_test.py
+++ b/plumarch/gateway/gossip/coordinators_test.py
@@ -144,4 +144,4 @@
         node.gossip.duty.candidate = False
     fleet.run(1_000)
     members = fleet.with_role(tiers.Role.MEMBER)
-    assert not any(node.view.is_oldest_candidate() for node in members)
+    assert not any(node.view.is_most_senior_candidate() for node in members)
--- a/plumarch/gateway/gossip/gossiper.py
+++ b/plumarch/gateway/gossip/gossiper.py
@@ -111,7 +111,7 @@
         known = {f"{seed.rpartition(':')[0] or seed}:{port}" for seed in seeds}
         for address in sorted(known):
             self.view.learn(address, address)
-        self.view.all_centres.keep_seeds(known, self.state.clock.now())
+        self.view.all_centres.replace_seeds(known, self.state.clock.now())
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
@@ -122,7 +122,7 @@
     def interval_ms(self) -> float:
         """Return the time between heartbeats, longer where many nodes tell each other."""
         flat = self.view.role is tiers.Role.FLAT and self.view.size() <= tiers.FLAT_FLEET
-        told = len(self.view.peers) if flat else self.view.tellers()
+        told = len(self.view.peers) if flat else self.view.reporting_nodes()
         return max(BEAT_MS, 1000.0 * told / BEATS_PER_SECOND)
 
     def beat_soon(self) -> None:
@@ -381,7 +381,7 @@
         """
         if news.data_centre != self.state.data_centre:
             return
-        peer = self.view.heard(news.node, news.incarnation, news.address, news.data_centre)
+        peer = self.view.mark_seen(news.node, news.incarnation, news.address, news.data_centre)
         if peer is None:
             return
         version_reports.take_shares(self.state, news.versions)
@@ -409,7 +409,7 @@
         was_heard = known is not None and self.view.is_alive(known)
         was_fresh = known is not None and self.view.is_fresh(known)
         before = known.incarnation if known else 0
-        peer = self.view.heard(beat.node, beat.incarnation, beat.address, beat.data_centre)
+        peer = self.view.mark_seen(beat.node, beat.incarnation, beat.address, beat.data_centre)
         if peer is None:
             return
         if before not in (0, beat.incarnation) and not was_fresh:
@@ -476,7 +476,7 @@
         """
         if near:
             return self.view.role is tiers.Role.MEMBER
-        return self.view.known_size() > tiers.FLAT_FLEET
+        return self.view.estimated_size() > tiers.FLAT_FLEET
 
     def _answer(self, peer: peer_node.Peer) -> None:
         """Tell a node that looks for the coordinators of its data centre who they may be."""
--- a/plumarch/gateway/gossip/large_fleet_test.py
+++ b/plumarch/gateway/gossip/large_fleet_test.py
@@ -37,9 +37,9 @@
     assert len(fleet.with_role(tiers.Role.COORDINATOR)) == 5 * tiers.COORDINATORS
     assert len(fleet.with_role(tiers.Role.MEMBER)) == 5 * (nodes_each - tiers.COORDINATORS)
     assert all(node.view.size() == 5 * nodes_each for node in fleet.live())
-    assert len([node for node in fleet.live() if node.view.is_oldest_candidate()]) == 1
+    assert len([node for node in fleet.live() if node.view.is_most_senior_candidate()]) == 1
     watching = [node for node in fleet.live() if node.view.watches_store(node.data_centre)]
-    assert len(watching) == 5 * store_followers.each(5) == store_followers.LEAST
+    assert len(watching) == 5 * store_followers.per_centre(5) == store_followers.MIN_FOLLOWERS
 
 
 def test_a_small_fleet_stays_flat():
@@ -127,7 +127,7 @@
             assert node.view.size() == 36
             if at > fleet_view.ALIVE_TIMEOUT_MS + gossiper.BEAT_MS:
                 assert node.state.quota.fraction <= 12 / 36
-            assert node.view.role is not tiers.Role.FLAT or not node.view.is_oldest_candidate()
+            assert node.view.role is not tiers.Role.FLAT or not node.view.is_most_senior_candidate()
 
 
 def test_a_data_centre_that_is_cut_off_keeps_its_part_and_the_others_theirs():
@@ -193,7 +193,7 @@
 
 def test_the_oldest_candidate_takes_the_duties_and_its_loss_is_known_within_two_seconds():
     fleet = settled()
-    candidates = [node for node in fleet.live() if node.view.is_oldest_candidate()]
+    candidates = [node for node in fleet.live() if node.view.is_most_senior_candidate()]
     assert len(candidates) == 1
     holder = candidates[0]
     holder.gossip.duty.token = 7
@@ -203,7 +203,7 @@
     holder.alive = False
     fleet.run(1_900)
     assert not any(node.view.has_holder() for node in others)
-    assert len([node for node in others if node.view.is_oldest_candidate()]) == 1
+    assert len([node for node in others if node.view.is_most_senior_candidate()]) == 1
 
 
 def test_usage_of_all_nodes_is_summed_up_once():
--- a/plumarch/gateway/gossip/mixed_builds_test.py
+++ b/plumarch/gateway/gossip/mixed_builds_test.py
@@ -100,7 +100,7 @@
 def test_a_kind_that_is_not_known_is_counted_each_time_and_told_once():
     state = gateway_parts.new_state(clock.ManualClock(1_000))
     view = fleet_view.FleetView(state.clock, "n", 1, "10.0.0.9:7", "a")
-    peer = view.heard("m", 5, "10.0.0.8:7", "a")
+    peer = view.mark_seen("m", 5, "10.0.0.8:7", "a")
     assert peer is not None
     peer.build = "later"
     unreadable = unreadable_messages.UnreadableMessages(state, view)
--- a/plumarch/gateway/gossip/region_sums_test.py
+++ b/plumarch/gateway/gossip/region_sums_test.py
@@ -35,7 +35,7 @@
     time = clock.ManualClock(START_MS)
     sums, state = new_sums(time)
     quota = state.quota
-    sums.view.heard("m", 5, "10.0.0.2:7", "b")
+    sums.view.mark_seen("m", 5, "10.0.0.2:7", "b")
     quota.apply_node_report("m#5", {"w": quota_records.PeerSpending(9_000.0, 1e6)})
     sums.begin()
     quota.admit(SPACE, 100.0)
--- a/plumarch/gateway/gossip/rounds.py
+++ b/plumarch/gateway/gossip/rounds.py
@@ -107,7 +107,7 @@
         return {
             senior.address
             for name, centre in self.view.live_centres().items()
-            if self._is_far(name) and centre.oldest_ms >= oldest
+            if self._is_far(name) and centre.senior_received_ms >= oldest
             for senior in centre.seniors[1 : tiers.COORDINATORS]
         }
 
--- a/plumarch/gateway/store/registration.py
+++ b/plumarch/gateway/store/registration.py
@@ -106,7 +106,7 @@
     def _wanted(self) -> WantedRecord | None:
         """Return the record that this node is to keep, or None if it is for others to keep one."""
         view = self.view
-        if view.role is tiers.Role.FLAT and view.known_size() <= tiers.FLAT_FLEET:
+        if view.role is tiers.Role.FLAT and view.estimated_size() <= tiers.FLAT_FLEET:
             mine = node_record.NodeRecord(view.address, view.data_centre)
             return WantedRecord(view.node, [mine])
         seniors = view.seniors()[: tiers.SENIORS]
--- a/plumarch/gateway/store/store_calls_test.py
+++ b/plumarch/gateway/store/store_calls_test.py
@@ -77,7 +77,7 @@
         store.configure()
         await replay.run(REACHED_MS)
         assert replay.behind() == []
-        assert len(replay.followers()) <= 2 * store_followers.MAX_EACH * LARGEST.data_centres
+        assert len(replay.followers()) <= 2 * store_followers.MAX_PER_CENTRE * LARGEST.data_centres
 
     assert_within_limits(play(LARGEST, test))
 
@@ -170,7 +170,7 @@
         replay.fleet.cut = lambda one, other: one.data_centre != other.data_centre
         await replay.run(SETTLE_MS)
         following = [node for node in replay.followers() if node.data_centre == "dc-c"]
-        assert len(following) == store_followers.MAX_EACH
+        assert len(following) == store_followers.MAX_PER_CENTRE
         await change_all(replay)
 
     play(SIZE, test)
--- a/plumarch/membership/drain_notices.py
+++ b/plumarch/membership/drain_notices.py
@@ -92,7 +92,7 @@
         """Return the names of listed endpoints that are left out by their notice."""
         return [name for name, notice in self.known.items() if notice.listed is not None]
 
-    def drop_old(self) -> list[traffic.Endpoint]:
+    def prune(self) -> list[traffic.Endpoint]:
         """Forget what was announced too long ago.
 
         Returns:
--- a/plumarch/membership/fleet_view.py
+++ b/plumarch/membership/fleet_view.py
@@ -30,7 +30,7 @@
 this: three may be missed. Until it counts as silent, after 1,200 ms, regions that are cut off from
 each other would each spend a whole burst."""
 
-FRESH_BEATS = 2.5
+FRESH_INTERVALS = 2.5
 """A node counts in that part while its last heartbeat is younger than this many intervals: one may
 be missed. Until it counts as silent, after 1,200 ms, both sides of a cut would admit as if each
 were the whole fleet: 1.06 of what is tolerated, where a workspace asked for ten times its rate."""
@@ -100,7 +100,7 @@
         if self.names.get(peer.address) == name:
             del self.names[peer.address]
 
-    def heard(
+    def mark_seen(
         self, name: str, incarnation: int, address: str, data_centre: str
     ) -> peer_node.Peer | None:
         """Take in a sign of life.
@@ -169,9 +169,9 @@
         """Return how many nodes there may be, this one included."""
         if self.role is tiers.Role.MEMBER and self.fleet_update is not None:
             return max(1, self.fleet_update.nodes)
-        return self.known_size()
+        return self.estimated_size()
 
-    def known_size(self) -> int:
+    def estimated_size(self) -> int:
         """Return how many nodes there may be by all that is known, whatever this node's role.
 
         The role depends on it: by a number that depended on the role it would change to and fro.
@@ -200,20 +200,20 @@
             else 0
         )
 
-    def sees_fleet(self) -> bool:
+    def has_full_view(self) -> bool:
         """Return whether this node is told of what all nodes do, as far as any node is.
 
         In a large fleet coordinators are. A node that looks for its coordinators is not.
         """
         if self.role is tiers.Role.FLAT:
-            return self.known_size() <= tiers.FLAT_FLEET
+            return self.estimated_size() <= tiers.FLAT_FLEET
         return self.role is tiers.Role.COORDINATOR
 
     def centre_size(self) -> int:
         """Return how many nodes there may be in the own data centre, this one included."""
         return 1 + len([one for one in self.neighbours() if not self._left(one)])
 
-    def tellers(self) -> int:
+    def reporting_nodes(self) -> int:
         """Return how many nodes tell a coordinator of the own data centre, as far as known."""
         if self.role is tiers.Role.MEMBER and self.fleet_update is not None:
             return self.fleet_update.centre_nodes
@@ -223,7 +223,7 @@
         """Return the peers of the own data centre."""
         return [one for one in self.peers.values() if one.data_centre == self.data_centre]
 
-    def known_directly(self) -> list[peer_node.Peer]:
+    def direct_peers(self) -> list[peer_node.Peer]:
         """Return the peers of whom no coordinator tells."""
         if self.role is not tiers.Role.COORDINATOR:
             return list(self.peers.values())
@@ -248,7 +248,7 @@
         return self._is_heard_within(peer, self._fresh_ms())
 
     def _fresh_ms(self) -> float:
-        fresh_ms = max(MIN_FRESH_MS, FRESH_BEATS * self.interval_ms)
+        fresh_ms = max(MIN_FRESH_MS, FRESH_INTERVALS * self.interval_ms)
         return min(self.alive_timeout_ms(), fresh_ms)
 
     def _fraction_within(self, limit_ms: float) -> float:
@@ -291,7 +291,7 @@
             return {self.data_centre, *self.live_centres()}
         return {one.data_centre for one in self.peers.values() if self.is_alive(one)}
 
-    def unheard_centres(self) -> list[str]:
+    def unreachable_centres(self) -> list[str]:
         """Return the other data centres that count among the fleet and never told this node."""
         since_ms = self.clock.now() - RETENTION_MS
         told = self.centres.keys() | self.reachable_centres()
@@ -326,7 +326,7 @@
         # for their news for as long again.
         waits = age is not None and age <= 2 * self.alive_timeout_ms()
         self.role = tiers.role_of(
-            self.seniority(), self.known_size(), [one.seniority for one in older], waits
+            self.seniority(), self.estimated_size(), [one.seniority for one in older], waits
         )
         return self.role
 
@@ -387,7 +387,7 @@
             return peer.leaving
         silent_ms = self.clock.now() - peer.last_seen_ms
         limit = self.alive_timeout_ms()
-        return limit < silent_ms <= tiers.RECENT_SILENCES * limit
+        return limit < silent_ms <= tiers.RECENTLY_LOST_TIMEOUTS * limit
 
     def coordinators(self) -> list[tiers.Senior]:
         """Return the coordinators of the own data centre other than this node."""
@@ -405,12 +405,12 @@
         peers = [peer.token for peer in self.peers.values()]
         return max([0, *peers, *(centre.token for centre in self.centres.values())])
 
-    def is_oldest_candidate(self) -> bool:
+    def is_most_senior_candidate(self) -> bool:
         """Return whether this node is the oldest live one that could take the duties over.
 
         In a large fleet only coordinators do, since only they know what all nodes did.
         """
-        if not self.sees_fleet():
+        if not self.has_full_view():
             return False
         mine = self.seniority()
         told = self.live_centres() if self.role is tiers.Role.COORDINATOR else {}
@@ -432,7 +432,7 @@
             (one.seniority(), one.reaches_store) for one in self.neighbours() if self.is_alive(one)
         ]
         by_seniority = sorted([*live, (self.seniority(), reaches_store)])
-        wanted = store_followers.each(len(self.reachable_centres() | {self.data_centre}))
+        wanted = store_followers.per_centre(len(self.reachable_centres() | {self.data_centre}))
         return store_followers.choose(
             [(age.name, reaches) for age, reaches in by_seniority], wanted
         )
@@ -463,7 +463,9 @@
             and peer.reaches_store
             and peer.seniority() < self.seniority()
         ]
-        return len(older) < store_followers.each(len(self.reachable_centres() | {data_centre}))
+        return len(older) < store_followers.per_centre(
+            len(self.reachable_centres() | {data_centre})
+        )
 
     def addresses(self) -> Iterable[str]:
         """Return where heartbeats are sent."""
--- a/plumarch/membership/fleet_view_test.py
+++ b/plumarch/membership/fleet_view_test.py
@@ -23,22 +23,22 @@
 def test_a_heartbeat_gives_a_seed_its_name():
     view = view_at(clock.ManualClock())
     view.learn("10.0.0.2:7", "10.0.0.2:7")
-    view.heard("b", 50, "10.0.0.2:7", "z")
+    view.mark_seen("b", 50, "10.0.0.2:7", "z")
     assert list(view.peers) == ["b"]
     assert view.reachable_fraction() == 1.0
 
 
 def test_a_late_heartbeat_of_a_replaced_process_is_ignored():
     view = view_at(clock.ManualClock())
-    view.heard("b", 60, "10.0.0.2:7", "z")
-    assert view.heard("b", 50, "10.0.0.2:7", "z") is None
+    view.mark_seen("b", 60, "10.0.0.2:7", "z")
+    assert view.mark_seen("b", 50, "10.0.0.2:7", "z") is None
     assert view.peers["b"].incarnation == 60
 
 
 def test_silent_peers_still_count_until_they_are_forgotten():
     time = clock.ManualClock()
     view = view_at(time)
-    view.heard("b", 60, "10.0.0.2:7", "z")
+    view.mark_seen("b", 60, "10.0.0.2:7", "z")
     time.advance_to(fleet_view.ALIVE_TIMEOUT_MS + 1)
     assert view.reachable_fraction() == 0.5
     time.advance_to(fleet_view.RETENTION_MS + 1)
@@ -50,7 +50,7 @@
     time = clock.ManualClock()
     view = view_at(time)
     view.interval_ms = 1_000.0
-    view.heard("b", 60, "10.0.0.2:7", "z")
+    view.mark_seen("b", 60, "10.0.0.2:7", "z")
     time.advance_to(4_000)
     assert len(view.live()) == 1
     time.advance_to(4_501)
@@ -60,11 +60,11 @@
 def test_in_a_large_fleet_the_oldest_of_each_data_centre_follow_the_store():
     time = clock.ManualClock()
     view = view_at(time)
-    for number in range(store_followers.MAX_EACH):
-        view.heard(f"b{number}", number, f"10.0.1.{number}:7", "z")
+    for number in range(store_followers.MAX_PER_CENTRE):
+        view.mark_seen(f"b{number}", number, f"10.0.1.{number}:7", "z")
     assert view.watches_store("z")
     for number in range(fleet_view.SMALL_FLEET):
-        view.heard(f"c{number}", number, f"10.0.2.{number}:7", "y")
+        view.mark_seen(f"c{number}", number, f"10.0.2.{number}:7", "y")
     assert not view.watches_store("z")
     assert view.watches_store("x")
     time.advance_to(fleet_view.ALIVE_TIMEOUT_MS + 1)
@@ -74,9 +74,9 @@
 def test_a_node_that_the_store_does_not_answer_leaves_following_it_to_another():
     view = view_at(clock.ManualClock())
     for number in range(fleet_view.SMALL_FLEET + 1):
-        view.heard(f"c{number:02}", number + 1, f"10.0.2.{number}:7", "x")
+        view.mark_seen(f"c{number:02}", number + 1, f"10.0.2.{number}:7", "x")
     assert not view.watches_store("x")
-    for peer in view.live()[store_followers.MAX_EACH - 1 :]:
+    for peer in view.live()[store_followers.MAX_PER_CENTRE - 1 :]:
         peer.reaches_store = False
     assert view.watches_store("x")
 
@@ -84,7 +84,7 @@
 def test_a_node_that_left_as_planned_reserves_nothing():
     time = clock.ManualClock()
     view = view_at(time)
-    peer = view.heard("b", 60, "10.0.0.2:7", "z")
+    peer = view.mark_seen("b", 60, "10.0.0.2:7", "z")
     peer.leaving = True
     time.advance_to(fleet_view.ALIVE_TIMEOUT_MS + 1)
     assert view.reachable_fraction() == 1.0
@@ -94,7 +94,7 @@
     time = clock.ManualClock()
     view = view_at(time)
     view.interval_ms = 250.0
-    view.heard("b", 60, "10.0.0.2:7", "z")
+    view.mark_seen("b", 60, "10.0.0.2:7", "z")
     time.advance_to(600)
     assert view.fresh_fraction() == 1.0
     time.advance_to(800)
@@ -104,7 +104,7 @@
 def test_allotments_expect_nothing_of_a_node_that_ends_as_planned():
     time = clock.ManualClock()
     view = view_at(time)
-    peer = view.heard("b", 60, "10.0.0.2:7", "z")
+    peer = view.mark_seen("b", 60, "10.0.0.2:7", "z")
     peer.leaving = True
     time.advance_to(800)
     assert view.fresh_fraction() == 1.0
@@ -113,13 +113,13 @@
 def test_the_oldest_live_node_is_the_one_to_take_the_duties():
     time = clock.ManualClock()
     view = view_at(time)
-    older = view.heard("b", 60, "10.0.0.2:7", "z")
-    assert not view.is_oldest_candidate()
+    older = view.mark_seen("b", 60, "10.0.0.2:7", "z")
+    assert not view.is_most_senior_candidate()
     older.leaving = True
-    assert view.is_oldest_candidate()
+    assert view.is_most_senior_candidate()
     older.leaving = False
     older.candidate = False
-    assert view.is_oldest_candidate()
+    assert view.is_most_senior_candidate()
     older.candidate = True
     time.advance_to(fleet_view.ALIVE_TIMEOUT_MS + 1)
-    assert view.is_oldest_candidate()
+    assert view.is_most_senior_candidate()
--- a/plumarch/membership/known_centres.py
+++ b/plumarch/membership/known_centres.py
@@ -11,14 +11,14 @@
 
 from plumarch.membership import tiers
 
-ASK_MS = 500
+REQUEST_INTERVAL_MS = 500
 """How often the elders of a data centre that is not heard are asked at first."""
 
-MAX_ASK_MS = 2_000
+MAX_REQUEST_INTERVAL_MS = 2_000
 """How often at least, however long the silence: under half of the time within which nodes are to
 know each other again, so that one loss does not matter."""
 
-SILENCE_PER_ASK = 8
+REQUESTS_PER_DOUBLING = 8
 """Elders are asked so many times while the silence doubles, until they are asked most seldom."""
 
 RETENTION_MS = 3_600_000
@@ -33,17 +33,20 @@
       seniors: its oldest live nodes as they were told last.
       since_ms: when it was heard last, or learned of if it never was.
       last_request_ms: when its elders were asked last.
-      heard: whether it was ever heard.
+      ever_seen: whether it was ever seen.
     """
 
     seniors: tuple[tiers.Senior, ...]
     since_ms: int
     last_request_ms: int = 0
-    heard: bool = False
+    ever_seen: bool = False
 
     def is_due(self, now: int) -> bool:
         """Return whether its elders are to be asked, if it is not heard now."""
-        pause = min(MAX_ASK_MS, max(ASK_MS, (now - self.since_ms) // SILENCE_PER_ASK))
+        pause = min(
+            MAX_REQUEST_INTERVAL_MS,
+            max(REQUEST_INTERVAL_MS, (now - self.since_ms) // REQUESTS_PER_DOUBLING),
+        )
         return now - self.last_request_ms >= pause
 
 
@@ -59,18 +62,18 @@
     centres: dict[str, KnownCentre] = dataclasses.field(default_factory=dict)
     seeds: dict[str, KnownCentre] = dataclasses.field(default_factory=dict)
 
-    def heard(self, name: str, seniors: tuple[tiers.Senior, ...], now: int) -> None:
+    def mark_seen(self, name: str, seniors: tuple[tiers.Senior, ...], now: int) -> None:
         """Note that a data centre told of itself."""
         last_request_ms = self.centres[name].last_request_ms if name in self.centres else 0
-        self.centres[name] = KnownCentre(seniors, now, last_request_ms, heard=True)
+        self.centres[name] = KnownCentre(seniors, now, last_request_ms, ever_seen=True)
 
-    def still_heard(self, names: Iterable[str], now: int) -> None:
+    def refresh_seen(self, names: Iterable[str], now: int) -> None:
         """Note data centres that are heard by their nodes, and not by sums that they tell."""
         for name in names:
             if name in self.centres:
                 self.centres[name].since_ms = now
 
-    def told(self, name: str, seniors: tuple[tiers.Senior, ...], now: int) -> bool:
+    def reported(self, name: str, seniors: tuple[tiers.Senior, ...], now: int) -> bool:
         """Note what another one tells of a data centre that is not heard.
 
         Returns:
@@ -86,23 +89,23 @@
 
     def remember(self, name: str, senior: tiers.Senior, last_seen_ms: int) -> None:
         """Note a node that was heard itself, at some time, and is counted no more."""
-        known = self.centres.setdefault(name, KnownCentre((), last_seen_ms, heard=True))
+        known = self.centres.setdefault(name, KnownCentre((), last_seen_ms, ever_seen=True))
         if senior not in known.seniors and len(known.seniors) < tiers.SENIORS:
             known.seniors = (*known.seniors, senior)
 
-    def keep_seeds(self, addresses: Collection[str], now: int) -> None:
+    def replace_seeds(self, addresses: Collection[str], now: int) -> None:
         """Note the addresses that this node is given now, in place of those before."""
         for address in self.seeds.keys() - set(addresses):
             del self.seeds[address]
         for address in addresses:
-            self.seed(address, now)
+            self.add_seed(address, now)
 
-    def seed(self, address: str, now: int) -> None:
+    def add_seed(self, address: str, now: int) -> None:
         """Note an address that this node was given; heartbeats are sent there at first anyway."""
         senior = tiers.Senior(tiers.Seniority(0, address), address)
         self.seeds.setdefault(address, KnownCentre((senior,), now, last_request_ms=now))
 
-    def to_ask(self, live: Collection[str], heard: Collection[str], now: int) -> set[str]:
+    def due_addresses(self, live: Collection[str], heard: Collection[str], now: int) -> set[str]:
         """Return the addresses to ask now, which count as asked from then on.
 
         Args:
@@ -120,7 +123,7 @@
             one.last_request_ms = now
         return {senior.address for one in due for senior in one.seniors}
 
-    def unheard(self, live: Collection[str]) -> list[str]:
+    def unreachable(self, live: Collection[str]) -> list[str]:
         """Return the names of the data centres that are known and not heard."""
         return sorted(name for name in self.centres if name not in live)
 
--- a/plumarch/membership/members.py
+++ b/plumarch/membership/members.py
@@ -15,8 +15,8 @@
 HEARTBEAT_BYTES_PER_S = 1_500
 """What heartbeats may cost a node: with many peers they become rarer."""
 
-SUSPECT_BEATS = 3
-GONE_BEATS = 5
+SUSPECT_INTERVALS = 3
+GONE_INTERVALS = 5
 RETENTION_MS = 600_000
 
 
@@ -46,7 +46,7 @@
         self.ctx = ctx
         self.members: dict[str, Member] = {}
         self.leaving = False
-        self.beat_ms = HEARTBEAT_MS
+        self.heartbeat_interval_ms = HEARTBEAT_MS
 
     def heard(self, sender: str, beat: messages.Heartbeat) -> bool:
         """Take in a heartbeat.
@@ -89,7 +89,7 @@
             if other.node != sender and context.name_of(other.node) == name:
                 other.state = data.NodeState.GONE
 
-    def known_gone(self, nodes: tuple[str, ...]) -> list[str]:
+    def mark_gone(self, nodes: tuple[str, ...]) -> list[str]:
         """Mark incarnations that the platform says no longer exist.
 
         Returns:
@@ -116,10 +116,10 @@
             if member.state is data.NodeState.GONE:
                 continue
             silence = now - member.last_seen_ms
-            if silence >= GONE_BEATS * self.beat_ms:
+            if silence >= GONE_INTERVALS * self.heartbeat_interval_ms:
                 member.state = data.NodeState.GONE
                 gone.append(member.node)
-            elif silence >= SUSPECT_BEATS * self.beat_ms:
+            elif silence >= SUSPECT_INTERVALS * self.heartbeat_interval_ms:
                 member.state = data.NodeState.SUSPECT
         self._forget(now)
         return gone
--- a/plumarch/membership/registry.py
+++ b/plumarch/membership/registry.py
@@ -172,7 +172,7 @@
         return True
 
     def _confirm(self, revision: int, source: str, changed: bool) -> None:
-        for listed in self.drains.drop_old():
+        for listed in self.drains.prune():
             if listed.id in self.endpoints:
                 self.endpoints[listed.id] = listed
                 self.ready_by_service = {}
--- a/plumarch/membership/store_followers.py
+++ b/plumarch/membership/store_followers.py
@@ -7,22 +7,22 @@
 
 from collections.abc import Iterable
 
-LEAST = 5
+MIN_FOLLOWERS = 5
 """Followers of a fleet whose data centres are all heard. Four of them may be killed, frozen or
 turned away at once, and the fifth still tells all the others."""
 
-MAX_EACH = 2
+MAX_PER_CENTRE = 2
 """Followers of each data centre where there are fewer data centres than that."""
 
 
-def each(data_centres: int) -> int:
+def per_centre(data_centres: int) -> int:
     """Return how many nodes of each data centre follow the store.
 
     Args:
       data_centres: how many are heard, the own one included. Those that are cut off don't count,
         so that a part of the fleet that is left alone soon has enough followers of its own.
     """
-    return 1 if data_centres >= LEAST else MAX_EACH
+    return 1 if data_centres >= MIN_FOLLOWERS else MAX_PER_CENTRE
 
 
 def choose(by_seniority: Iterable[tuple[str, bool]], wanted: int) -> list[str]:
--- a/plumarch/membership/tiers.py
+++ b/plumarch/membership/tiers.py
@@ -23,7 +23,7 @@
 SENIORS = 4
 """How many of a data centre's oldest nodes its members know, for when coordinators fall silent."""
 
-RECENT_SILENCES = 4
+RECENTLY_LOST_TIMEOUTS = 4
 """A node counts as one that fell silent until it was silent for this many times the time for which
 it counts as heard; longer ago it was just not one to be heard."""
 
@@ -66,7 +66,7 @@
       usage_age_ms: how old the oldest of its nodes' news was when it was told.
       received_ms: when it was told, by this node's clock.
       usage_reported_ms: as of when usage windows were told, by this node's clock and by window.
-      oldest_ms: when its oldest coordinator told, by this node's clock; 0 if it never did.
+      senior_received_ms: when its oldest coordinator told, by this node's clock; 0 if it never did.
     """
 
     nodes: int
@@ -78,7 +78,7 @@
     usage_age_ms: int
     received_ms: int
     usage_reported_ms: Mapping[int, int] = dataclasses.field(default_factory=dict)
-    oldest_ms: int = 0
+    senior_received_ms: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/plumarch/node/node.py
+++ b/plumarch/node/node.py
@@ -302,7 +302,7 @@
         )
 
     def _nodes_gone(self, nodes: tuple[str, ...]) -> None:
-        for node in self.membership.known_gone(nodes):
+        for node in self.membership.mark_gone(nodes):
             self.adoption.take_lost(node)
 
     # Time.
@@ -322,8 +322,8 @@
         self.copies.expire()
         self._tend_fleet()
         if now >= self.next_beat_ms:
-            self.membership.beat_ms = members.interval_ms(len(self.peers))
-            self.next_beat_ms = now + self.membership.beat_ms
+            self.membership.heartbeat_interval_ms = members.interval_ms(len(self.peers))
+            self.next_beat_ms = now + self.membership.heartbeat_interval_ms
             self._share_out_endpoints()
             self.decider.observe()
             self._beat()
--- a/plumarch/standins/store_replay.py
+++ b/plumarch/standins/store_replay.py
@@ -228,7 +228,7 @@
         )
         entry = registration.Registration(node.state, node.view, node.gossip, reached)
         record = quarantine_record.QuarantineRecord(
-            node.state, reached, node.view.is_oldest_candidate
+            node.state, reached, node.view.is_most_senior_candidate
         )
         self.quarantines[node.name] = record
         self.tasks[node.name] = [
