--- a/plumarch/membership/__init__.py
+++ b/plumarch/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which entry nodes live."""
+"""Membership of the fleet: which nodes, data centres and endpoints exist."""
--- a/plumarch/membership/drain_notices.py
+++ b/plumarch/membership/drain_notices.py
@@ -1,8 +1,6 @@
 """Endpoints that announced in answers to requests that they drain.
 
-A source of endpoints may be silent for long, and an endpoint's own entry can't change meanwhile.
-What its process announces is newer than any entry of that process, so a list that has it as ready
-changes nothing. No I/O; the registry asks here for each entry that it applies.
+An announcement is newer than any entry of the same process, so it overrides a listed ready state.
 """
 
 import dataclasses
@@ -10,23 +8,23 @@
 from plumarch.core import clock, traffic
 
 RETENTION_MS = 600_000
-"""How long a notice counts after the last answer with it. Endpoints that drain are gone within
-seconds, or minutes where long streams end first; one that is still listed as ready then stays."""
+"""How long a notice counts after the last answer with it; an endpoint that is still listed as ready
+then is used again."""
 
 MAX_KEPT = 8_192
-"""Notices that are kept, some 300 bytes each; over twice the endpoints of the largest fleet."""
+"""Maximum number of notices; the oldest are dropped first."""
 
 
 @dataclasses.dataclass(slots=True)
 class DrainNotice:
-    """What an endpoint announced.
+    """An endpoint's announcement that it drains.
 
     Attributes:
-      id: the incarnation that was asked.
-      alive_ms: time of day at which the process that announced it was alive for certain.
-      announced_ms: when it did so last, by the steady clock.
-      listed: its entry as the source listed it last, or None if it listed none since.
-      is_gone: whether its entry has vanished since.
+      id: the incarnation to which the request was sent.
+      alive_ms: time of day at which the process that announced it was certainly alive.
+      announced_ms: time of the last announcement, by the steady clock.
+      listed: its last entry since the announcement, or None.
+      is_gone: whether its entry has vanished since the announcement.
     """
 
     id: str
@@ -38,20 +36,20 @@
 
 @dataclasses.dataclass(slots=True)
 class DrainNotices:
-    """The notices that count, by what the endpoint calls itself."""
+    """The current notices, by the endpoint's own name."""
 
     clock: clock.Clock
     known: dict[str, DrainNotice] = dataclasses.field(default_factory=dict)
 
     def note(self, endpoint: traffic.Endpoint, alive_ms: int) -> bool:
-        """Note that an endpoint announces that it drains.
+        """Record that an endpoint announced that it drains.
 
         Args:
-          endpoint: the incarnation that was asked; its name may have started again since its entry
-            was written, and then another process has answered.
-          alive_ms: time of day at which the connection to the process that answered came up.
+          endpoint: the incarnation to which the request was sent; after a restart that is not
+            listed yet, the next process may have answered.
+          alive_ms: time of day at which the connection to the process that answered was opened.
         Returns:
-          Whether that is news.
+          Whether the notice is new.
         """
         name, now = endpoint.called(), self.clock.now()
         before = self.known.get(name)
@@ -66,12 +64,12 @@
         return True
 
     def applied(self, listed: traffic.Endpoint) -> traffic.Endpoint:
-        """Return an endpoint with its state as it announced it itself, whatever its entry lists."""
+        """Return an endpoint as draining if it announced that, and else as listed."""
         notice = self.known.get(listed.called())
         if notice is None:
             return listed
         if notice.is_gone and not listed.born_ms and listed.id == notice.id:
-            # It lists no birth, so an entry that comes back is the only sign of a new start.
+            # Without a listed start time, a new entry is the only sign of a restart.
             del self.known[listed.called()]
             return listed
         if not listed.is_meant(notice.id, notice.alive_ms):
@@ -83,20 +81,20 @@
         return dataclasses.replace(listed, state=traffic.EndpointState.DRAINING)
 
     def vanished(self, endpoint: traffic.Endpoint) -> None:
-        """Note that an endpoint's entry is gone."""
+        """Record that an endpoint's entry is gone."""
         notice = self.known.get(endpoint.called())
         if notice is not None:
             notice.listed, notice.is_gone = None, True
 
     def in_force(self) -> list[str]:
-        """Return the names of listed endpoints that are left out by their notice."""
+        """Return the names of listed endpoints that are draining by a notice."""
         return [name for name, notice in self.known.items() if notice.listed is not None]
 
     def prune(self) -> list[traffic.Endpoint]:
-        """Forget what was announced too long ago.
+        """Drop expired notices.
 
         Returns:
-          The entries that count again as they are listed.
+          The listed entries to which they applied.
         """
         now = self.clock.now()
         old = [
--- a/plumarch/membership/members.py
+++ b/plumarch/membership/members.py
@@ -1,7 +1,6 @@
-"""Which entry nodes live, as one node sees it.
+"""A node's view of which other nodes are alive.
 
-Heartbeats and the platform's list only decide *when* others act. No promise
-rests on them: the rules in plumarch.recovery hold however wrong this view is.
+It only decides when nodes act; the rules in plumarch.recovery hold even if it is wrong.
 """
 
 import dataclasses
@@ -9,11 +8,11 @@
 from plumarch.core import context, data, messages
 
 HEARTBEAT_MS = 500
-"""Shortest time between two heartbeats; news is told at once all the same."""
+"""Minimum time between two heartbeats; changes are sent at once."""
 
 HEARTBEAT_BYTES = 80
 HEARTBEAT_BYTES_PER_S = 1_500
-"""What heartbeats may cost a node: with many peers they become rarer."""
+"""Maximum bandwidth of a node's heartbeats; with many peers the interval grows."""
 
 SUSPECT_INTERVALS = 3
 GONE_INTERVALS = 5
@@ -22,7 +21,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """What is known of another node incarnation."""
+    """Another node's incarnation.
+
+    Attributes:
+      last_seen_ms: when it was last seen; -1 if the platform confirmed that it is gone.
+    """
 
     node: str
     data_centre: str
@@ -34,13 +37,13 @@
 
 
 def interval_ms(peers: int) -> int:
-    """Return the time between heartbeats for a number of peers."""
+    """Return the heartbeat interval for a number of peers."""
     afforded = peers * HEARTBEAT_BYTES * 1_000 // HEARTBEAT_BYTES_PER_S
     return max(HEARTBEAT_MS, afforded)
 
 
 class Membership:
-    """The members of a region's entry nodes, by identity."""
+    """The other nodes of a region, by node and incarnation."""
 
     def __init__(self, ctx: context.Context) -> None:
         self.ctx = ctx
@@ -49,13 +52,13 @@
         self.heartbeat_interval_ms = HEARTBEAT_MS
 
     def heard(self, sender: str, beat: messages.Heartbeat) -> bool:
-        """Take in a heartbeat.
+        """Apply a heartbeat.
 
-        A new incarnation under a known name ends the older one at once; a late
-        heartbeat of the older one is ignored.
+        A new incarnation replaces the earlier one of the same name at once; stale heartbeats of
+        that one are ignored.
 
         Returns:
-          Whether the sender was not live before.
+          Whether the sender became live.
         """
         if self._superseded(sender):
             return False
@@ -72,7 +75,7 @@
             beat.revision,
             tuple(beat.demand),
         )
-        self._end_older(sender)
+        self._mark_replaced(sender)
         return not was_live and beat.state is data.NodeState.LIVE
 
     def _superseded(self, sender: str) -> bool:
@@ -83,48 +86,48 @@
                 return True
         return False
 
-    def _end_older(self, sender: str) -> None:
+    def _mark_replaced(self, sender: str) -> None:
         name = context.name_of(sender)
         for other in self.members.values():
             if other.node != sender and context.name_of(other.node) == name:
                 other.state = data.NodeState.GONE
 
     def mark_gone(self, nodes: tuple[str, ...]) -> list[str]:
-        """Mark incarnations that the platform says no longer exist.
+        """Mark incarnations as gone that no longer exist by the platform's list.
 
         Returns:
-          Those that were not known to be gone.
+          Those that were not gone before.
         """
-        news = []
+        changed = []
         for node in nodes:
             member = self.members.get(node)
             if member is None or member.state is not data.NodeState.GONE:
-                news.append(node)
+                changed.append(node)
             data_centre = member.data_centre if member else ""
             self.members[node] = Member(node, data_centre, data.NodeState.GONE, -1)
-        return news
+        return changed
 
     def tick(self) -> list[str]:
-        """Age the members.
+        """Update the members' states by the time since their last heartbeats.
 
         Returns:
-          Those that turned from alive to gone just now.
+          Those that became gone.
         """
         now = self.ctx.now()
         gone = []
         for member in self.members.values():
             if member.state is data.NodeState.GONE:
                 continue
-            silence = now - member.last_seen_ms
-            if silence >= GONE_INTERVALS * self.heartbeat_interval_ms:
+            unseen_ms = now - member.last_seen_ms
+            if unseen_ms >= GONE_INTERVALS * self.heartbeat_interval_ms:
                 member.state = data.NodeState.GONE
                 gone.append(member.node)
-            elif silence >= SUSPECT_INTERVALS * self.heartbeat_interval_ms:
+            elif unseen_ms >= SUSPECT_INTERVALS * self.heartbeat_interval_ms:
                 member.state = data.NodeState.SUSPECT
-        self._forget(now)
+        self._prune(now)
         return gone
 
-    def _forget(self, now: int) -> None:
+    def _prune(self, now: int) -> None:
         old = [
             m.node
             for m in self.members.values()
@@ -136,16 +139,16 @@
             del self.members[node]
 
     def state(self, node: str) -> data.NodeState:
-        """Return how a node is seen; one never heard of counts as gone."""
+        """Return the state of a node; an unknown one is gone."""
         if node == self.ctx.node:
             return data.NodeState.LEAVING if self.leaving else data.NodeState.LIVE
         member = self.members.get(node)
         return member.state if member else data.NodeState.GONE
 
     def confirmed_gone(self, node: str) -> bool:
-        """Return whether a node can't act any more, by proof and not by silence.
+        """Return whether a node can't act any more.
 
-        Proof is the platform's list, or a later incarnation under the same name.
+        Proof is the platform's list or a later incarnation of its name; missed heartbeats are none.
         """
         member = self.members.get(node)
         if member is not None and member.state is data.NodeState.GONE and member.last_seen_ms < 0:
@@ -153,7 +156,7 @@
         return self._superseded(node)
 
     def live(self, other_than_data_centre: str = "") -> list[str]:
-        """Return live nodes, this one included, outside a data centre, in name order."""
+        """Return the live nodes outside a data centre, this one included, by name."""
         names = [
             m.node
             for m in self.members.values()
@@ -164,7 +167,7 @@
         return sorted(names)
 
     def reachable(self) -> list[str]:
-        """Return the other nodes that are not known to be gone, in name order."""
+        """Return the other nodes that are not gone, by name."""
         return sorted(m.node for m in self.members.values() if m.state is not data.NodeState.GONE)
 
     def data_centre(self, node: str) -> str:
--- a/plumarch/membership/node_record.py
+++ b/plumarch/membership/node_record.py
@@ -1,7 +1,7 @@
-"""What nodes write of themselves into the platform's store, for those that start later.
+"""Records of node addresses in the platform's store, by which new nodes bootstrap.
 
-In a small fleet each node writes itself. In a large one the oldest coordinator of each data centre
-writes the elders of it: with one of them a node that starts finds all others.
+In a small fleet each node writes its own; in a large one the most senior coordinator of each data
+centre writes the seniors of it.
 """
 
 import msgspec
@@ -10,14 +10,14 @@
 
 KIND = "plumarch-members"
 CENTRE_PREFIX = "centre-"
-"""Before the name of a data centre, in the name of its elders' record."""
+"""Prefix of a data centre's name in the name of its seniors' record."""
 
 
 class NodeRecord(msgspec.Struct, frozen=True):
-    """Where a node is.
+    """Address of a node.
 
     Attributes:
-      address: IP:port of its heartbeats.
+      address: IP:port to which heartbeats are sent.
     """
 
     address: str
@@ -25,12 +25,12 @@
 
 
 def encode(nodes: list[NodeRecord]) -> str:
-    """Return nodes as the store keeps them."""
+    """Return the text of a record."""
     return msgspec.json.encode(nodes).decode()
 
 
 def decode(found: records.Record) -> list[NodeRecord] | None:
-    """Return the nodes that a record names, or None if it can't be read."""
+    """Return the nodes in a record, or None if it can't be decoded."""
     try:
         return msgspec.json.decode(found.value, type=list[NodeRecord])
     except msgspec.DecodeError:
--- a/plumarch/membership/peer_node.py
+++ b/plumarch/membership/peer_node.py
@@ -1,4 +1,4 @@
-"""Another node, as its heartbeats tell of it."""
+"""Another node of the fleet, by its heartbeats."""
 
 import dataclasses
 
@@ -10,14 +10,14 @@
     """Another node.
 
     Attributes:
-      incarnation: time of day at which its process started, in ms; 0 if never heard.
-      address: IP:port of its heartbeats.
-      last_seen_ms: when it was heard last, by this node's clock.
+      address: IP:port to which heartbeats are sent.
+      incarnation: start time of its process by the time of day, in ms; 0 if never seen.
+      last_seen_ms: by this node's clock; None if never seen.
       token: the fencing token that it holds, or 0.
-      candidate: whether it could take the duties over now.
-      reaches_store: whether the platform's store answers it.
-      nodes: how many nodes it counts in the fleet.
-      build: of the product, as it tells; "" if it doesn't.
+      candidate: whether it can take over the duties.
+      reaches_store: whether it reaches the platform's store.
+      nodes: the size of the fleet by its own count.
+      build: the build that it reports, or "".
     """
 
     name: str
@@ -34,5 +34,5 @@
     build: str = ""
 
     def seniority(self) -> tiers.Seniority:
-        """Return what nodes are ordered by."""
+        """Return its seniority."""
         return tiers.Seniority(self.incarnation, self.name)
--- a/plumarch/membership/registry.py
+++ b/plumarch/membership/registry.py
@@ -1,7 +1,7 @@
-"""The endpoints that exist, from a list-and-watch source or from a peer.
+"""Registry of endpoints, from a list-and-watch source or from a peer.
 
-A snapshot or a batch of changes counts only if its revision is newer than what is held, so
-that what a peer hands on and what the source tells may overtake one another.
+Snapshots and changes of stale revisions are ignored, so the source and peers may overtake one
+another.
 """
 
 import dataclasses
@@ -11,24 +11,22 @@
 from plumarch.membership import drain_notices
 
 LAPSE_MS = 1_400
-"""How long endpoints that vanished without notice, most of a service at once, are still used."""
+"""How long endpoints stay in use after most of a service's entries vanished without notice."""
 
 MIN_LAPSED = 2
-"""A single endpoint that vanishes is taken as gone at once."""
+"""Minimum number of vanished endpoints of a service that stay in use."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointChange:
-    """An endpoint that came, changed, or is gone (endpoint None).
+    """An added, changed or removed endpoint (endpoint None).
 
     Attributes:
-      id: what the endpoint calls itself, as a source tells of it; the incarnation's identifier, as
-        the registry tells what changed.
+      id: the endpoint's own name in changes from a source; the incarnation's identifier in changes
+        that the registry returns.
       revision: the source's revision of the change.
-      is_unreadable: whether its entry stands and can't be read: it is not used on for a while, as
-        one is whose entry vanished.
-      is_restarted: whether it is gone because its process has started again: its entry stands, and
-        names another incarnation.
+      is_unreadable: whether its entry exists but can't be decoded.
+      is_restarted: whether its process has restarted: its entry exists with another incarnation.
     """
 
     id: str
@@ -40,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lapsed:
-    """An endpoint that took new work until its entry vanished without notice."""
+    """A ready endpoint whose entry vanished without notice."""
 
     endpoint: traffic.Endpoint
     at_ms: int
@@ -48,22 +46,21 @@
 
 @dataclasses.dataclass(slots=True)
 class Registry:
-    """The endpoints, and how fresh the knowledge is.
+    """The endpoints, and how fresh they are.
 
-    Entries may lapse while the source itself is away, and come back soon after it does. Where
-    fewer endpoints of a service are left than vanished just now, those are used on for a while.
+    Entries may lapse during an outage of the source. Where fewer endpoints of a service remain than
+    have just vanished, the vanished ones stay in use for LAPSE_MS.
 
     Attributes:
-      endpoints: by identifier; one that said itself that it leaves is draining here, whatever its
-        entry tells.
-      by_name: the incarnation that each endpoint is now, by what it calls itself.
-      lapsed: endpoints that vanished without notice, by identifier.
-      ready_by_service: those that take new work, kept until an endpoint changes.
+      endpoints: by identifier; one that announced that it drains is draining here, whatever its
+        entry lists.
+      by_name: the current incarnation of each endpoint, by the endpoint's own name.
       revision: the source's revision up to which all changes are known.
-      changed_revision: the revision at which something changed last; other nodes need not fetch
-        what is confirmed beyond it.
-      confirmed_ms: when that was last confirmed.
-      source: who told last: "store" or a peer's name.
+      changed_revision: the revision of the last change; other nodes need not fetch later ones.
+      confirmed_ms: when `revision` was last confirmed.
+      source: the last source: "store" or a peer's name.
+      lapsed: endpoints that vanished without notice, by identifier.
+      ready_by_service: cache of ready endpoints, cleared when an endpoint changes.
     """
 
     clock: clock.Clock
@@ -87,12 +84,12 @@
         source: str,
         unreadable: frozenset[str] = frozenset(),
     ) -> list[EndpointChange]:
-        """Take a whole list.
+        """Replace all endpoints, unless the list is stale.
 
         Args:
-          unreadable: identifiers whose entries can't be read.
+          unreadable: names of endpoints whose entries can't be decoded.
         Returns:
-          What changed by it; nothing if the list is older than what is held.
+          The changes by it.
         """
         if revision < self.revision:
             return []
@@ -117,57 +114,57 @@
     def apply(
         self, changes: Iterable[EndpointChange], revision: int, source: str
     ) -> list[EndpointChange]:
-        """Take changes up to a revision.
+        """Apply changes up to a revision, unless it is stale.
 
         Returns:
-          Those that were news.
+          Those that took effect.
         """
         if revision < self.revision:
             return []
-        news: list[EndpointChange] = []
+        applied: list[EndpointChange] = []
         for change in changes:
             if change.revision > self.revision:
-                news += self._apply(change)
-        self._confirm(revision, source, bool(news))
-        return news
-
-    def _apply(self, told: EndpointChange) -> list[EndpointChange]:
-        """Take one change; return what it changes of incarnations."""
-        news = []
-        before = self.by_name.get(told.id)
-        endpoint = self.drains.applied(told.endpoint) if told.endpoint is not None else None
+                applied += self._apply(change)
+        self._confirm(revision, source, bool(applied))
+        return applied
+
+    def _apply(self, received: EndpointChange) -> list[EndpointChange]:
+        """Apply one change, and return the changes of incarnations by it."""
+        changes = []
+        before = self.by_name.get(received.id)
+        endpoint = self.drains.applied(received.endpoint) if received.endpoint is not None else None
         now = endpoint.id if endpoint is not None else None
         if before is not None and before != now:
             change = EndpointChange(
-                before, told.revision, None, told.is_unreadable, endpoint is not None
+                before, received.revision, None, received.is_unreadable, endpoint is not None
             )
-            news.append(change)
-            del self.by_name[told.id]
+            changes.append(change)
+            del self.by_name[received.id]
             self._note_end(self.endpoints.pop(before), change)
         if endpoint is not None and self.endpoints.get(endpoint.id) != endpoint:
-            news.append(EndpointChange(endpoint.id, told.revision, endpoint))
+            changes.append(EndpointChange(endpoint.id, received.revision, endpoint))
             self.endpoints[endpoint.id] = endpoint
-            self.by_name[told.id] = endpoint.id
-        return news
+            self.by_name[received.id] = endpoint.id
+        return changes
 
     def note_draining(self, endpoint: traffic.Endpoint, alive_ms: int) -> bool:
-        """Take in that an endpoint says itself that it leaves.
+        """Record that an endpoint announced that it drains.
 
         Args:
-          endpoint: the incarnation that was asked.
-          alive_ms: time of day at which the process that answered was alive for certain.
+          endpoint: the incarnation to which the request was sent.
+          alive_ms: time of day at which the process that answered was certainly alive.
         Returns:
-          Whether that is news, or makes a listed endpoint a leaving one.
+          Whether the notice is new or changes the state of a listed endpoint.
         """
-        is_news = self.drains.note(endpoint, alive_ms)
+        is_new = self.drains.note(endpoint, alive_ms)
         self.lapsed.pop(endpoint.id, None)
         listed = self.endpoints.get(self.by_name.get(endpoint.called(), ""))
         if listed is None:
-            return is_news
-        as_said = self.drains.applied(listed)
-        if as_said == listed:
-            return is_news
-        self.endpoints[listed.id] = as_said
+            return is_new
+        draining = self.drains.applied(listed)
+        if draining == listed:
+            return is_new
+        self.endpoints[listed.id] = draining
         self.ready_by_service = {}
         return True
 
@@ -184,22 +181,22 @@
         self.source = source
 
     def _note_end(self, vanished: traffic.Endpoint, change: EndpointChange) -> None:
-        """Note an endpoint to be used on for a while, if its entry vanished without notice."""
+        """Record the end of an endpoint, as lapsed if its entry vanished without notice."""
         if change.is_unreadable or change.is_restarted:
             return
         self.drains.vanished(vanished)
         now = self.clock.now()
-        for name in [name for name, one in self.lapsed.items() if self._is_over(one, now)]:
+        for name in [name for name, one in self.lapsed.items() if self._is_expired(one, now)]:
             del self.lapsed[name]
         if vanished.state is traffic.EndpointState.READY:
             self.lapsed[vanished.id] = Lapsed(vanished, now)
 
     @staticmethod
-    def _is_over(lapsed: Lapsed, now: int) -> bool:
+    def _is_expired(lapsed: Lapsed, now: int) -> bool:
         return now - lapsed.at_ms > LAPSE_MS
 
     def ready(self, service: str) -> list[traffic.Endpoint]:
-        """Return the endpoints of a service that take new work, by identifier."""
+        """Return the endpoints of a service that accept new requests, by identifier."""
         found = self.ready_by_service.get(service)
         if found is None:
             found = self.ready_by_service[service] = self._listed_as_ready(service)
@@ -219,16 +216,16 @@
         return sorted(found, key=lambda endpoint: endpoint.id)
 
     def _vanished(self, service: str) -> list[traffic.Endpoint]:
-        """Return the endpoints of a service that vanished just now and are not back."""
+        """Return the endpoints of a service that lapsed just now and are not listed again."""
         now = self.clock.now()
         return [
             one.endpoint
             for name, one in self.lapsed.items()
             if one.endpoint.service == service
             and name not in self.endpoints
-            and not self._is_over(one, now)
+            and not self._is_expired(one, now)
         ]
 
     def age_ms(self) -> int:
-        """Return how long ago the registry was last confirmed."""
+        """Return the time since the last confirmation."""
         return self.clock.now() - self.confirmed_ms
--- a/plumarch/membership/store_followers.py
+++ b/plumarch/membership/store_followers.py
@@ -1,26 +1,24 @@
-"""Which nodes of a large fleet follow the platform's store for the others.
+"""Which nodes of a large fleet follow the platform's store.
 
-A call is paid for, and each follower is answered at each change: with n followers a change costs
-n calls. The others hear of it from their coordinators, who hear of it from those of the other
-data centres too.
+Each change costs one paid call per follower; the other nodes receive it by gossip.
 """
 
 from collections.abc import Iterable
 
 MIN_FOLLOWERS = 5
-"""Followers of a fleet whose data centres are all heard. Four of them may be killed, frozen or
-turned away at once, and the fifth still tells all the others."""
+"""Minimum followers of a fleet with at least that many reachable data centres; all but one may fail
+at once."""
 
 MAX_PER_CENTRE = 2
-"""Followers of each data centre where there are fewer data centres than that."""
+"""Followers of each data centre if fewer data centres are reachable."""
 
 
 def per_centre(data_centres: int) -> int:
     """Return how many nodes of each data centre follow the store.
 
     Args:
-      data_centres: how many are heard, the own one included. Those that are cut off don't count,
-        so that a part of the fleet that is left alone soon has enough followers of its own.
+      data_centres: the reachable ones, the own one included, so that each side of a partition soon
+        has enough followers.
     """
     return 1 if data_centres >= MIN_FOLLOWERS else MAX_PER_CENTRE
 
@@ -28,18 +26,18 @@
 def choose(by_seniority: Iterable[tuple[str, bool]], wanted: int) -> list[str]:
     """Return the names of the followers of a data centre.
 
-    They are the oldest nodes, until enough of them are answered: one that the store turns away
-    goes on asking, and counts for nothing.
+    The most senior nodes are chosen until enough of them reach the store; those that don't keep
+    trying.
 
     Args:
-      by_seniority: names of its live nodes and whether the store answers them, the oldest first.
-      wanted: how many that the store answers are to follow it.
+      by_seniority: names of its live nodes and whether they reach the store, most senior first.
+      wanted: the number of followers that reach the store.
     """
     chosen: list[str] = []
-    answered = 0
+    reaching = 0
     for name, reaches_store in by_seniority:
-        if answered >= wanted:
+        if reaching >= wanted:
             break
         chosen.append(name)
-        answered += reaches_store
+        reaching += reaches_store
     return chosen
--- a/plumarch/membership/tiers.py
+++ b/plumarch/membership/tiers.py
@@ -1,12 +1,7 @@
-"""Who coordinates in a large fleet, as each node believes it.
+"""Roles in a large fleet: the seniors of each data centre coordinate, the others are members.
 
-In a small fleet each node tells each other one all it knows. In a large one that makes every belief
-old and costs each node a datagram from each other node for each round of news. There the oldest
-live nodes of each data centre are its coordinators: the others (members) tell their news to them,
-coordinators exchange sums between data centres, and members get the sums of the whole fleet.
-
-Nothing is elected or agreed. Each node decides for itself by whom it hears, and two beliefs at
-once only mean that figures are told twice or a little later: safety rests on none of it.
+Each node decides its role from its own view, without an election. Conflicting views only duplicate
+or delay reports; safety does not depend on roles.
 """
 
 import dataclasses
@@ -14,22 +9,21 @@
 from collections.abc import Iterable, Mapping
 
 FLAT_FLEET = 24
-"""Up to this many nodes, each tells each other one. At that size a node sends and takes in some
-hundred heartbeats a second, as a coordinator of 24 nodes would."""
+"""Maximum size of a fleet in which each node sends to each other one."""
 
 COORDINATORS = 2
-"""Coordinators of each data centre: one, and one in its place at once."""
+"""Coordinators of each data centre: one and a standby."""
 
 SENIORS = 4
-"""How many of a data centre's oldest nodes its members know, for when coordinators fall silent."""
+"""Number of seniors that members know, as replacements for unresponsive coordinators."""
 
 RECENTLY_LOST_TIMEOUTS = 4
-"""A node counts as one that fell silent until it was silent for this many times the time for which
-it counts as heard; longer ago it was just not one to be heard."""
+"""A node counts as recently lost for this many alive timeouts after its last message; later, a
+peer's report that it is a senior is believed again."""
 
 
 class Role(enum.Enum):
-    """What a node is to the others."""
+    """Role of a node."""
 
     FLAT = "flat"
     MEMBER = "member"
@@ -38,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Seniority:
-    """What nodes are ordered by: the time of day of their start in ms, then their name."""
+    """Ordering key of nodes: start time (time of day in ms), then name; lower is more senior."""
 
     incarnation: int
     name: str
@@ -46,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Senior:
-    """One of the oldest live nodes of a data centre."""
+    """One of the longest-running live nodes of a data centre."""
 
     seniority: Seniority
     address: str
@@ -54,19 +48,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CentreView:
-    """What the coordinators of another data centre told last.
+    """The last summary of another data centre.
 
     Attributes:
-      nodes: how many nodes there may be.
-      reachable_nodes: how many of them they hear.
-      seniors: its oldest live nodes, the oldest first.
+      nodes: its size.
+      reachable_nodes: how many of them are alive.
+      seniors: the most senior first.
       token: the highest fencing token that one of its live nodes holds, or 0.
-      candidate: the oldest of its live nodes that could take the duties over, or None.
-      reported: the newest usage window reported, as far as known there.
-      usage_age_ms: how old the oldest of its nodes' news was when it was told.
-      received_ms: when it was told, by this node's clock.
-      usage_reported_ms: as of when usage windows were told, by this node's clock and by window.
-      senior_received_ms: when its oldest coordinator told, by this node's clock; 0 if it never did.
+      candidate: the most senior of its live nodes that can take over the duties, or None.
+      reported: the newest usage window known there to be reported.
+      usage_age_ms: age of the oldest of its nodes' figures when the summary was sent.
+      received_ms: by this node's clock.
+      usage_reported_ms: as of when usage windows were reported, by window and this node's clock.
+      senior_received_ms: when the last summary of its most senior coordinator arrived, by this
+        node's clock; 0 if none did.
     """
 
     nodes: int
@@ -83,16 +78,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReceivedFleetUpdate:
-    """What a coordinator of the own data centre told its members last.
+    """The last fleet update from a coordinator of the own data centre.
 
     Attributes:
-      author: the coordinator that told it.
-      nodes: how many nodes there may be in the fleet.
-      centre_nodes: how many of them are in the own data centre.
-      fraction: the part of them that the author hears or is told to be heard.
-      seniors: the oldest live nodes of the own data centre, the oldest first.
-      followers: names of those of its nodes that follow the store.
-      received_ms: when it was told, by this node's clock.
+      author: the coordinator that sent it.
+      nodes: the size of the fleet.
+      centre_nodes: the size of the own data centre.
+      fraction: the reachable fraction of the fleet.
+      seniors: of the own data centre, the most senior first.
+      followers: names of the nodes of the own data centre that follow the store.
+      received_ms: by this node's clock.
     """
 
     author: Seniority
@@ -105,18 +100,18 @@
 
 
 def role_of(
-    mine: Seniority, nodes: int, older: Iterable[Seniority], has_fresh_update: bool
+    mine: Seniority, nodes: int, seniorities: Iterable[Seniority], has_fresh_update: bool
 ) -> Role:
-    """Return what a node is.
+    """Return the role of a node.
 
     Args:
-      mine: the node's own age.
-      nodes: how many nodes there may be in the fleet.
-      older: live nodes of its data centre that are known to it; younger ones are passed over.
-      has_fresh_update: whether a coordinator's news reaches it.
+      mine: the node's own seniority.
+      nodes: the size of the fleet.
+      seniorities: those of live nodes of its data centre; less senior ones are ignored.
+      has_fresh_update: whether it receives fleet updates.
     """
     if nodes <= FLAT_FLEET:
         return Role.FLAT
-    if len([age for age in set(older) if age < mine]) < COORDINATORS:
+    if len([other for other in set(seniorities) if other < mine]) < COORDINATORS:
         return Role.COORDINATOR
     return Role.MEMBER if has_fresh_update else Role.FLAT
