--- a/plumarch/membership/fleet_view_test.py
+++ b/plumarch/membership/fleet_view_test.py
@@ -1,4 +1,4 @@
-"""What a node makes of heartbeats, of silence, and of processes that were replaced."""
+"""The fleet view under heartbeats, timeouts and replaced incarnations."""
 
 from plumarch.core import clock
 from plumarch.membership import fleet_view, store_followers
@@ -8,13 +8,13 @@
     return fleet_view.FleetView(time, "a", 100, "10.0.0.1:7")
 
 
-def test_a_seed_counts_as_a_node_that_is_not_heard():
+def test_a_seed_counts_as_an_unreachable_node():
     view = view_at(clock.ManualClock())
     view.learn("10.0.0.2:7", "10.0.0.2:7")
     assert view.reachable_fraction() == 0.5
 
 
-def test_the_own_address_among_the_seeds_is_left_out():
+def test_the_own_address_among_the_seeds_is_ignored():
     view = view_at(clock.ManualClock())
     view.learn("10.0.0.1:7", "10.0.0.1:7")
     assert view.size() == 1
@@ -35,7 +35,7 @@
     assert view.peers["b"].incarnation == 60
 
 
-def test_silent_peers_still_count_until_they_are_forgotten():
+def test_unreachable_peers_count_until_they_are_dropped():
     time = clock.ManualClock()
     view = view_at(time)
     view.mark_seen("b", 60, "10.0.0.2:7", "z")
@@ -46,7 +46,7 @@
     assert view.reachable_fraction() == 1.0
 
 
-def test_where_heartbeats_are_rare_a_node_is_heard_for_longer():
+def test_the_alive_timeout_grows_with_the_heartbeat_interval():
     time = clock.ManualClock()
     view = view_at(time)
     view.interval_ms = 1_000.0
@@ -57,7 +57,7 @@
     assert view.live() == []
 
 
-def test_in_a_large_fleet_the_oldest_of_each_data_centre_follow_the_store():
+def test_in_a_large_fleet_the_seniors_of_each_data_centre_follow_the_store():
     time = clock.ManualClock()
     view = view_at(time)
     for number in range(store_followers.MAX_PER_CENTRE):
@@ -71,7 +71,7 @@
     assert view.watches_store("z")
 
 
-def test_a_node_that_the_store_does_not_answer_leaves_following_it_to_another():
+def test_another_node_follows_the_store_in_place_of_one_that_can_not_reach_it():
     view = view_at(clock.ManualClock())
     for number in range(fleet_view.SMALL_FLEET + 1):
         view.mark_seen(f"c{number:02}", number + 1, f"10.0.2.{number}:7", "x")
@@ -81,7 +81,7 @@
     assert view.watches_store("x")
 
 
-def test_a_node_that_left_as_planned_reserves_nothing():
+def test_no_share_is_kept_for_a_node_that_left_as_planned():
     time = clock.ManualClock()
     view = view_at(time)
     peer = view.mark_seen("b", 60, "10.0.0.2:7", "z")
@@ -90,7 +90,7 @@
     assert view.reachable_fraction() == 1.0
 
 
-def test_allotments_count_on_a_node_that_missed_one_heartbeat_and_on_none_that_missed_two():
+def test_for_quotas_a_node_is_fresh_after_one_lost_heartbeat_and_not_after_two():
     time = clock.ManualClock()
     view = view_at(time)
     view.interval_ms = 250.0
@@ -101,7 +101,7 @@
     assert (view.fresh_fraction(), view.reachable_fraction()) == (0.5, 1.0)
 
 
-def test_allotments_expect_nothing_of_a_node_that_ends_as_planned():
+def test_quotas_keep_no_share_for_a_node_that_drains():
     time = clock.ManualClock()
     view = view_at(time)
     peer = view.mark_seen("b", 60, "10.0.0.2:7", "z")
@@ -110,16 +110,16 @@
     assert view.fresh_fraction() == 1.0
 
 
-def test_the_oldest_live_node_is_the_one_to_take_the_duties():
+def test_the_most_senior_live_candidate_takes_the_duties():
     time = clock.ManualClock()
     view = view_at(time)
-    older = view.mark_seen("b", 60, "10.0.0.2:7", "z")
+    senior = view.mark_seen("b", 60, "10.0.0.2:7", "z")
     assert not view.is_most_senior_candidate()
-    older.leaving = True
+    senior.leaving = True
     assert view.is_most_senior_candidate()
-    older.leaving = False
-    older.candidate = False
+    senior.leaving = False
+    senior.candidate = False
     assert view.is_most_senior_candidate()
-    older.candidate = True
+    senior.candidate = True
     time.advance_to(fleet_view.ALIVE_TIMEOUT_MS + 1)
     assert view.is_most_senior_candidate()
--- a/plumarch/membership/registry_test.py
+++ b/plumarch/membership/registry_test.py
@@ -1,4 +1,4 @@
-"""Endpoints from the store and from peers, in any order; nothing older counts."""
+"""Endpoints from the store and from peers, in any order; stale revisions are ignored."""
 
 import dataclasses
 import random
@@ -15,7 +15,7 @@
     return registry.EndpointChange(name, revision, None if gone else endpoint(name))
 
 
-def test_a_list_replaces_what_was_known_and_tells_what_changed():
+def test_a_list_replaces_the_endpoints_and_returns_the_changes():
     known = registry.Registry(clock.ManualClock(5))
     known.replace([endpoint("a"), endpoint("b")], 10, "store")
     changes = known.replace([endpoint("b"), endpoint("c")], 12, "store")
@@ -23,7 +23,7 @@
     assert known.revision == 12
 
 
-def test_an_older_list_from_a_peer_brings_nothing_back():
+def test_a_stale_list_from_a_peer_is_ignored():
     known = registry.Registry(clock.ManualClock())
     known.replace([endpoint("a")], 10, "store")
     known.apply([change("a", 11, gone=True)], 11, "store")
@@ -31,7 +31,7 @@
     assert known.ready("s") == []
 
 
-def test_a_change_that_a_peer_told_already_is_not_applied_again():
+def test_a_change_already_received_from_a_peer_is_not_applied_again():
     known = registry.Registry(clock.ManualClock())
     known.replace([], 10, "store")
     known.replace([], 12, "peer")
@@ -39,7 +39,7 @@
     assert known.endpoints == {}
 
 
-def test_draining_endpoints_take_no_new_work():
+def test_draining_endpoints_are_not_ready():
     known = registry.Registry(clock.ManualClock())
     leaving = dataclasses.replace(endpoint("a"), state=traffic.EndpointState.DRAINING)
     known.replace([leaving, endpoint("b")], 1, "store")
@@ -67,14 +67,14 @@
             upto = rng.randint(watched + 1, 29)
             known.apply(history[watched:upto], upto, "store")
             watched = upto
-            at, told = rng.choice(snapshots)
-            known.replace(told.values(), at, "peer")
+            at, snapshot = rng.choice(snapshots)
+            known.replace(snapshot.values(), at, "peer")
             expected = snapshots[known.revision][1]
             assert known.endpoints == expected
         assert known.endpoints == truth
 
 
-def test_endpoints_whose_entries_lapsed_together_are_used_on_for_a_while():
+def test_endpoints_whose_entries_lapsed_together_stay_in_use_for_a_while():
     time = clock.ManualClock()
     known = registry.Registry(time)
     known.replace([endpoint(name) for name in "abcd"], 10, "store")
@@ -86,7 +86,7 @@
     assert [one.id for one in known.ready("s")] == ["a", "b"]
 
 
-def test_lapsed_endpoints_are_gone_when_the_time_is_over():
+def test_lapsed_endpoints_expire():
     time = clock.ManualClock()
     known = registry.Registry(time)
     known.replace([endpoint(name) for name in "abc"], 10, "store")
@@ -96,7 +96,7 @@
     assert known.ready("s") == []
 
 
-def test_an_endpoint_that_was_leaving_does_not_come_back_as_lapsed():
+def test_a_draining_endpoint_does_not_lapse():
     known = registry.Registry(clock.ManualClock())
     leaving = traffic.EndpointState.DRAINING
     known.replace([endpoint(name, leaving) for name in "abc"], 10, "store")
@@ -104,7 +104,7 @@
     assert known.ready("s") == []
 
 
-def test_a_confirmation_without_a_change_is_nothing_to_hand_on():
+def test_a_confirmation_without_a_change_keeps_the_changed_revision():
     known = registry.Registry(clock.ManualClock())
     known.replace([endpoint("a")], 10, "store")
     known.apply([], 14, "store")
