--- a/plumarch/gateway/gossip/large_fleet_test.py
+++ b/plumarch/gateway/gossip/large_fleet_test.py
@@ -1,4 +1,4 @@
-"""Large fleets: who coordinates, what everybody knows, and what failures change of it."""
+"""Large fleets: roles, gossip, and both under failures."""
 
 import collections
 import dataclasses
@@ -24,14 +24,14 @@
     return fleet
 
 
-def oldest(fleet: gossip_fleet.GossipFleet, data_centre: str) -> list[gossip_fleet.Node]:
+def by_seniority(fleet: gossip_fleet.GossipFleet, data_centre: str) -> list[gossip_fleet.Node]:
     found = [node for node in fleet.live() if node.data_centre == data_centre]
     return sorted(found, key=lambda node: node.view.seniority())
 
 
 @pytest.mark.parametrize("nodes_each", [6, 12, 39])
-def test_nodes_that_know_only_seeds_find_each_other_before_any_acts_alone(nodes_each: int):
-    """Within the time that a process waits before it takes duties or writes itself down."""
+def test_nodes_that_know_only_seeds_discover_each_other_before_any_acts_alone(nodes_each: int):
+    """SETTLE_MS is how long a process waits before it takes duties."""
     fleet = gossip_fleet.GossipFleet(gossip_fleet.Size(5, nodes_each), knows_all=False)
     fleet.run(duty_holder.SETTLE_MS)
     assert len(fleet.with_role(tiers.Role.COORDINATOR)) == 5 * tiers.COORDINATORS
@@ -49,14 +49,16 @@
 
 
 @pytest.mark.parametrize("nodes_each", [12, 39])
-def test_the_oldest_two_of_each_data_centre_coordinate_and_all_hear_all(nodes_each: int):
+def test_the_two_most_senior_nodes_of_each_data_centre_coordinate_and_all_are_reachable(
+    nodes_each: int,
+):
     size = gossip_fleet.Size(3 if nodes_each == 12 else 5, nodes_each)
     fleet = settled(size)
     coordinators = fleet.with_role(tiers.Role.COORDINATOR)
     by_centre = collections.Counter(node.data_centre for node in coordinators)
     assert set(by_centre.values()) == {tiers.COORDINATORS}
     for centre in by_centre:
-        assert oldest(fleet, centre)[0] in coordinators
+        assert by_seniority(fleet, centre)[0] in coordinators
     assert len(fleet.with_role(tiers.Role.MEMBER)) == len(fleet.live()) - len(coordinators)
     for node in fleet.live():
         assert node.view.size() == size.data_centres * nodes_each
@@ -84,9 +86,9 @@
     assert all(node.state.chooser.load("e").running == 0 for node in nodes)
 
 
-def test_the_next_oldest_coordinates_after_a_kill_and_members_stay_members():
+def test_the_next_senior_coordinates_after_a_failure_and_members_stay_members():
     fleet = settled()
-    first, second, third = oldest(fleet, "dc-a")[:3]
+    first, second, third = by_seniority(fleet, "dc-a")[:3]
     first.alive = False
     roles = set()
     for _ in range(30):
@@ -100,13 +102,13 @@
     } - {first.name}
 
 
-def test_all_coordinators_of_a_data_centre_die_at_once():
+def test_all_coordinators_of_a_data_centre_fail_at_once():
     fleet = settled()
-    dead = oldest(fleet, "dc-a")[:2]
+    dead = by_seniority(fleet, "dc-a")[:2]
     for node in dead:
         node.alive = False
     fleet.run(3_500)
-    left = oldest(fleet, "dc-a")
+    left = by_seniority(fleet, "dc-a")
     assert [node.view.role for node in left[:2]] == [tiers.Role.COORDINATOR] * 2
     assert {node.view.role for node in left[2:]} == {tiers.Role.MEMBER}
     expected = (36 - 2) / 36
@@ -114,11 +116,11 @@
         assert node.state.quota.fraction == pytest.approx(expected)
 
 
-def test_members_whose_elders_all_lost_power_do_not_take_a_few_nodes_for_the_fleet():
+def test_members_whose_seniors_all_fail_do_not_take_a_few_nodes_for_the_fleet():
     fleet = gossip_fleet.GossipFleet(SIZE, knows_all=False)
     fleet.run(2 * SETTLE_MS)
     for centre in ("dc-a", "dc-b", "dc-c"):
-        for node in oldest(fleet, centre)[: 2 * tiers.SENIORS]:
+        for node in by_seniority(fleet, centre)[: 2 * tiers.SENIORS]:
             node.alive = False
     survivors = fleet.live()
     for at in range(0, 3_000, 100):
@@ -130,7 +132,7 @@
             assert node.view.role is not tiers.Role.FLAT or not node.view.is_most_senior_candidate()
 
 
-def test_a_data_centre_that_is_cut_off_keeps_its_part_and_the_others_theirs():
+def test_both_sides_of_a_partition_keep_their_quota_shares():
     fleet = settled()
     fleet.cut = lambda one, other: (one.data_centre == "dc-a") != (other.data_centre == "dc-a")
     fleet.run(1_600)
@@ -142,9 +144,9 @@
     assert all(node.state.quota.fraction == 1.0 for node in fleet.live())
 
 
-def test_a_node_cut_off_alone_has_a_nodes_part():
+def test_an_isolated_node_has_the_quota_share_of_one_node():
     fleet = settled()
-    alone = oldest(fleet, "dc-b")[-1]
+    alone = by_seniority(fleet, "dc-b")[-1]
     fleet.cut = lambda one, other: alone in (one, other)
     fleet.run(2_000)
     assert alone.state.quota.fraction == pytest.approx(1 / 36)
@@ -152,9 +154,9 @@
     assert all(node.state.quota.fraction == pytest.approx(35 / 36) for node in others)
 
 
-def test_a_coordinator_that_was_frozen_misleads_nobody():
+def test_a_thawed_coordinator_does_not_lower_the_reachable_fraction():
     fleet = settled()
-    first = oldest(fleet, "dc-a")[0]
+    first = by_seniority(fleet, "dc-a")[0]
     first.frozen = True
     fleet.run(3_000)
     fleet.thaw(first)
@@ -166,7 +168,7 @@
     assert first.view.role is tiers.Role.COORDINATOR
 
 
-def test_all_processes_start_anew_at_once():
+def test_all_processes_restart_at_once():
     fleet = settled()
     for node in fleet.live():
         node.alive = False
@@ -180,7 +182,7 @@
     assert all(node.state.quota.fraction == 1.0 for node in fleet.live())
 
 
-def test_a_newcomer_that_knows_only_a_seed_finds_its_coordinators():
+def test_a_new_node_that_knows_only_a_seed_finds_its_coordinators():
     fleet = settled()
     seed = fleet.nodes["dc-a-0"]
     assert seed is not None
@@ -191,7 +193,7 @@
     assert newcomer.state.quota.fraction == 1.0
 
 
-def test_the_oldest_candidate_takes_the_duties_and_its_loss_is_known_within_two_seconds():
+def test_the_loss_of_the_duty_holder_is_known_within_two_seconds():
     fleet = settled()
     candidates = [node for node in fleet.live() if node.view.is_most_senior_candidate()]
     assert len(candidates) == 1
@@ -206,7 +208,7 @@
     assert len([node for node in others if node.view.is_most_senior_candidate()]) == 1
 
 
-def test_usage_of_all_nodes_is_summed_up_once():
+def test_usage_of_all_nodes_is_counted_once():
     fleet = settled()
     coordinator = fleet.with_role(tiers.Role.COORDINATOR)[0]
     now = fleet.time.now()
@@ -217,7 +219,7 @@
     assert coordinator.state.usage.total(window) == {"w0": 36}
 
 
-def test_two_of_each_data_centre_follow_the_store_where_it_answers_them():
+def test_two_nodes_of_each_data_centre_that_reach_the_store_follow_it():
     fleet = settled()
     watching = [node for node in fleet.live() if node.view.watches_store(node.data_centre)]
     assert collections.Counter(node.data_centre for node in watching) == {
@@ -225,7 +227,7 @@
         "dc-b": 2,
         "dc-c": 2,
     }
-    refused = oldest(fleet, "dc-a")[0]
+    refused = by_seniority(fleet, "dc-a")[0]
     refused.state.reaches_store = False
     fleet.run(1_000)
     watching = [node for node in fleet.live() if node.view.watches_store(node.data_centre)]
@@ -233,7 +235,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_lost_doubled_and_late_datagrams_change_nothing_for_long(seed: int):
+def test_lost_duplicate_and_late_datagrams_change_no_role_and_hardly_any_quota(seed: int):
     fleet = settled(seed=seed)
     fleet.lose, fleet.double, fleet.late_ms = 0.1, 0.1, 150
     for _ in range(40):
@@ -242,49 +244,49 @@
     assert len(fleet.with_role(tiers.Role.COORDINATOR)) == 6
 
 
-@pytest.mark.parametrize("told", [20, 24, 25, 40])
-def test_a_node_decides_the_same_role_again_from_the_same_knowledge(told: int):
-    """Near the size at which fleets change, a role must not follow from the role before."""
+@pytest.mark.parametrize("nodes", [20, 24, 25, 40])
+def test_a_role_does_not_oscillate_near_the_maximum_size_of_a_flat_fleet(nodes: int):
+    """Guards against a role that depends on the previous one."""
     fleet = settled()
-    for node in (oldest(fleet, "dc-a")[0], oldest(fleet, "dc-a")[-1]):
+    for node in (by_seniority(fleet, "dc-a")[0], by_seniority(fleet, "dc-a")[-1]):
         if node.view.fleet_update is not None:
-            node.view.fleet_update = dataclasses.replace(node.view.fleet_update, nodes=told)
+            node.view.fleet_update = dataclasses.replace(node.view.fleet_update, nodes=nodes)
         node.view.centres = {
-            name: dataclasses.replace(one, nodes=told // 3)
+            name: dataclasses.replace(one, nodes=nodes // 3)
             for name, one in node.view.centres.items()
         }
         roles = [node.view.decide_role() for _ in range(4)]
         assert len(set(roles[1:])) == 1
 
 
-def test_a_large_charge_is_known_to_the_data_centre_within_a_round():
+def test_a_large_charge_reaches_the_data_centre_within_a_round():
     fleet = settled()
     space = fleet.table.workspaces["w0"]
-    node = oldest(fleet, "dc-a")[-1]
-    other = oldest(fleet, "dc-a")[-2]
+    node = by_seniority(fleet, "dc-a")[-1]
+    other = by_seniority(fleet, "dc-a")[-2]
     assert node.state.quota.admit(space, 1_800.0) == 0
     node.state.chooser.own["e"] = endpoint_choice.Load(1, 1_700.0)
     node.state.announce_prompt(fleet_state.SentPrompt("e", 1_700.0, "w0", 1_800.0))
     fleet.run(rounds.ROUND_INTERVAL_MS + 10)
     assert other.state.quota._refill(space).level < 400
     assert other.state.chooser.load("e") == endpoint_choice.Load(1, 1_700.0)
-    # The node's own charge is not counted twice once the news hold its notice.
+    # The node's own charge is not counted twice once an update includes it.
     level = node.state.quota._refill(space).level
     assert other.state.quota._refill(space).level == pytest.approx(level, abs=5)
 
 
-def test_a_process_that_was_replaced_counts_its_heartbeats_anew():
+def test_a_new_incarnation_numbers_its_heartbeats_from_the_start():
     fleet = settled()
-    old = oldest(fleet, "dc-a")[-1]
+    old = by_seniority(fleet, "dc-a")[-1]
     fleet.run(3_000)
     new = fleet.start(old.number, old.data_centre)
     fleet.run(1_000)
-    coordinator = oldest(fleet, "dc-a")[0]
-    taken_in = coordinator.gossip.coordination.acknowledged[new.name]
-    assert 0 < taken_in <= new.gossip.composer.sequence
+    coordinator = by_seniority(fleet, "dc-a")[0]
+    acknowledged = coordinator.gossip.coordination.acknowledged[new.name]
+    assert 0 < acknowledged <= new.gossip.composer.sequence
 
 
-def test_news_that_can_not_be_read_are_dropped_and_logged():
+def test_undecodable_updates_are_dropped_and_logged():
     fleet = settled()
     member = fleet.with_role(tiers.Role.MEMBER)[0]
     before = member.view.fleet_update
@@ -294,16 +296,16 @@
     assert b"bad_heartbeat" in bytes(member.state.log.pending)
 
 
-def test_with_many_data_centres_summaries_go_out_more_seldom():
+def test_with_many_data_centres_summaries_are_sent_less_often():
     few, many = settled(gossip_fleet.Size(3, 12)), settled(gossip_fleet.Size(12, 3))
     sent = []
     for fleet in (few, many):
         fleet.datagrams = {True: 0, False: 0}
         fleet.run(2_000)
-        oldest_ones = len({node.data_centre for node in fleet.live()})
-        sent.append(fleet.datagrams[True] / 2.0 / oldest_ones)
+        leaders = len({node.data_centre for node in fleet.live()})
+        sent.append(fleet.datagrams[True] / 2.0 / leaders)
     standby = 1 + 1 / rounds.STANDBY_ROUNDS
-    greetings = 2 * gossiper.CONTACTED * 1000 / gossiper.BEAT_MS
-    assert sent[0] <= 4 * 10 * standby + greetings
-    assert sent[1] <= tiers.COORDINATORS * rounds.SUMMARIES_PER_SECOND + greetings
+    contacts = 2 * gossiper.CONTACTED * 1000 / gossiper.BEAT_MS
+    assert sent[0] <= 4 * 10 * standby + contacts
+    assert sent[1] <= tiers.COORDINATORS * rounds.SUMMARIES_PER_SECOND + contacts
     assert all(node.state.quota.fraction == 1.0 for node in many.live())
--- a/plumarch/gateway/gossip/mixed_builds_test.py
+++ b/plumarch/gateway/gossip/mixed_builds_test.py
@@ -1,4 +1,4 @@
-"""Two builds side by side: what is asked, answered and heard between them."""
+"""Requests, answers and heartbeats between nodes of different builds."""
 
 import asyncio
 
@@ -23,11 +23,11 @@
 )
 
 
-async def served(exchange: snapshots.SnapshotExchange, asked: gossip.SnapshotRequest) -> bytes:
+async def served(exchange: snapshots.SnapshotExchange, request: gossip.SnapshotRequest) -> bytes:
     server = await asyncio.start_server(exchange.serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(frames.pack(gossip.encoder.encode(asked)))
+    writer.write(frames.pack(gossip.encoder.encode(request)))
     answer = await frames.read(reader, gossip.FRAME_LIMIT)
     writer.close()
     server.close()
@@ -41,63 +41,62 @@
     return snapshots.SnapshotExchange(state)
 
 
-def test_an_asker_that_takes_parts_gets_them_each_time():
+def test_a_requester_that_accepts_parts_always_gets_them():
     async def test() -> None:
         exchange = new_exchange()
-        asked = gossip.SnapshotRequest(-1, -1, takes_parts=True)
+        request = gossip.SnapshotRequest(-1, -1, takes_parts=True)
         for _ in range(3):
-            told = gossip.snapshot_decoder.decode(await served(exchange, asked))
-            assert len(told.endpoints) == 1
+            answer = gossip.snapshot_decoder.decode(await served(exchange, request))
+            assert len(answer.endpoints) == 1
 
     asyncio.run(test())
 
 
-def test_an_asker_that_does_not_tell_gets_the_other_shape_if_it_asks_once_more():
-    """It could not read the first one, so it still asks for the same."""
+def test_a_repeated_request_of_an_unknown_build_gets_the_other_format():
+    """It could not decode the first answer, so it repeats the request."""
 
     async def test() -> None:
         exchange = new_exchange()
-        asked = gossip.SnapshotRequest(-1, -1)
-        gossip.snapshot_decoder.decode(await served(exchange, asked))
-        whole = gossip.full_snapshot_decoder.decode(await served(exchange, asked))
-        assert whole.configuration == TABLE.configuration
-        assert whole.endpoints == (ENDPOINT,) and whole.registry_revision == 5
-        gossip.snapshot_decoder.decode(await served(exchange, asked))
-        nothing_new = gossip.SnapshotRequest(1, 5)
+        request = gossip.SnapshotRequest(-1, -1)
+        gossip.snapshot_decoder.decode(await served(exchange, request))
+        full = gossip.full_snapshot_decoder.decode(await served(exchange, request))
+        assert full.configuration == TABLE.configuration
+        assert full.endpoints == (ENDPOINT,) and full.registry_revision == 5
+        gossip.snapshot_decoder.decode(await served(exchange, request))
+        up_to_date = gossip.SnapshotRequest(1, 5)
         for _ in range(3):
-            gossip.snapshot_decoder.decode(await served(exchange, nothing_new))
+            gossip.snapshot_decoder.decode(await served(exchange, up_to_date))
         newer = gossip.SnapshotRequest(1, 4)
         assert gossip.snapshot_decoder.decode(await served(exchange, newer)).configuration == []
 
     asyncio.run(test())
 
 
-def test_a_process_that_starts_again_gets_the_shape_that_the_one_before_could_read():
-    """A killed process and the next one at its IP ask for all there is: twice the same question.
+def test_a_restarted_process_gets_the_format_that_the_previous_one_could_decode():
+    """Guards against mistaking a restarted process's request for a repeated one.
 
-    The second one was given the shape of a still earlier build: "Expected `array` of at least
-    length 5, got 4". One that could not read its answer asks again within 750 ms.
+    A process that could not decode its answer repeats its request within 750 ms.
     """
 
     async def test() -> None:
         steady = clock.ManualClock(1_000)
         exchange = new_exchange(steady)
-        asked = gossip.SnapshotRequest(-1, -1)
+        request = gossip.SnapshotRequest(-1, -1)
         for _ in range(3):
-            gossip.snapshot_decoder.decode(await served(exchange, asked))
+            gossip.snapshot_decoder.decode(await served(exchange, request))
             steady.advance_to(steady.now() + 751)
 
     asyncio.run(test())
 
 
-def test_a_load_told_by_an_endpoints_name_is_its_incarnations():
-    told = [load_reports.to_message("e", endpoint_choice.Load(3, 100.0))]
-    told.append(load_reports.to_message("f.0000b", endpoint_choice.Load(1, 0.0)))
-    found = load_reports.from_messages(told, {"e": ENDPOINT.id})
+def test_a_load_reported_by_an_endpoints_name_applies_to_its_incarnation():
+    reports = [load_reports.to_message("e", endpoint_choice.Load(3, 100.0))]
+    reports.append(load_reports.to_message("f.0000b", endpoint_choice.Load(1, 0.0)))
+    found = load_reports.from_messages(reports, {"e": ENDPOINT.id})
     assert {name: one.running for name, one in found.items()} == {"e.0000a": 3, "f.0000b": 1}
 
 
-def test_a_kind_that_is_not_known_is_counted_each_time_and_told_once():
+def test_an_unknown_message_kind_is_counted_each_time_and_logged_once():
     state = gateway_parts.new_state(clock.ManualClock(1_000))
     view = fleet_view.FleetView(state.clock, "n", 1, "10.0.0.9:7", "a")
     peer = view.mark_seen("m", 5, "10.0.0.8:7", "a")
@@ -115,7 +114,7 @@
     assert len(unreadable.told) == unreadable_messages.MAX_TOLD
 
 
-def test_a_nodes_build_is_told_in_some_heartbeats_and_ends_with_its_process():
+def test_a_nodes_build_is_reported_in_some_heartbeats_and_forgotten_with_its_process():
     node = gossiper.Gossiper(
         gateway_parts.new_state(clock.ManualClock(1_000), "one"),
         fleet_view.FleetView(clock.ManualClock(1_000), "one", 1, "10.0.0.1:7"),
--- a/plumarch/gateway/gossip/region_quota_test.py
+++ b/plumarch/gateway/gossip/region_quota_test.py
@@ -73,7 +73,7 @@
     assert session.most <= ALLOWED, session.most / ALLOWED
 
 
-def test_the_retry_budget_is_shared_among_all_nodes_that_may_exist():
+def test_the_attempt_budget_is_shared_among_all_nodes_that_may_exist():
     session = new_session(1, 60)
     cut_off(session, "n")
     session.fleet.run(10_000)
--- a/plumarch/gateway/gossip/usage_report_test.py
+++ b/plumarch/gateway/gossip/usage_report_test.py
@@ -1,4 +1,4 @@
-"""Which usage windows a coordinator was told of, and since when."""
+"""Reports of usage windows between coordinators, and their age."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 from plumarch.standins import gossip_fleet
 
 
-def test_a_window_counts_as_told_as_of_the_oldest_figure_in_it():
+def test_a_window_counts_as_reported_as_of_its_oldest_figure():
     fleet = gossip_fleet.GossipFleet(gossip_fleet.Size(3, 12))
     fleet.run(3_000)
     node = fleet.with_role(tiers.Role.COORDINATOR)[0]
@@ -21,15 +21,15 @@
     )
     sums.handle_summary(summary)
     as_of = fleet.time.now() - 250
-    told = node.view.centres["dc-c"].usage_reported_ms
+    reported = node.view.centres["dc-c"].usage_reported_ms
     newest = range(first + 5 - heartbeats.USAGE_WINDOWS, first + 5)
-    assert told == dict.fromkeys(newest, as_of)
+    assert reported == dict.fromkeys(newest, as_of)
     fleet.time.advance_to(fleet.time.now() + 1_000)
     sums.handle_summary(msgspec.structs.replace(summary, usage=[], usage_age_ms=0, sequence=9_999))
-    assert node.view.centres["dc-c"].usage_reported_ms == told
+    assert node.view.centres["dc-c"].usage_reported_ms == reported
 
 
-def test_what_coordinators_counted_themselves_stays_with_those_that_follow_them():
+def test_usage_that_failed_coordinators_counted_is_kept_by_their_successors():
     fleet = gossip_fleet.GossipFleet(gossip_fleet.Size(3, 12))
     fleet.run(3_000)
     now = fleet.time.now()
