--- a/plumarch/gateway/gossip/large_fleet_test.py
+++ b/plumarch/gateway/gossip/large_fleet_test.py
@@ -244,15 +244,15 @@
     assert len(fleet.with_role(tiers.Role.COORDINATOR)) == 6
 
 
-@pytest.mark.parametrize("nodes", [20, 24, 25, 40])
-def test_a_role_does_not_oscillate_near_the_maximum_size_of_a_flat_fleet(nodes: int):
+@pytest.mark.parametrize("told", [20, 24, 25, 40])
+def test_a_role_does_not_oscillate_near_the_maximum_size_of_a_flat_fleet(told: int):
     """Guards against a role that depends on the previous one."""
     fleet = settled()
     for node in (by_seniority(fleet, "dc-a")[0], by_seniority(fleet, "dc-a")[-1]):
         if node.view.fleet_update is not None:
-            node.view.fleet_update = dataclasses.replace(node.view.fleet_update, nodes=nodes)
+            node.view.fleet_update = dataclasses.replace(node.view.fleet_update, nodes=told)
         node.view.centres = {
-            name: dataclasses.replace(one, nodes=nodes // 3)
+            name: dataclasses.replace(one, nodes=told // 3)
             for name, one in node.view.centres.items()
         }
         roles = [node.view.decide_role() for _ in range(4)]
