--- a/plumarch/daemon/gateway.py
+++ b/plumarch/daemon/gateway.py
@@ -85,7 +85,7 @@
         self.follower = follower.Follower(
             self.state,
             store,
-            self.gossiper.beat_soon,
+            self.gossiper.send_heartbeat_soon,
             lambda: self.view.watches_store(settings.node.data_centre),
             self.view.shares_following,
         )
@@ -102,7 +102,7 @@
             settings.node.first_start,
             self._duty_tasks(),
             rollout.Exposure(settings.rollouts.exposure_share, settings.rollouts.exposure_slack),
-            self.gossiper.beat_soon,
+            self.gossiper.send_heartbeat_soon,
         )
         self.wakes = wakes.Wakes(self.state, self.gossiper.start_bootstrap)
         self.callers = relay.new_server(self.state)
@@ -191,8 +191,8 @@
             self.follower.follow_configuration,
             self.follower.follow_endpoints,
             self._serve_callers,
-            self.gossiper.beat_forever,
-            self.gossiper.coordinate_forever,
+            self.gossiper.run_heartbeats,
+            self.gossiper.run_rounds,
             self.duties.run,
             self.duties.follow_rollouts,
             self.registration.run,
@@ -291,7 +291,7 @@
         self.callers.draining = True
         self.gossiper.leaving = True
         self.duties.leaving = True
-        self.gossiper.beat_soon()
+        self.gossiper.send_heartbeat_soon()
         self.state.log.write("stop", urgent=True, busy=self.callers.busy())
         ends = begun + grace_ms - CUT_BEFORE_KILL_MS
         while self.clock.now() < begun + NOT_READY_MS:
--- a/plumarch/gateway/duties/duty_holder.py
+++ b/plumarch/gateway/duties/duty_holder.py
@@ -411,7 +411,9 @@
         if self.view.unheard_centres():
             return False
         now = self.state.clock.now()
-        two_beats = heartbeats.USAGE_EVERY * max(gossiper.BEAT_MS, self.view.interval_ms)
+        two_beats = heartbeats.USAGE_INTERVAL * max(
+            gossiper.HEARTBEAT_INTERVAL_MS, self.view.interval_ms
+        )
         last_seen_ms = [
             peer.last_seen_ms for peer in self.view.known_directly() if peer.incarnation
         ] + [centre.usage_reported_ms.get(window) for centre in self.view.centres.values()]
--- a/plumarch/gateway/duties/duty_holder_test.py
+++ b/plumarch/gateway/duties/duty_holder_test.py
@@ -70,7 +70,7 @@
         for node in self.nodes:
             for number, beat in beats:
                 if number != node.number and self.group[number] == self.group[node.number]:
-                    node.gossiper.take_in(beat)
+                    node.gossiper.apply_heartbeat(beat)
 
     def run_late(self) -> None:
         """Carry out the writes that were left unanswered, if their condition still holds."""
--- a/plumarch/gateway/duties/engine_orders.py
+++ b/plumarch/gateway/duties/engine_orders.py
@@ -124,7 +124,7 @@
         if not distances.regions:
             return region_demand.ONE_REGION
         region_of = {name: distances.region_of(name) for name in scaling.prices}
-        way = region_sums.way_part(self.state, service, scaling.prices)
+        way = region_sums.network_latency_fraction(self.state, service, scaling.prices)
         # Also between two samples: what is heard in part from now on must not shrink now.
         partially_reachable = self.regions.partially_reachable | self.sums.partially_reachable(
             HEARD_FOR_DEMAND
--- a/plumarch/gateway/duties/rollout_duty_test.py
+++ b/plumarch/gateway/duties/rollout_duty_test.py
@@ -126,7 +126,7 @@
         for number, node in enumerate(self.nodes):
             for sender, beat in beats:
                 if sender != number and self.group[sender] == self.group[number]:
-                    node.gossiper.take_in(beat)
+                    node.gossiper.apply_heartbeat(beat)
 
     def _request(self) -> None:
         number = self.rng.randrange(NODES)
--- a/plumarch/gateway/gossip/bootstrap.py
+++ b/plumarch/gateway/gossip/bootstrap.py
@@ -14,14 +14,14 @@
 from plumarch.membership import fleet_view, peer_node, tiers
 from plumarch.peers import gossip
 
-TELL_AGAIN_MS = 1_000
+MIN_RESEND_INTERVAL_MS = 1_000
 """How often the same directory is sent to the same node at most: where a link is cut for long,
 views differ for as long, and bytes between regions are dear."""
 
-CENTRES_TOLD = 10
+MAX_CENTRES = 10
 """Data centres that one datagram names: some 105 bytes each, with two elders."""
 
-NOTED_MS = 1_500
+UNREACHABLE_LOG_MS = 1_500
 """A data centre is noted as not heard from then on: longer than it takes to be answered by one
 that was just learned of, or by the coordinators that follow on those that died."""
 
@@ -34,7 +34,7 @@
 
     Attributes:
       send: sends a message to addresses.
-      told: when a directory was sent to each node, and the digest it was sent with.
+      directories_sent: when a directory was sent to each node, and the digest it was sent with.
       silent: since when each known data centre is not heard.
       noted: those of them that were logged.
     """
@@ -43,9 +43,9 @@
     view: fleet_view.FleetView
     composer: heartbeats.HeartbeatComposer
     send: Send
-    told: dict[str, tuple[int, int]] = dataclasses.field(default_factory=dict)
-    silent: dict[str, int] = dataclasses.field(default_factory=dict)
-    noted: set[str] = dataclasses.field(default_factory=set)
+    directories_sent: dict[str, tuple[int, int]] = dataclasses.field(default_factory=dict)
+    unreachable_since_ms: dict[str, int] = dataclasses.field(default_factory=dict)
+    logged: set[str] = dataclasses.field(default_factory=set)
 
     def step(self, leaving: bool) -> None:
         """Ask those that are known and not heard, and note them.
@@ -54,26 +54,26 @@
           leaving: whether this process is about to end.
         """
         if self.view.role is tiers.Role.MEMBER:
-            self._note([])
+            self._update_contact([])
             return
         live = self.view.reachable_centres()
         one_by_one = live - self.view.centres.keys()
         self.view.all_centres.still_heard(one_by_one, self.state.clock.now())
-        self._note(self.view.all_centres.unheard(live))
-        self._ask(live, leaving)
+        self._update_contact(self.view.all_centres.unheard(live))
+        self._discover(live, leaving)
 
-    def _ask(self, live: set[str], leaving: bool) -> None:
+    def _discover(self, live: set[str], leaving: bool) -> None:
         """Ask with a heartbeat that any node answers with whom it knows."""
         view = self.view
         heard = {one.address for one in view.peers.values() if self._is_reached(one, live)}
         due = view.all_centres.to_ask(live, heard, self.state.clock.now()) - {view.address}
         if due:
-            self.send(self.composer.question(leaving), due)
+            self.send(self.composer.discovery(leaving), due)
 
     def _is_reached(self, peer: peer_node.Peer, live: set[str]) -> bool:
         return self.view.is_alive(peer) or (peer.incarnation > 0 and peer.data_centre in live)
 
-    def compare(self, told: gossip.CentreSummary, leaving: bool) -> None:
+    def compare_digest(self, told: gossip.CentreSummary, leaving: bool) -> None:
         """Tell a coordinator of another data centre whom this node hears, if it hears others.
 
         Args:
@@ -81,13 +81,13 @@
         """
         mine = self.view.digest()
         if not told.centres_digest or told.centres_digest == mine:
-            self.told.pop(told.node, None)
+            self.directories_sent.pop(told.node, None)
             return
         now = self.state.clock.now()
-        told_ms, told_digest = self.told.get(told.node, (0, 0))
-        if told_digest == mine and now - told_ms < TELL_AGAIN_MS:
+        told_ms, told_digest = self.directories_sent.get(told.node, (0, 0))
+        if told_digest == mine and now - told_ms < MIN_RESEND_INTERVAL_MS:
             return
-        self.told[told.node] = (now, mine)
+        self.directories_sent[told.node] = (now, mine)
         for directory in self._directories():
             self.send(directory, [told.address])
 
@@ -97,11 +97,11 @@
             for name, centre in sorted(self.view.live_centres().items())
         ]
         return [
-            gossip.CentreDirectory(self.view.node, known[first : first + CENTRES_TOLD])
-            for first in range(0, len(known), CENTRES_TOLD)
+            gossip.CentreDirectory(self.view.node, known[first : first + MAX_CENTRES])
+            for first in range(0, len(known), MAX_CENTRES)
         ]
 
-    def take_directory(self, told: gossip.CentreDirectory, leaving: bool) -> None:
+    def handle_directory(self, told: gossip.CentreDirectory, leaving: bool) -> None:
         """Take in whom another coordinator hears, and ask those that are new.
 
         Args:
@@ -120,9 +120,9 @@
             ):
                 news |= {senior.address for senior in one.seniors}
         if news and self.view.role is not tiers.Role.MEMBER:
-            self.send(self.composer.question(leaving), news)
+            self.send(self.composer.discovery(leaving), news)
 
-    def meet(self, peer: peer_node.Peer) -> None:
+    def send_known_peers(self, peer: peer_node.Peer) -> None:
         """Tell a node that is heard for the first time, or again, of all nodes of a small fleet.
 
         Heartbeats name some of them now and then: by these alone the last pairs of nodes would hear
@@ -132,7 +132,7 @@
             known = [gossip.KnownPeer(one.name, one.address) for one in self.view.live()]
             self.send(gossip.CentreDirectory(self.view.node, [], known), [peer.address])
 
-    def take_elders(self, beat: gossip.Heartbeat) -> None:
+    def apply_seniors(self, beat: gossip.Heartbeat) -> None:
         """Take in whom a node of another data centre calls the elders of it."""
         if beat.seniors and beat.data_centre not in self.view.reachable_centres():
             told = seniors.from_messages(beat.seniors)
@@ -144,17 +144,19 @@
             senior = tiers.Senior(peer.seniority(), peer.address)
             self.view.all_centres.remember(peer.data_centre, senior, peer.last_seen_ms)
 
-    def _note(self, unheard: list[str]) -> None:
+    def _update_contact(self, unheard: list[str]) -> None:
         """Log when a data centre begins and ends not to be heard, and keep what gauges show."""
         now = self.state.clock.now()
         known = self.view.all_centres.centres
-        self.silent = {name: self.silent.get(name, now) for name in unheard}
-        for name in sorted(self.noted - self.silent.keys()):
-            self.noted.discard(name)
+        self.unreachable_since_ms = {
+            name: self.unreachable_since_ms.get(name, now) for name in unheard
+        }
+        for name in sorted(self.logged - self.unreachable_since_ms.keys()):
+            self.logged.discard(name)
             self.state.log.write("centre_heard", urgent=True, centre=name)
-        for name, since_ms in self.silent.items():
-            if name not in self.noted and now - since_ms >= NOTED_MS:
-                self.noted.add(name)
+        for name, since_ms in self.unreachable_since_ms.items():
+            if name not in self.logged and now - since_ms >= UNREACHABLE_LOG_MS:
+                self.logged.add(name)
                 self.state.log.write(
                     "centre_unheard",
                     urgent=True,
--- a/plumarch/gateway/gossip/bootstrap_test.py
+++ b/plumarch/gateway/gossip/bootstrap_test.py
@@ -33,7 +33,7 @@
     node = coordinator(fleet)
     contact = node.state.contact
     assert (contact.known, contact.unheard) == (3, 0)
-    assert contact.oldest_ms < bootstrap.NOTED_MS
+    assert contact.oldest_ms < bootstrap.UNREACHABLE_LOG_MS
     begun, ended = lines(node, b"centre_unheard"), lines(node, b"centre_heard")
     fleet.cut = lambda one, two: (one.data_centre == "dc-c") != (two.data_centre == "dc-c")
     fleet.run(6_000)
@@ -58,15 +58,15 @@
     node.gossip.handle_summary(summary, other.address)
     assert not sent
     for _ in range(3):
-        node.gossip.bootstrap.compare(with_digest(summary, 7), leaving=False)
+        node.gossip.bootstrap.compare_digest(with_digest(summary, 7), leaving=False)
     [directory] = sent
     assert isinstance(directory, gossip.CentreDirectory)
     assert [one.data_centre for one in directory.centres] == ["dc-a", "dc-c", "dc-d"]
     assert {len(one.seniors) for one in directory.centres} == {tiers.COORDINATORS}
-    fleet.time.advance_to(fleet.time.now() + bootstrap.TELL_AGAIN_MS)
-    node.gossip.bootstrap.compare(with_digest(summary, 7), leaving=False)
+    fleet.time.advance_to(fleet.time.now() + bootstrap.MIN_RESEND_INTERVAL_MS)
+    node.gossip.bootstrap.compare_digest(with_digest(summary, 7), leaving=False)
     assert len(sent) == 2
-    node.gossip.bootstrap.compare(with_digest(summary, 0), leaving=False)
+    node.gossip.bootstrap.compare_digest(with_digest(summary, 0), leaving=False)
     assert len(sent) == 2
 
 
@@ -112,7 +112,7 @@
     cut_ms = fleet.time.now()
     for node in fleet.live():
         assert node.state.contact.unheard == 0
-        assert node.state.contact.oldest_ms < bootstrap.NOTED_MS
+        assert node.state.contact.oldest_ms < bootstrap.UNREACHABLE_LOG_MS
     fleet.cut = lambda one, two: one.data_centre != two.data_centre
     fleet.run(5_000)
     for node in fleet.live():
--- a/plumarch/gateway/gossip/builds.py
+++ b/plumarch/gateway/gossip/builds.py
@@ -5,14 +5,14 @@
 from plumarch.core import build
 from plumarch.membership import fleet_view
 
-UNTOLD = "(an earlier build, which doesn't tell)"
+UNKNOWN_BUILD = "(an earlier build, which doesn't tell)"
 
 
 def lines(view: fleet_view.FleetView) -> list[str]:
     """Return a line for each build: how many nodes run it, and since when the first one does."""
     starts: dict[str, list[int]] = {build.NAME: [view.incarnation]}
     for peer in view.live():
-        starts.setdefault(peer.build or UNTOLD, []).append(peer.incarnation)
+        starts.setdefault(peer.build or UNKNOWN_BUILD, []).append(peer.incarnation)
     return [
         f"build {name}: {len(found)} nodes, the first one started {_time_of(min(found))}"
         for name, found in sorted(starts.items())
--- a/plumarch/gateway/gossip/coordination.py
+++ b/plumarch/gateway/gossip/coordination.py
@@ -17,10 +17,10 @@
 from plumarch.peers import gossip, recent_changes
 from plumarch.routing import endpoint_choice
 
-WHOLE_EVERY = 16
+FULL_INTERVAL = 16
 """Every how many rounds all figures are told, not just those that changed lately."""
 
-WHOLE_AT_RETURN = 3
+FULL_SUMMARIES = 3
 """How many whole summaries are told once a data centre is heard for the first time, or again."""
 
 RESYNC_MS = 1_000
@@ -28,10 +28,10 @@
 until the coordinators of all have told each other what was admitted meanwhile, over slow links too.
 A coordinator that followed on one that died doesn't know what others told before."""
 
-USAGE_EVERY = 4
+USAGE_INTERVAL = 4
 """Every how many rounds usage is told."""
 
-LOADS_TOLD = 60
+MAX_LOADS = 60
 """Endpoints whose load one datagram tells, the heaviest first; some 20 bytes each."""
 
 CENTRE = "centre "
@@ -51,8 +51,8 @@
       summaries: summaries composed so far.
       newest: incarnation and number of the last summary of each coordinator elsewhere.
       resync_until_ms: until when each data centre counts as heard since just now.
-      whole_summaries: how many of the next summaries tell all figures.
-      tell_all: whether the next news are whole, for a member that was not heard before.
+      full_summaries: how many of the next summaries tell all figures.
+      full_due: whether the next news are whole, for a member that was not heard before.
     """
 
     state: fleet_state.FleetState
@@ -69,18 +69,18 @@
     summaries: int = 0
     newest: dict[str, tuple[int, int]] = dataclasses.field(default_factory=dict)
     resync_until_ms: dict[str, int] = dataclasses.field(default_factory=dict)
-    whole_summaries: int = 0
-    tell_all: bool = True
-    spending_news: recent_changes.RecentChanges[float] = dataclasses.field(
+    full_summaries: int = 0
+    full_due: bool = True
+    spending_changes: recent_changes.RecentChanges[float] = dataclasses.field(
         default_factory=recent_changes.RecentChanges
     )
-    level_news: recent_changes.RecentChanges[float] = dataclasses.field(
+    level_changes: recent_changes.RecentChanges[float] = dataclasses.field(
         default_factory=recent_changes.RecentChanges
     )
-    load_news: recent_changes.RecentChanges[endpoint_choice.Load] = dataclasses.field(
+    load_changes: recent_changes.RecentChanges[endpoint_choice.Load] = dataclasses.field(
         default_factory=recent_changes.RecentChanges
     )
-    told_fraction: float = 0.0
+    last_fraction: float = 0.0
 
     def __post_init__(self) -> None:
         self.ledger = self.view.seniority()
@@ -101,7 +101,7 @@
         now = self.state.clock.now()
         if told.data_centre not in self.view.live_centres():
             # Windows that ended while it was not heard are told in whole summaries only.
-            self.whole_summaries = WHOLE_AT_RETURN
+            self.full_summaries = FULL_SUMMARIES
             self.resync_until_ms[told.data_centre] = now + RESYNC_MS
         self.view.all_centres.heard(told.data_centre, seniors.from_messages(told.seniors), now)
         self.view.centres[told.data_centre] = tiers.CentreView(
@@ -113,27 +113,27 @@
             reported=told.reported,
             usage_age_ms=told.usage_age_ms,
             received_ms=now,
-            usage_reported_ms=self._usage_told(told, now - told.usage_age_ms),
-            oldest_ms=now if _leads(told) else self._oldest_ms(told.data_centre),
+            usage_reported_ms=self._usage_reported_ms(told, now - told.usage_age_ms),
+            oldest_ms=now if _is_from_senior(told) else self._senior_summary_ms(told.data_centre),
         )
         self.duty.reported = max(self.duty.reported, told.reported)
         self._charge(told, now < self.resync_until_ms[told.data_centre])
         loads = load_reports.from_messages(told.loads, self.state.registry.by_name)
         self.state.chooser.report_loads(CENTRE + told.data_centre, loads)
         speed_reports.apply(self.state, CENTRE + told.data_centre, told.speeds)
-        version_reports.take_shares(self.state, told.versions)
-        version_reports.take_answers(self.state, CENTRE + told.data_centre, told.answers)
+        version_reports.apply_shares(self.state, told.versions)
+        version_reports.apply_answers(self.state, CENTRE + told.data_centre, told.answers)
         if told.usage:
             counts = {one.window: one.counts for one in told.usage}
             self.state.usage.apply_centre_summary(CENTRE + told.data_centre, counts)
         return True
 
-    def _oldest_ms(self, data_centre: str) -> int:
+    def _senior_summary_ms(self, data_centre: str) -> int:
         """Return when the oldest coordinator of a data centre told last, 0 if it never did."""
         before = self.view.centres.get(data_centre)
         return before.oldest_ms if before is not None else 0
 
-    def _usage_told(self, told: gossip.CentreSummary, as_of_ms: int) -> dict[int, int]:
+    def _usage_reported_ms(self, told: gossip.CentreSummary, as_of_ms: int) -> dict[int, int]:
         """Return as of when the newest usage windows of a data centre were told."""
         before = self.view.centres.get(told.data_centre)
         known = dict(before.usage_reported_ms) if before is not None else {}
@@ -155,8 +155,8 @@
             author,
             sums,
             self.view.alive_timeout_ms(),
-            _leads(told),
-            self._ledger_of(told),
+            _is_from_senior(told),
+            self._ledger_from(told),
         )
         levels = {
             one.workspace: quota_records.TakenOver(one.level, one.overdrawn)
@@ -168,7 +168,7 @@
             CENTRE + told.data_centre, charged, levels, anew, share
         )
 
-    def _ledger_of(self, told: gossip.CentreSummary) -> centre_spending.Ledger:
+    def _ledger_from(self, told: gossip.CentreSummary) -> centre_spending.Ledger:
         """Return the ledger in which a coordinator elsewhere counts."""
         if not told.ledger:
             return centre_spending.UNNAMED
@@ -178,7 +178,7 @@
 
     # The ledger of the own data centre.
 
-    def count_on(self, ledger: spending_ledger.FollowedLedger) -> None:
+    def continue_ledger(self, ledger: spending_ledger.FollowedLedger) -> None:
         """Begin to coordinate: count on in the ledger that this node followed, or in a new one."""
         if ledger.begun_by is None:
             self.ledger = self.view.seniority()
@@ -192,7 +192,7 @@
         self._count_own()
         return spending_ledger.FollowedLedger(self.ledger, dict(self.spent), dict(self.own_counted))
 
-    def adopt_ledger(self, ledger: spending_ledger.FollowedLedger) -> None:
+    def merge_ledger(self, ledger: spending_ledger.FollowedLedger) -> None:
         """Count on in the ledger of an older coordinator of the own data centre.
 
         Both count the same nodes, each by what it hears: the larger sum is the truer one.
@@ -217,9 +217,9 @@
         """Return what to tell the coordinators of other data centres now."""
         view, state = self.view, self.state
         neighbours = [one for one in view.neighbours() if view.is_alive(one)]
-        whole = self.whole_summaries > 0 or self.summaries % WHOLE_EVERY == 0
-        self.whole_summaries = max(0, self.whole_summaries - 1)
-        with_usage = whole or self.summaries % USAGE_EVERY == 1
+        whole = self.full_summaries > 0 or self.summaries % FULL_INTERVAL == 0
+        self.full_summaries = max(0, self.full_summaries - 1)
+        with_usage = whole or self.summaries % USAGE_INTERVAL == 1
         self.summaries += 1
         tokens = [one.token for one in neighbours if not one.leaving]
         return gossip.CentreSummary(
@@ -239,15 +239,15 @@
             spending=self._spending(whole),
             loads=self._centre_loads(),
             usage=self._usage(whole) if with_usage else [],
-            speeds=speed_reports.to_messages(state, self._is_near) if with_usage else [],
-            versions=version_reports.shares_told(state),
-            answers=version_reports.answers_told(state, self._is_near),
+            speeds=speed_reports.to_messages(state, self._is_own_centre) if with_usage else [],
+            versions=version_reports.shares_to_messages(state),
+            answers=version_reports.answers_to_messages(state, self._is_own_centre),
             centres_digest=view.digest(),
             sequence=self.summaries,
-            ledger=[self._ledger_told()],
+            ledger=[self._ledger_message()],
         )
 
-    def _ledger_told(self) -> gossip.NodeIdentity:
+    def _ledger_message(self) -> gossip.NodeIdentity:
         return gossip.NodeIdentity(self.ledger.name, self.ledger.incarnation, "")
 
     def _candidate(self, neighbours: list[peer_node.Peer]) -> list[gossip.NodeIdentity]:
@@ -269,7 +269,7 @@
         report = self.state.quota.report()
         self._count_own()
         sums = {name: self.spent[name] for name in report}
-        changed = self.spending_news.select(sums)
+        changed = self.spending_changes.select(sums)
         return [
             gossip.CentreSpending(
                 name,
@@ -286,15 +286,17 @@
         """Return what the nodes of the own data centre have at endpoints."""
         chooser = self.state.chooser
         sums: dict[str, endpoint_choice.Load] = {}
-        sources = [loads for name, loads in chooser.reported_loads.items() if self._is_near(name)]
+        sources = [
+            loads for name, loads in chooser.reported_loads.items() if self._is_own_centre(name)
+        ]
         for loads in [chooser.own, *sources]:
             for endpoint, load in loads.items():
                 total = sums.setdefault(endpoint, endpoint_choice.Load())
                 total.running += load.running
                 total.prompt_tokens += load.prompt_tokens
-        return load_reports.heaviest(sums, LOADS_TOLD)
+        return load_reports.heaviest(sums, MAX_LOADS)
 
-    def _is_near(self, source: str) -> bool:
+    def _is_own_centre(self, source: str) -> bool:
         """Return whether what a node told belongs to the sums of the own data centre.
 
         Before roles are settled, nodes of other data centres tell theirs one by one.
@@ -309,16 +311,16 @@
 
     def _usage(self, whole: bool) -> list[gossip.WindowUsage]:
         usage, now = self.state.usage, self.state.wall.now()
-        windows = heartbeats.windows_told(usage, now, whole)
+        windows = heartbeats.window_count(usage, now, whole)
         newest = usage.window_at(now)
         return [
-            gossip.WindowUsage(number, usage.total(number, self._is_near))
+            gossip.WindowUsage(number, usage.total(number, self._is_own_centre))
             for number in range(newest - windows + 1, newest + 1)
         ]
 
     # The own data centre.
 
-    def take_told(self, node: str, sequence: int, charged: dict[str, float]) -> None:
+    def count_reported(self, node: str, sequence: int, charged: dict[str, float]) -> None:
         """Count what a node of the own data centre was heard to admit.
 
         Args:
@@ -332,14 +334,14 @@
         """Return what to tell the members of the own data centre now."""
         state, quota, view = self.state, self.state.quota, self.view
         fraction = view.fresh_fraction()
-        whole = self.rounds % WHOLE_EVERY == 0 or self.tell_all or fraction != self.told_fraction
-        self.tell_all = False
-        self.told_fraction = fraction
+        whole = self.rounds % FULL_INTERVAL == 0 or self.full_due or fraction != self.last_fraction
+        self.full_due = False
+        self.last_fraction = fraction
         self.rounds += 1
         quota.refill_all()
         self._count_own()
         charged = {name: bucket.charged for name, bucket in quota.buckets.items()}
-        changed = self.level_news.select(charged)
+        changed = self.level_changes.select(charged)
         levels = [
             gossip.ReportedLevel(
                 name,
@@ -366,27 +368,27 @@
             levels=levels,
             loads=self._fleet_loads(whole),
             full=whole,
-            versions=version_reports.shares_told(state),
-            ledger=[self._ledger_told()],
+            versions=version_reports.shares_to_messages(state),
+            ledger=[self._ledger_message()],
         )
 
     def _fleet_loads(self, whole: bool) -> list[gossip.EndpointLoad]:
         """Return the loads of endpoints from all nodes that changed lately."""
         chooser = self.state.chooser
         loads = {name: chooser.load(name) for name in sorted({*chooser.own, *chooser.others})}
-        before = self.load_news.known.keys() - loads.keys()
+        before = self.load_changes.known.keys() - loads.keys()
         loads |= {name: endpoint_choice.NO_LOAD for name in before}
-        changed = self.load_news.select(loads)
+        changed = self.load_changes.select(loads)
         for name in [name for name in before if name not in changed]:
-            del self.load_news.known[name]
+            del self.load_changes.known[name]
         chosen = {name: load for name, load in loads.items() if whole or name in changed}
-        return load_reports.heaviest(chosen, LOADS_TOLD)
+        return load_reports.heaviest(chosen, MAX_LOADS)
 
     def forget(self, node: str) -> None:
         """Drop what is kept of a node that is gone."""
         self.acknowledged.pop(node, None)
 
 
-def _leads(told: gossip.CentreSummary) -> bool:
+def _is_from_senior(told: gossip.CentreSummary) -> bool:
     """Return whether a summary's author believes to be the oldest of its data centre."""
     return bool(told.seniors) and told.seniors[0].name == told.node
--- a/plumarch/gateway/gossip/coordinators_test.py
+++ b/plumarch/gateway/gossip/coordinators_test.py
@@ -60,12 +60,12 @@
     followed = member.view.fleet_update
     assert followed is not None
     older = news_of("dc-a-99", 1, 0.5)
-    assert not member.gossip.member.take_in(older)
+    assert not member.gossip.member.apply_update(older)
     assert member.view.fleet_update == followed
     fleet.time.advance_to(fleet.time.now() + member_updates.FRESH_MS + 100)
-    assert member.gossip.member.take_in(older)
-    assert not member.gossip.member.take_in(news_of("dc-a-98", 2, 0.5))
-    assert member.gossip.member.take_in(news_of("dc-a-98", 2, 0.9))
+    assert member.gossip.member.apply_update(older)
+    assert not member.gossip.member.apply_update(news_of("dc-a-98", 2, 0.5))
+    assert member.gossip.member.apply_update(news_of("dc-a-98", 2, 0.9))
 
 
 def test_of_two_that_hear_alike_the_older_one_is_followed():
@@ -73,8 +73,8 @@
     member = fleet.nodes["dc-a-5"]
     assert member.view.fleet_update is not None
     younger = news_of("dc-a-99", member.view.fleet_update.author.incarnation + 5, 1.0)
-    assert not member.gossip.member.take_in(younger)
-    assert member.gossip.member.take_in(msgspec.structs.replace(younger, incarnation=1))
+    assert not member.gossip.member.apply_update(younger)
+    assert member.gossip.member.apply_update(msgspec.structs.replace(younger, incarnation=1))
 
 
 SLOW = gossip_fleet.Size(3, 12, rate=1.0, burst=100_000.0)
--- a/plumarch/gateway/gossip/gossiper.py
+++ b/plumarch/gateway/gossip/gossiper.py
@@ -29,15 +29,15 @@
 from plumarch.membership import fleet_view, peer_node, tiers
 from plumarch.peers import gossip
 
-BEAT_MS = 250
-BEATS_PER_SECOND = 150
+HEARTBEAT_INTERVAL_MS = 250
+MAX_HEARTBEATS_PER_SECOND = 150
 """Heartbeats that a node sends, or a coordinator takes in, in a second at most; where more nodes
 tell each other they become rarer."""
 
-ANSWER_AGAIN_MS = BEAT_MS
+MIN_ANSWER_INTERVAL_MS = HEARTBEAT_INTERVAL_MS
 """How often a node that looks for the coordinators of its data centre is answered at most."""
 
-CONTACTED = 4
+CONTACTS_PER_ROUND = 4
 """Nodes known by name only that a coordinator greets in a round of heartbeats."""
 
 NOTICE_TOKENS = 1_500.0
@@ -73,20 +73,20 @@
             state,
             view.node,
             self._send,
-            self._news_addresses,
+            self._update_addresses,
             lambda: view.role is tiers.Role.COORDINATOR,
         )
         self.permits = permit_exchange.PermitExchange(
-            state, view, self._send, self._news_addresses, lambda: self.leaving
+            state, view, self._send, self._update_addresses, lambda: self.leaving
         )
         self.snapshots = snapshots.SnapshotExchange(state)
         self.soon = asyncio.Event()
         self.server: asyncio.Server | None = None
         self.told: set[str] = set()
-        self.answered_ms: dict[str, int] = {}
-        self.beat_for_role_ms = 0
+        self.last_answer_ms: dict[str, int] = {}
+        self.role_announced_ms = 0
         state.announce_prompt = self.announce_prompt
-        state.publish_suspect = self.suspects.learned
+        state.publish_suspect = self.suspects.publish
         state.request_permits = self.permits.ask
 
     async def start(self) -> None:
@@ -123,18 +123,18 @@
         """Return the time between heartbeats, longer where many nodes tell each other."""
         flat = self.view.role is tiers.Role.FLAT and self.view.size() <= tiers.FLAT_FLEET
         told = len(self.view.peers) if flat else self.view.tellers()
-        return max(BEAT_MS, 1000.0 * told / BEATS_PER_SECOND)
+        return max(HEARTBEAT_INTERVAL_MS, 1000.0 * told / MAX_HEARTBEATS_PER_SECOND)
 
-    def beat_soon(self) -> None:
+    def send_heartbeat_soon(self) -> None:
         """Send the next heartbeat at once, since there is news."""
         self.soon.set()
 
     def start_bootstrap(self) -> None:
         """Tell all with the next heartbeat, at once: others may have missed what was told."""
-        self.composer.tell_all()
-        self.beat_soon()
+        self.composer.schedule_full()
+        self.send_heartbeat_soon()
 
-    async def beat_forever(self) -> None:
+    async def run_heartbeats(self) -> None:
         """Send heartbeats."""
         while True:
             self.tick()
@@ -145,7 +145,7 @@
                 pass
             self.soon.clear()
 
-    async def coordinate_forever(self) -> None:
+    async def run_rounds(self) -> None:
         """Tell sums and news as long as this node coordinates."""
         while True:
             self.rounds.step()
@@ -162,17 +162,17 @@
         for peer in self.view.tick():
             self._forget(peer)
         stale_figures.drop_old_loads(self.state, self.view)
-        self._hear_fraction()
+        self._update_fraction()
         self.state.budget.nodes = max(8, 2 * self.view.size())
         if self.transport is None:
             return
-        told = set(self._beat_addresses())
+        told = set(self._heartbeat_addresses())
         if self.view.role is not tiers.Role.FLAT and told - self.told:
             # What one counts of a node begins with the first figure that it hears.
-            self.composer.tell_all()
+            self.composer.schedule_full()
         self.told = told
-        beat = self.composer.next(self.leaving, self._counted())
-        self.member.sent(beat)
+        beat = self.composer.next(self.leaving, self._counted_spending())
+        self.member.record_heartbeat(beat)
         self._send(beat, told)
         if beat.usage and self.view.role is tiers.Role.COORDINATOR:
             successors = self.view.seniors()[tiers.COORDINATORS : tiers.SENIORS]
@@ -180,7 +180,7 @@
         self.bootstrap.step(self.leaving)
         self.suspects.step()
 
-    def _counted(self) -> Mapping[str, float] | None:
+    def _counted_spending(self) -> Mapping[str, float] | None:
         """Return the part of this node's spending that the coordinators of its data centre counted.
 
         None where there are none: each node hears each other one.
@@ -201,7 +201,7 @@
             return self.view.interval_ms
         return self.view.interval_ms / 2 + 2 * rounds.ROUND_INTERVAL_MS
 
-    def _beat_addresses(self) -> Iterable[str]:
+    def _heartbeat_addresses(self) -> Iterable[str]:
         if self.view.role is tiers.Role.FLAT:
             return self._flat_addresses()
         told = {senior.address for senior in self.view.coordinators()}
@@ -209,13 +209,13 @@
             told |= {senior.address for senior in self.view.seniors()} - {self.view.address}
         if self.view.role is tiers.Role.COORDINATOR:
             unknown = [peer.address for peer in self.view.peers.values() if not peer.incarnation]
-            told |= set(self.state.rng.sample(unknown, min(CONTACTED, len(unknown))))
+            told |= set(self.state.rng.sample(unknown, min(CONTACTS_PER_ROUND, len(unknown))))
         return told
 
-    def _news_addresses(self) -> Iterable[str]:
+    def _update_addresses(self) -> Iterable[str]:
         """Return whom this node tells what all nodes are to know at once."""
         if self.view.role is not tiers.Role.COORDINATOR:
-            return self._beat_addresses()
+            return self._heartbeat_addresses()
         members = {peer.address for peer in self.view.neighbours()}
         return members | self.rounds.other_coordinators()
 
@@ -229,7 +229,7 @@
             return self.view.addresses()
         near = [one.address for one in peers if one.data_centre in ("", self.state.data_centre)]
         far = [one.address for one in peers if one.data_centre not in ("", self.state.data_centre)]
-        return near + self.state.rng.sample(far, min(CONTACTED, len(far)))
+        return near + self.state.rng.sample(far, min(CONTACTS_PER_ROUND, len(far)))
 
     def _send(self, message: gossip.Datagram, to: Iterable[str]) -> None:
         if self.transport is None:
@@ -245,7 +245,7 @@
         self.state.quota.forget(f"{peer.name}#{peer.incarnation}")
         self.coordination.forget(peer.name)
         self.bootstrap.remember(peer)
-        self.answered_ms.pop(peer.name, None)
+        self.last_answer_ms.pop(peer.name, None)
 
     def _decide_role(self) -> None:
         before = self.view.role
@@ -262,21 +262,21 @@
             news_age_ms=self.view.update_age_ms(),
         )
         if role is tiers.Role.COORDINATOR:
-            self.coordination.count_on(self.member.ledger)
+            self.coordination.continue_ledger(self.member.ledger)
         elif before is tiers.Role.COORDINATOR:
             self.member.ledger = self.coordination.followed()
-        stale_figures.forget_for_role(self.state, self.view, self.coordination)
-        self.coordination.tell_all = True
-        self._beat_for_role()
+        stale_figures.drop_for_role(self.state, self.view, self.coordination)
+        self.coordination.full_due = True
+        self._announce_role()
 
-    def _beat_for_role(self) -> None:
+    def _announce_role(self) -> None:
         """Tell a new role at once, but not each one of a series."""
         now = self.state.clock.now()
-        if now - self.beat_for_role_ms >= rounds.ROUND_INTERVAL_MS:
-            self.beat_for_role_ms = now
-            self.beat_soon()
+        if now - self.role_announced_ms >= rounds.ROUND_INTERVAL_MS:
+            self.role_announced_ms = now
+            self.send_heartbeat_soon()
 
-    def _hear_fraction(self) -> None:
+    def _update_fraction(self) -> None:
         self.state.quota.set_reachable_fraction(self.view.fresh_fraction())
 
     def announce_prompt(self, sent: fleet_state.SentPrompt) -> None:
@@ -294,7 +294,7 @@
             sent.workspace if bucket is not None else "",
             round(bucket.spent) if bucket is not None else 0.0,
         )
-        self.member.noticed(notice)
+        self.member.record_notice(notice)
         if self.view.role is tiers.Role.FLAT:
             self._send(notice, [peer.address for peer in self.view.live()])
         else:
@@ -308,21 +308,21 @@
             told = gossip.datagram_decoder.decode(data)
         except msgspec.DecodeError as error:
             self.unreadable.note(str(addr[0]), data, error)
-            readable = self.unreadable.rest_of(data)
+            readable = self.unreadable.readable_part(data)
             if readable is None:
                 return
             told = readable
         match told:
             case gossip.Heartbeat():
-                self.take_in(told)
+                self.apply_heartbeat(told)
             case gossip.LoadNotice():
-                self.take_notice(told)
+                self.handle_notice(told)
             case gossip.CentreSummary():
                 self.handle_summary(told, f"{addr[0]}:{addr[1]}")
             case gossip.CentreDirectory():
-                self.bootstrap.take_directory(told, self.leaving)
+                self.bootstrap.handle_directory(told, self.leaving)
             case gossip.MemberUpdate():
-                self._take_member_news(told, str(addr[0]))
+                self._handle_member_update(told, str(addr[0]))
             case gossip.SuspectUpdate():
                 self.suspects.apply(told)
             case gossip.PermitRequest():
@@ -330,9 +330,9 @@
             case gossip.PermitAnswer():
                 self.permits.handle_answer(told)
             case gossip.RateUpdate():
-                self.permits.handle_news(told)
+                self.permits.handle_rate_update(told)
 
-    def take_notice(self, notice: gossip.LoadNotice) -> None:
+    def handle_notice(self, notice: gossip.LoadNotice) -> None:
         """Take in a peer's load at one endpoint."""
         peer = self.view.peers.get(notice.node)
         chooser = self.state.chooser
@@ -346,7 +346,7 @@
         incarnation = f"{notice.node}#{notice.incarnation}"
         charged = self.state.quota.noticed(incarnation, notice.workspace, notice.spent)
         if peer.data_centre == self.state.data_centre:
-            self.coordination.take_told(notice.node, notice.sequence, charged)
+            self.coordination.count_reported(notice.node, notice.sequence, charged)
 
     def handle_summary(self, told: gossip.CentreSummary, sender: str) -> None:
         """Take in the sums of another data centre; a member hands them to its coordinators."""
@@ -354,26 +354,26 @@
             return
         if self.view.role is tiers.Role.COORDINATOR:
             if told.data_centre not in self.view.centres:
-                stale_figures.forget_nodes_of(self.state, self.view, told.data_centre)
+                stale_figures.drop_nodes_of(self.state, self.view, told.data_centre)
             if not self.coordination.handle_summary(told):
                 return
-            self.bootstrap.compare(told, self.leaving)
+            self.bootstrap.compare_digest(told, self.leaving)
             if sender == told.address:
-                self.rounds.pass_on(told)
-            if self._knows_more(told):
+                self.rounds.forward(told)
+            if self._is_newer(told):
                 self.snapshots.fetch_from(told.address)
         elif self.view.role is tiers.Role.MEMBER and sender == told.address:
             self._send(told, [senior.address for senior in self.view.coordinators()])
 
-    def _take_member_news(self, told: gossip.MemberUpdate, sender: str) -> None:
+    def _handle_member_update(self, told: gossip.MemberUpdate, sender: str) -> None:
         try:
             news = gossip.fleet_update_decoder.decode(told.update)
         except msgspec.DecodeError as error:
             self.unreadable.note(sender, bytes(told.update), error)
             return
-        self.take_news(news, told.acknowledged)
+        self.apply_fleet_update(news, told.acknowledged)
 
-    def take_news(self, news: gossip.FleetUpdate, taken_in: int) -> None:
+    def apply_fleet_update(self, news: gossip.FleetUpdate, taken_in: int) -> None:
         """Take in what a coordinator tells of the fleet.
 
         Args:
@@ -384,10 +384,10 @@
         peer = self.view.heard(news.node, news.incarnation, news.address, news.data_centre)
         if peer is None:
             return
-        version_reports.take_shares(self.state, news.versions)
-        if self._knows_more(news):
+        version_reports.apply_shares(self.state, news.versions)
+        if self._is_newer(news):
             self.snapshots.fetch_from(news.address)
-        if not self.member.take_in(news):
+        if not self.member.apply_update(news):
             return
         self._adopt_ledger(news)
         if self.view.role is not tiers.Role.MEMBER:
@@ -400,10 +400,10 @@
         is_older = tiers.Seniority(news.incarnation, news.node) < self.view.seniority()
         if self.view.role is tiers.Role.COORDINATOR and news.full and is_older:
             told = spending_ledger.FollowedLedger()
-            told.take_in(news)
-            self.coordination.adopt_ledger(told)
+            told.apply_update(news)
+            self.coordination.merge_ledger(told)
 
-    def take_in(self, beat: gossip.Heartbeat) -> None:
+    def apply_heartbeat(self, beat: gossip.Heartbeat) -> None:
         """Take in a node's heartbeat."""
         known = self.view.peers.get(beat.node)
         was_heard = known is not None and self.view.is_alive(known)
@@ -413,10 +413,10 @@
         if peer is None:
             return
         if before not in (0, beat.incarnation) and not was_fresh:
-            self._lose_part(beat.data_centre)
+            self._charge_lost_node(beat.data_centre)
         if not was_heard or before != beat.incarnation:
             self.coordination.forget(peer.name)
-            self._meet(peer)
+            self._handle_new_peer(peer)
             if self.view.role is not tiers.Role.MEMBER:
                 self._decide_role()
         peer.leaving = beat.leaving
@@ -435,18 +435,18 @@
             and beat.seniors
             and self.view.note_reported_seniors(seniors.from_messages(beat.seniors))
         ):
-            self._beat_for_role()
+            self._announce_role()
         if not near:
-            self.bootstrap.take_elders(beat)
-        self._take_figures(beat, heard_again=not was_heard and before == beat.incarnation)
-        if version_reports.take_shares(self.state, beat.versions):
-            self.beat_soon()
-        if self._knows_more(beat):
+            self.bootstrap.apply_seniors(beat)
+        self._apply_figures(beat, heard_again=not was_heard and before == beat.incarnation)
+        if version_reports.apply_shares(self.state, beat.versions):
+            self.send_heartbeat_soon()
+        if self._is_newer(beat):
             self.snapshots.fetch_from(beat.address)
         if beat.sequence and self._seeks(near):
             self._answer(peer)
 
-    def _lose_part(self, data_centre: str) -> None:
+    def _charge_lost_node(self, data_centre: str) -> None:
         """Count what a node may have admitted whose process ended unheard.
 
         Of other nodes than these coordinators tell what they had counted.
@@ -455,16 +455,16 @@
         if role is tiers.Role.FLAT or (role is tiers.Role.COORDINATOR and near):
             self.state.quota.lose_part(1.0 / self.view.size())
 
-    def _meet(self, peer: peer_node.Peer) -> None:
+    def _handle_new_peer(self, peer: peer_node.Peer) -> None:
         """Note a node that is heard for the first time, or again."""
         self.state.log.write(
             "peer", peer=peer.name, incarnation=peer.incarnation, address=peer.address
         )
-        self._hear_fraction()
-        self.composer.tell_all()
-        self.coordination.tell_all = True
-        self.bootstrap.meet(peer)
-        self.suspects.meet(peer.address)
+        self._update_fraction()
+        self.composer.schedule_full()
+        self.coordination.full_due = True
+        self.bootstrap.send_known_peers(peer)
+        self.suspects.send_quarantined(peer.address)
 
     def _seeks(self, near: bool) -> bool:
         """Return whether a node that sent a heartbeat here looks for its coordinators.
@@ -481,12 +481,15 @@
     def _answer(self, peer: peer_node.Peer) -> None:
         """Tell a node that looks for the coordinators of its data centre who they may be."""
         now = self.state.clock.now()
-        if now - self.answered_ms.get(peer.name, -ANSWER_AGAIN_MS) < ANSWER_AGAIN_MS:
+        if (
+            now - self.last_answer_ms.get(peer.name, -MIN_ANSWER_INTERVAL_MS)
+            < MIN_ANSWER_INTERVAL_MS
+        ):
             return
-        self.answered_ms[peer.name] = now
-        self._send(self.composer.greeting(self.leaving, peer.data_centre), [peer.address])
+        self.last_answer_ms[peer.name] = now
+        self._send(self.composer.discovery_answer(self.leaving, peer.data_centre), [peer.address])
 
-    def _take_figures(self, beat: gossip.Heartbeat, heard_again: bool) -> None:
+    def _apply_figures(self, beat: gossip.Heartbeat, heard_again: bool) -> None:
         """Take in a node's own figures, unless coordinators tell them.
 
         Args:
@@ -496,7 +499,7 @@
         near = beat.data_centre == self.state.data_centre
         if role is tiers.Role.MEMBER:
             if near:
-                self._take_usage(beat)
+                self._apply_usage(beat)
             return
         if role is tiers.Role.COORDINATOR and not near and beat.data_centre in self.view.centres:
             return
@@ -518,21 +521,21 @@
             1.0 / self.view.size(),
         )
         if near:
-            self.coordination.take_told(beat.node, beat.sequence, charged)
+            self.coordination.count_reported(beat.node, beat.sequence, charged)
         state.chooser.report_loads(
             beat.node, load_reports.from_messages(beat.loads, state.registry.by_name)
         )
         speed_reports.apply(state, beat.node, beat.speeds)
-        version_reports.take_answers(state, incarnation, beat.answers)
-        self._take_usage(beat)
+        version_reports.apply_answers(state, incarnation, beat.answers)
+        self._apply_usage(beat)
 
-    def _take_usage(self, beat: gossip.Heartbeat) -> None:
+    def _apply_usage(self, beat: gossip.Heartbeat) -> None:
         """Take in a node's usage; a member keeps it for when it coordinates itself."""
         if beat.usage:
             counts = {told.window: told.counts for told in beat.usage}
             self.state.usage.apply_node_report(f"{beat.node}#{beat.incarnation}", counts)
 
-    def _knows_more(self, told: gossip.Versions) -> bool:
+    def _is_newer(self, told: gossip.Versions) -> bool:
         state = self.state
         return (
             told.configuration > state.configuration_version()
--- a/plumarch/gateway/gossip/gossiper_test.py
+++ b/plumarch/gateway/gossip/gossiper_test.py
@@ -161,7 +161,7 @@
     state = gateway_parts.new_state(clock.ManualClock())
     view = fleet_view.FleetView(clock.ManualClock(), "n", 1, "127.0.0.1:1")
     node = gossiper.Gossiper(state, view, heartbeats.DutyStatus(), ())
-    node.take_in(gossip.Heartbeat("m", 5, "127.0.0.2:1", "a", False, -1, -1, 0, True, 0))
+    node.apply_heartbeat(gossip.Heartbeat("m", 5, "127.0.0.2:1", "a", False, -1, -1, 0, True, 0))
     load = gossip.EndpointLoad("e", 1, 3_000)
     for incarnation, running in ((4, 0), (5, 1)):
         notice = gossip.LoadNotice("m", incarnation, load)
@@ -198,15 +198,15 @@
     view = fleet_view.FleetView(clock.ManualClock(), "n", 1, "127.0.0.1:1")
     node = gossiper.Gossiper(state, view, heartbeats.DutyStatus(), ())
     state.adopt_table(table(7), "store")
-    for _ in range(heartbeats.WHOLE_EVERY - 1):
+    for _ in range(heartbeats.FULL_INTERVAL - 1):
         spending_told(node)
     assert spending_told(node) == []
     assert spending_told(node) == ["w"]
     assert spending_told(node) == []
     state.quota.buckets["w"].spent += 3.0
     assert spending_told(node) == ["w"]
-    node.composer.beats = 1
+    node.composer.heartbeat_count = 1
     for _ in range(recent_changes.SEND_COUNT):
         spending_told(node)
-    node.take_in(gossip.Heartbeat("m", 5, "127.0.0.2:1", "a", False, -1, -1, 0, True, 0))
+    node.apply_heartbeat(gossip.Heartbeat("m", 5, "127.0.0.2:1", "a", False, -1, -1, 0, True, 0))
     assert spending_told(node) == ["w"]
--- a/plumarch/gateway/gossip/heartbeats.py
+++ b/plumarch/gateway/gossip/heartbeats.py
@@ -13,27 +13,27 @@
 from plumarch.membership import fleet_view, tiers
 from plumarch.peers import gossip, recent_changes
 
-PEERS_EVERY = 8
+PEERS_INTERVAL = 8
 """Every how many heartbeats the known peers are told, and the build."""
 
-PEERS_TOLD = 8
-USAGE_EVERY = 2
+MAX_PEERS = 8
+USAGE_INTERVAL = 2
 """Every how many heartbeats usage is told; never in the same ones as the peers."""
 
-SPEEDS_EVERY = 4
+SPEEDS_INTERVAL = 4
 """Every how many heartbeats it is told what was learned of engines' speed."""
 
 USAGE_WINDOWS = 3
-USAGE_TOLD_MS = 3_000
+USAGE_RETENTION_MS = 3_000
 """How long a usage window is told in each of those after its end; later in whole ones only."""
 
-WHOLE_EVERY = 16
+FULL_INTERVAL = 16
 """Every how many heartbeats all figures are told, not just those that changed lately."""
 
-WHOLE_AT_NEWCOMERS = 3
+FULL_HEARTBEATS = 3
 """How many whole heartbeats are sent once a node is heard for the first time, or again."""
 
-LOADS_TOLD = 12
+MAX_LOADS = 12
 """Endpoints whose load a heartbeat tells, the heaviest first."""
 
 
@@ -58,22 +58,22 @@
 
     Attributes:
       beats: heartbeats composed so far.
-      whole_beats: how many of the next ones tell all figures.
+      full_heartbeats: how many of the next ones tell all figures.
     """
 
     state: fleet_state.FleetState
     view: fleet_view.FleetView
     duty: DutyStatus
-    beats: int = 0
+    heartbeat_count: int = 0
     sequence: int = 0
-    whole_beats: int = WHOLE_AT_NEWCOMERS
-    spending_news: recent_changes.RecentChanges[float] = dataclasses.field(
+    full_heartbeats: int = FULL_HEARTBEATS
+    spending_changes: recent_changes.RecentChanges[float] = dataclasses.field(
         default_factory=recent_changes.RecentChanges
     )
 
-    def tell_all(self) -> None:
+    def schedule_full(self) -> None:
         """Make the next heartbeats whole, for a node that was not heard before."""
-        self.whole_beats = WHOLE_AT_NEWCOMERS
+        self.full_heartbeats = FULL_HEARTBEATS
 
     def next(self, leaving: bool, counted: Mapping[str, float] | None = None) -> gossip.Heartbeat:
         """Return the heartbeat to send now.
@@ -84,9 +84,9 @@
             by workspace; None where each node hears each other one.
         """
         state = self.state
-        whole = self.whole_beats > 0 or self.beats % WHOLE_EVERY == 0
+        whole = self.full_heartbeats > 0 or self.heartbeat_count % FULL_INTERVAL == 0
         report = state.quota.report()
-        changed = self.spending_news.select({name: told.spent for name, told in report.items()})
+        changed = self.spending_changes.select({name: told.spent for name, told in report.items()})
         spending = [
             gossip.Spending(
                 name,
@@ -99,26 +99,26 @@
             for name, told in report.items()
             if whole or name in changed
         ]
-        tell_peers = self.beats % PEERS_EVERY == 0
-        tell_usage = whole or self.beats % USAGE_EVERY == 1
-        tell_speeds = self.beats % SPEEDS_EVERY == 2
-        self.beats += 1
+        tell_peers = self.heartbeat_count % PEERS_INTERVAL == 0
+        tell_usage = whole or self.heartbeat_count % USAGE_INTERVAL == 1
+        tell_speeds = self.heartbeat_count % SPEEDS_INTERVAL == 2
+        self.heartbeat_count += 1
         self.sequence += 1
-        self.whole_beats = max(0, self.whole_beats - 1)
+        self.full_heartbeats = max(0, self.full_heartbeats - 1)
         return msgspec.structs.replace(
             self._without_figures(leaving, self.view.role is tiers.Role.FLAT),
             spending=spending,
-            loads=load_reports.heaviest(state.chooser.own, LOADS_TOLD),
+            loads=load_reports.heaviest(state.chooser.own, MAX_LOADS),
             usage=self._usage(whole) if tell_usage else [],
             peers=self._known_peers() if tell_peers else [],
             build=build.NAME if tell_peers else "",
             sequence=self.sequence,
             speeds=speed_reports.to_messages(state) if tell_speeds else [],
-            versions=version_reports.shares_told(state),
-            answers=version_reports.answers_told(state),
+            versions=version_reports.shares_to_messages(state),
+            answers=version_reports.answers_to_messages(state),
         )
 
-    def greeting(self, leaving: bool, data_centre: str) -> gossip.Heartbeat:
+    def discovery_answer(self, leaving: bool, data_centre: str) -> gossip.Heartbeat:
         """Return a heartbeat without figures that answers a node which looks for its coordinators.
 
         It has no sequence, so that it is not answered in turn.
@@ -126,17 +126,17 @@
         Args:
           data_centre: the other node's.
         """
-        greeting = self._without_figures(leaving, with_seniors=True)
+        discovery_answer = self._without_figures(leaving, with_seniors=True)
         return msgspec.structs.replace(
-            greeting, peers=self._elders_of(data_centre), build=build.NAME
+            discovery_answer, peers=self._seniors_of(data_centre), build=build.NAME
         )
 
-    def question(self, leaving: bool) -> gossip.Heartbeat:
+    def discovery(self, leaving: bool) -> gossip.Heartbeat:
         """Return a heartbeat without figures that is answered with whom its sender should ask."""
-        question = self._without_figures(leaving, with_seniors=True)
-        return msgspec.structs.replace(question, sequence=max(1, self.sequence), build=build.NAME)
+        discovery = self._without_figures(leaving, with_seniors=True)
+        return msgspec.structs.replace(discovery, sequence=max(1, self.sequence), build=build.NAME)
 
-    def _elders_of(self, data_centre: str) -> list[gossip.KnownPeer]:
+    def _seniors_of(self, data_centre: str) -> list[gossip.KnownPeer]:
         """Return the oldest known nodes of a data centre, or else those who may know them."""
         view = self.view
         centre = view.centres.get(data_centre)
@@ -183,17 +183,17 @@
     def _usage(self, whole: bool) -> list[gossip.WindowUsage]:
         counter = self.state.usage
         now = self.state.wall.now()
-        recent = counter.recent(now, windows_told(counter, now, whole))
+        recent = counter.recent(now, window_count(counter, now, whole))
         return [gossip.WindowUsage(number, counts) for number, counts in recent.items()]
 
     def _known_peers(self) -> list[gossip.KnownPeer]:
         """Return some of the peers, and of each data centre those that may coordinate it."""
         heard = sorted(self.view.live(), key=lambda peer: peer.seniority())
-        if len(heard) <= PEERS_TOLD:
+        if len(heard) <= MAX_PEERS:
             chosen = heard
         else:
             seen: collections.Counter[str] = collections.Counter()
-            chosen = self.state.rng.sample(heard, PEERS_TOLD)
+            chosen = self.state.rng.sample(heard, MAX_PEERS)
             for peer in heard:
                 seen[peer.data_centre] += 1
                 if seen[peer.data_centre] <= tiers.COORDINATORS and peer not in chosen:
@@ -212,8 +212,8 @@
     )
 
 
-def windows_told(counter: usage.UsageCounter, wall_ms: int, whole: bool) -> int:
+def window_count(counter: usage.UsageCounter, wall_ms: int, whole: bool) -> int:
     """Return how many usage windows are told, the newest first."""
     if whole:
         return USAGE_WINDOWS
-    return 1 + (wall_ms % counter.window_ms < USAGE_TOLD_MS)
+    return 1 + (wall_ms % counter.window_ms < USAGE_RETENTION_MS)
--- a/plumarch/gateway/gossip/large_fleet_test.py
+++ b/plumarch/gateway/gossip/large_fleet_test.py
@@ -125,7 +125,7 @@
         fleet.run(100)
         for node in survivors:
             assert node.view.size() == 36
-            if at > fleet_view.ALIVE_TIMEOUT_MS + gossiper.BEAT_MS:
+            if at > fleet_view.ALIVE_TIMEOUT_MS + gossiper.HEARTBEAT_INTERVAL_MS:
                 assert node.state.quota.fraction <= 12 / 36
             assert node.view.role is not tiers.Role.FLAT or not node.view.is_oldest_candidate()
 
@@ -303,7 +303,7 @@
         oldest_ones = len({node.data_centre for node in fleet.live()})
         sent.append(fleet.datagrams[True] / 2.0 / oldest_ones)
     standby = 1 + 1 / rounds.STANDBY_ROUNDS
-    greetings = 2 * gossiper.CONTACTED * 1000 / gossiper.BEAT_MS
+    greetings = 2 * gossiper.CONTACTS_PER_ROUND * 1000 / gossiper.HEARTBEAT_INTERVAL_MS
     assert sent[0] <= 4 * 10 * standby + greetings
     assert sent[1] <= tiers.COORDINATORS * rounds.SUMMARIES_PER_SECOND + greetings
     assert all(node.state.quota.fraction == 1.0 for node in many.live())
--- a/plumarch/gateway/gossip/member_updates.py
+++ b/plumarch/gateway/gossip/member_updates.py
@@ -13,11 +13,11 @@
 FLEET = "fleet"
 """What the loads of all other nodes are kept under."""
 
-HEARTBEATS_KEPT = 64
+MAX_SENT_FIGURES = 64
 """Heartbeats and notices whose figures are remembered, for news that answer them late: some six
 seconds of a node with ten long prompts a second."""
 
-LESS_HEARD = 0.05
+FRACTION_MARGIN = 0.05
 """News of a coordinator that hears less of the fleet than another one by this part are passed over
 as long as the other one's are fresh: it froze, was cut off, or has just started."""
 
@@ -46,29 +46,29 @@
 
     state: fleet_state.FleetState
     view: fleet_view.FleetView
-    told: collections.deque[SentFigures] = dataclasses.field(
-        default_factory=lambda: collections.deque(maxlen=HEARTBEATS_KEPT)
+    sent_figures: collections.deque[SentFigures] = dataclasses.field(
+        default_factory=lambda: collections.deque(maxlen=MAX_SENT_FIGURES)
     )
     loads: dict[str, dict[str, endpoint_choice.Load]] = dataclasses.field(default_factory=dict)
     ledger: spending_ledger.FollowedLedger = dataclasses.field(
         default_factory=spending_ledger.FollowedLedger
     )
 
-    def sent(self, beat: gossip.Heartbeat) -> None:
+    def record_heartbeat(self, beat: gossip.Heartbeat) -> None:
         """Remember what a heartbeat told."""
         spent = {name: bucket.spent for name, bucket in self.state.quota.buckets.items()}
         loads = load_reports.from_messages(beat.loads, self.state.registry.by_name)
-        self.told.append(SentFigures(beat.sequence, spent, loads))
+        self.sent_figures.append(SentFigures(beat.sequence, spent, loads))
 
-    def noticed(self, notice: gossip.LoadNotice) -> None:
+    def record_notice(self, notice: gossip.LoadNotice) -> None:
         """Remember what a notice told besides the heartbeats before it."""
-        before = self.told[-1] if self.told else SentFigures(0, {}, {})
+        before = self.sent_figures[-1] if self.sent_figures else SentFigures(0, {}, {})
         spent = {**before.spent, notice.workspace: notice.spent}
         load = load_reports.from_message(notice.load)
         loads = {**before.loads, notice.load.endpoint: load}
-        self.told.append(SentFigures(notice.sequence, spent, loads))
+        self.sent_figures.append(SentFigures(notice.sequence, spent, loads))
 
-    def take_in(self, news: gossip.FleetUpdate) -> bool:
+    def apply_update(self, news: gossip.FleetUpdate) -> bool:
         """Take news in.
 
         Returns:
@@ -76,7 +76,7 @@
         """
         author = tiers.Seniority(news.incarnation, news.node)
         now = self.state.clock.now()
-        if not self._counts(author, news.fraction, now):
+        if not self._is_preferred(author, news.fraction, now):
             return False
         self.view.fleet_update = tiers.ReceivedFleetUpdate(
             author=author,
@@ -89,11 +89,11 @@
         )
         return True
 
-    def _counts(self, author: tiers.Seniority, fraction: float, now: int) -> bool:
+    def _is_preferred(self, author: tiers.Seniority, fraction: float, now: int) -> bool:
         last = self.view.fleet_update
         if last is None or last.author == author or now - last.received_ms > FRESH_MS:
             return True
-        if abs(fraction - last.fraction) > LESS_HEARD:
+        if abs(fraction - last.fraction) > FRACTION_MARGIN:
             return fraction > last.fraction
         return author < last.author
 
@@ -103,30 +103,30 @@
         Args:
           taken_in: sequence of the last heartbeat or notice of this node that they hold.
         """
-        known = next((one for one in self.told if one.sequence == taken_in), None)
+        known = next((one for one in self.sent_figures if one.sequence == taken_in), None)
         quota = self.state.quota
-        self.ledger.take_in(news)
+        self.ledger.apply_update(news)
         if known is not None:
             self.ledger.counted |= known.spent
         buckets = {}
         for one in news.levels:
             bucket = quota.buckets.get(one.workspace)
-            untold = 0.0
+            unacknowledged = 0.0
             if bucket is not None and known is not None:
-                untold = bucket.spent - known.spent.get(one.workspace, 0.0)
+                unacknowledged = bucket.spent - known.spent.get(one.workspace, 0.0)
             buckets[one.workspace] = quota_records.ReportedBucket(
-                one.level - untold, one.part - untold, one.settled
+                one.level - unacknowledged, one.part - unacknowledged, one.settled
             )
         quota.adopt(buckets, news.fraction)
         self._adopt_loads(news, known.loads if known is not None else {})
 
     def _adopt_loads(self, news: gossip.FleetUpdate, mine: dict[str, endpoint_choice.Load]) -> None:
         """Keep the loads of the others: what is told less what of it is this node's own."""
-        told = load_reports.from_messages(news.loads, self.state.registry.by_name)
+        reported = load_reports.from_messages(news.loads, self.state.registry.by_name)
         known = self.loads.get(news.node)
         if known is None and not news.full:
             return
-        loads = told if news.full else {**(known or {}), **told}
+        loads = reported if news.full else {**(known or {}), **reported}
         self.loads = {news.node: loads}
         others = {}
         for endpoint, load in loads.items():
--- a/plumarch/gateway/gossip/mixed_builds_test.py
+++ b/plumarch/gateway/gossip/mixed_builds_test.py
@@ -112,7 +112,7 @@
     assert len(lines) == 2 and all(len(line) < 500 for line in lines)
     for number in range(1_000):
         unreadable.note(f"10.0.1.{number}", b"", msgspec.DecodeError("no"))
-    assert len(unreadable.told) == unreadable_messages.MAX_TOLD
+    assert len(unreadable.logged) == unreadable_messages.MAX_LOGGED
 
 
 def test_a_nodes_build_is_told_in_some_heartbeats_and_ends_with_its_process():
@@ -127,11 +127,11 @@
         fleet_view.FleetView(clock.ManualClock(1_000), "two", 5, "10.0.0.2:7"),
         heartbeats.DutyStatus(),
     )
-    beats = [other.next(leaving=False) for _ in range(heartbeats.PEERS_EVERY)]
+    beats = [other.next(leaving=False) for _ in range(heartbeats.PEERS_INTERVAL)]
     assert [one.build for one in beats].count(build.NAME) == 1
     for beat in beats:
-        node.take_in(beat)
+        node.apply_heartbeat(beat)
     assert node.view.peers["two"].build == build.NAME
     again = msgspec.structs.replace(beats[-1], incarnation=9, build="")
-    node.take_in(again)
+    node.apply_heartbeat(again)
     assert node.view.peers["two"].build == ""
--- a/plumarch/gateway/gossip/permit_exchange.py
+++ b/plumarch/gateway/gossip/permit_exchange.py
@@ -27,7 +27,7 @@
 MAX_PERMITS = 64
 """Permits in one answer, whatever is asked for."""
 
-NEWS_GAP_MS = 1_000
+MIN_BROADCAST_INTERVAL_MS = 1_000
 """How often a node broadcasts news of the same endpoint at most."""
 
 Send = Callable[[gossip.Datagram, Iterable[str]], None]
@@ -41,7 +41,7 @@
       send: sends a message to addresses.
       recipients: addresses to which this node sends what all nodes are to know.
       is_leaving: whether this process is about to end, and allocates nothing any more.
-      news_ms: when news of an endpoint were broadcast last, by its identifier.
+      broadcast_ms: when news of an endpoint were broadcast last, by its identifier.
     """
 
     state: fleet_state.FleetState
@@ -49,7 +49,7 @@
     send: Send
     recipients: Callable[[], Iterable[str]]
     is_leaving: Callable[[], bool]
-    news_ms: dict[str, int] = dataclasses.field(default_factory=dict)
+    broadcast_ms: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def ask(self, endpoint: traffic.Endpoint, request: rate_allocator.PermitRequest) -> None:
         """Send a request for permits, or answer it if this node allocates them itself."""
@@ -79,7 +79,7 @@
         if address == self.view.address:
             self._allocate(message)
         elif address is not None:
-            self.send(_passed_on(message, self.view.node), [address])
+            self.send(_forwarded(message, self.view.node), [address])
 
     def _allocate(self, message: gossip.PermitRequest) -> None:
         request = rate_allocator.PermitRequest(
@@ -124,13 +124,20 @@
 
     def _broadcast(self, news: gossip.RateUpdate) -> None:
         now = self.state.clock.now()
-        if now - self.news_ms.get(news.endpoint, -NEWS_GAP_MS) < NEWS_GAP_MS:
+        if (
+            now - self.broadcast_ms.get(news.endpoint, -MIN_BROADCAST_INTERVAL_MS)
+            < MIN_BROADCAST_INTERVAL_MS
+        ):
             return
-        recent = {name: at for name, at in self.news_ms.items() if now - at < NEWS_GAP_MS}
-        self.news_ms = {**recent, news.endpoint: now}
+        recent = {
+            name: at
+            for name, at in self.broadcast_ms.items()
+            if now - at < MIN_BROADCAST_INTERVAL_MS
+        }
+        self.broadcast_ms = {**recent, news.endpoint: now}
         self.send(news, self.recipients())
 
-    def handle_news(self, message: gossip.RateUpdate) -> None:
+    def handle_rate_update(self, message: gossip.RateUpdate) -> None:
         """Apply what another node's answer announced; a coordinator passes on what was new."""
         endpoint = self.state.registry.endpoints.get(message.endpoint)
         if endpoint is None or not self._is_sound(message):
@@ -190,7 +197,7 @@
         return own_seniors[0].address if own_seniors else None
 
 
-def _passed_on(message: gossip.PermitRequest, node: str) -> gossip.PermitRequest:
+def _forwarded(message: gossip.PermitRequest, node: str) -> gossip.PermitRequest:
     """Return a message as it is sent by a node, counting its way if it came from another one."""
     if message.node == node:
         return message
--- a/plumarch/gateway/gossip/permit_exchange_test.py
+++ b/plumarch/gateway/gossip/permit_exchange_test.py
@@ -233,7 +233,7 @@
     session = Session(SMALL, 1, "1")
     [node, *_] = session.fleet.live()
     permits = node.gossip.permits
-    permits.handle_news(gossip.RateUpdate("m", "e", [per_s], 0))
+    permits.handle_rate_update(gossip.RateUpdate("m", "e", [per_s], 0))
     asked = gossip.PermitRequest("m", "10.0.0.2:1", "e", "dc-a", 1, 1, [per_s], 0)
     permits.handle_request(asked)
     permits.handle_answer(gossip.PermitAnswer("e", 1, 1, [per_s], 0))
--- a/plumarch/gateway/gossip/region_gossip_test.py
+++ b/plumarch/gateway/gossip/region_gossip_test.py
@@ -73,7 +73,7 @@
 def test_in_one_region_all_coordinators_are_told_in_each_round():
     fleet = settled(gossip_fleet.Size(3, 12))
     node = fleet.with_role(tiers.Role.COORDINATOR)[0]
-    assert not node.gossip.rounds._far_seconds()
+    assert not node.gossip.rounds._remote_seconds()
 
 
 def test_the_oldest_coordinators_of_a_region_freeze_and_thaw():
--- a/plumarch/gateway/gossip/region_sums.py
+++ b/plumarch/gateway/gossip/region_sums.py
@@ -88,7 +88,9 @@
         return found
 
 
-def way_part(state: fleet_state.FleetState, service: str, data_centres: Iterable[str]) -> float:
+def network_latency_fraction(
+    state: fleet_state.FleetState, service: str, data_centres: Iterable[str]
+) -> float:
     """Return what a request to another region costs, as a part of a service's tightest target.
 
     Args:
--- a/plumarch/gateway/gossip/region_sums_test.py
+++ b/plumarch/gateway/gossip/region_sums_test.py
@@ -105,5 +105,5 @@
         1, (*routes, other), (traffic.Service("s"),), (SPACE,), traffic.CallerLimits()
     )
     state.adopt_table(routing_table.build(configuration), "store")
-    assert region_sums.way_part(state, "s", REGIONS) == pytest.approx(expected)
-    assert region_sums.way_part(state, "s", ["a", "b"]) == 0.0
+    assert region_sums.network_latency_fraction(state, "s", REGIONS) == pytest.approx(expected)
+    assert region_sums.network_latency_fraction(state, "s", ["a", "b"]) == 0.0
--- a/plumarch/gateway/gossip/rounds.py
+++ b/plumarch/gateway/gossip/rounds.py
@@ -27,12 +27,12 @@
 """A coordinator whose rounds were further apart than this was stopped or had no processor: what it
 knows is old, and it tells nothing until heartbeats have reached it again."""
 
-FAR_SECOND_MS = 500
+REMOTE_SECOND_INTERVAL_MS = 500
 """How often the second coordinator of a data centre in another region is told itself: so often that
 it holds nobody for silent after one loss, should the oldest one freeze that passes on to it what it
 hears otherwise. Bytes between regions are dearer than those within one."""
 
-OLDEST_SILENT_ROUNDS = 2.5
+MAX_MISSED_ROUNDS = 2.5
 """An oldest coordinator that missed so many rounds passes nothing on: the second one of its data
 centre is told in each round, before it takes those who tell it for silent (after four rounds)."""
 
@@ -47,7 +47,7 @@
       send: sends a message to addresses.
       skipped: rounds left to an older coordinator since the last one told.
       last_ms: when the last round was, told or not.
-      quiet_until_ms: nothing is told before then.
+      paused_until_ms: nothing is told before then.
       next_summary_ms: when the next summary is due.
       summary_ms: the time between two summaries, which grows with the number of data centres.
       second_ms: when the second coordinators in other regions were told last.
@@ -59,7 +59,7 @@
     send: Send
     skipped: int = 0
     last_ms: int = 0
-    quiet_until_ms: int = 0
+    paused_until_ms: int = 0
     next_summary_ms: int = 0
     summary_ms: int = 0
     second_ms: int = 0
@@ -68,15 +68,15 @@
         """Tell what is due."""
         now = self.state.clock.now()
         if self.last_ms and now - self.last_ms > LATE_ROUND_MS:
-            self.quiet_until_ms = now + round(2 * self.view.interval_ms)
+            self.paused_until_ms = now + round(2 * self.view.interval_ms)
         self.last_ms = now
-        if self.view.role is not tiers.Role.COORDINATOR or now < self.quiet_until_ms:
+        if self.view.role is not tiers.Role.COORDINATOR or now < self.paused_until_ms:
             return
         if self._stands_by():
             return
         stale_figures.drop_old_loads(self.state, self.view)
-        self._tell_summary(now)
-        self._tell_news()
+        self._send_summary(now)
+        self._send_fleet_update()
 
     def _stands_by(self) -> bool:
         """Return whether this round is left to an older coordinator."""
@@ -87,47 +87,47 @@
         self.skipped = 0
         return False
 
-    def _tell_summary(self, now: int) -> None:
+    def _send_summary(self, now: int) -> None:
         """Tell the coordinators of other data centres, more seldom the more there are."""
         if now < self.next_summary_ms:
             return
         told = self.other_coordinators()
         self.summary_ms = round(1000.0 * len(told) / SUMMARIES_PER_SECOND)
         self.next_summary_ms = now + self.summary_ms
-        if now - self.second_ms >= FAR_SECOND_MS:
+        if now - self.second_ms >= REMOTE_SECOND_INTERVAL_MS:
             self.second_ms = now
         else:
-            told -= self._far_seconds()
+            told -= self._remote_seconds()
         self.send(self.sums.summary(), told)
 
-    def _far_seconds(self) -> set[str]:
+    def _remote_seconds(self) -> set[str]:
         """Return where the coordinators are to which the oldest of their data centre passes on."""
-        rounds_ms = OLDEST_SILENT_ROUNDS * max(ROUND_INTERVAL_MS, self.summary_ms)
+        rounds_ms = MAX_MISSED_ROUNDS * max(ROUND_INTERVAL_MS, self.summary_ms)
         oldest = self.state.clock.now() - rounds_ms
         return {
             senior.address
             for name, centre in self.view.live_centres().items()
-            if self._is_far(name) and centre.oldest_ms >= oldest
+            if self._is_remote(name) and centre.oldest_ms >= oldest
             for senior in centre.seniors[1 : tiers.COORDINATORS]
         }
 
-    def _is_far(self, data_centre: str) -> bool:
+    def _is_remote(self, data_centre: str) -> bool:
         """Return whether a data centre is in another region, where the settings name some."""
         distances = self.state.distances
         return distances.region_of(data_centre) != distances.own_region()
 
-    def pass_on(self, told: gossip.CentreSummary) -> None:
+    def forward(self, told: gossip.CentreSummary) -> None:
         """Pass a summary of another region on to the other coordinator of the own data centre.
 
         Where summaries are so rare that each goes to both, nothing is to be passed on.
         """
         view = self.view
-        if self.summary_ms >= FAR_SECOND_MS:
+        if self.summary_ms >= REMOTE_SECOND_INTERVAL_MS:
             return
-        if self._is_far(told.data_centre) and view.seniors()[0].seniority.name == view.node:
+        if self._is_remote(told.data_centre) and view.seniors()[0].seniority.name == view.node:
             self.send(told, [senior.address for senior in view.coordinators()])
 
-    def _tell_news(self) -> None:
+    def _send_fleet_update(self) -> None:
         news = msgspec.Raw(gossip.encoder.encode(self.sums.fleet_update()))
         for peer in self.view.neighbours():
             taken_in = self.sums.acknowledged.get(peer.name, 0)
--- a/plumarch/gateway/gossip/snapshots.py
+++ b/plumarch/gateway/gossip/snapshots.py
@@ -22,12 +22,12 @@
 """Bytes from which on a snapshot is compressed: one of 1,400 routes shrinks to a twentieth, and
 some forty nodes fetch it from one coordinator over a link of 20 Mbit/s at the same moment."""
 
-ASKED_AGAIN_MS = 750
+LEGACY_RETRY_MS = 750
 """How soon a peer that could not read an answer asks once more: by the next heartbeat, 500 ms at
 most over regions, and the pause and a round trip after it. A process that starts again at its IP
 asks the same as the one before, but later."""
 
-MAX_UNTOLD = 512
+MAX_LEGACY_REQUESTS = 512
 """Peers of earlier builds whose last question is kept; more than the largest fleet has nodes."""
 
 ZLIB_LEVEL = 1
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Untold:
+class LegacyRequest:
     """What a peer asked that doesn't tell which shape of answer it takes, and which one it got.
 
     Attributes:
@@ -79,7 +79,7 @@
         self.state = state
         self.fetching: asyncio.Task[None] | None = None
         self.packed: PackedAnswer | None = None
-        self.untold: dict[str, Untold] = {}
+        self.legacy_requests: dict[str, LegacyRequest] = {}
 
     def fetch_from(self, address: str) -> None:
         """Begin to fetch what a peer knows beyond this node, unless a fetch runs."""
@@ -99,7 +99,7 @@
         )
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_MS / 1000.0):
-                snapshot = await _ask(address, held)
+                snapshot = await _request(address, held)
         except (OSError, TimeoutError, msgspec.DecodeError, errors.PeerProtocolError) as error:
             self.state.log.write("fetch_failed", peer=address, error=f"{error!r}")
             return
@@ -140,7 +140,7 @@
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_MS / 1000.0):
                 asked = gossip.request_decoder.decode(await frames.read(reader, gossip.FRAME_LIMIT))
-                in_parts = asked.takes_parts or self._guess(
+                in_parts = asked.takes_parts or self._guess_in_parts(
                     writer.get_extra_info("peername")[0], asked
                 )
                 writer.write(frames.pack(self._answer(asked, in_parts)))
@@ -153,7 +153,7 @@
         finally:
             writer.close()
 
-    def _guess(self, peer: str, asked: gossip.SnapshotRequest) -> bool:
+    def _guess_in_parts(self, peer: str, asked: gossip.SnapshotRequest) -> bool:
         """Return whether a peer that doesn't tell takes parts.
 
         Two earlier builds take different shapes, and ask alike. One that asks once more for what it
@@ -163,22 +163,22 @@
             # Whoever asks too early gets nothing new, in a shape that is as good as the other one.
             return True
         now = self.state.clock.now()
-        before = self.untold.pop(peer, None)
+        before = self.legacy_requests.pop(peer, None)
         in_parts = (
             before is None
             or before.asked != asked
-            or now - before.at_ms > ASKED_AGAIN_MS
+            or now - before.at_ms > LEGACY_RETRY_MS
             or not before.in_parts
         )
-        self.untold[peer] = Untold(asked, in_parts, now)
-        while len(self.untold) > MAX_UNTOLD:
-            del self.untold[next(iter(self.untold))]
+        self.legacy_requests[peer] = LegacyRequest(asked, in_parts, now)
+        while len(self.legacy_requests) > MAX_LEGACY_REQUESTS:
+            del self.legacy_requests[next(iter(self.legacy_requests))]
         return in_parts
 
     def _answer(self, asked: gossip.SnapshotRequest, in_parts: bool = True) -> bytes:
         """Return the answer to one peer; the same one is not put together twice."""
         if not asked.takes_compressed:
-            return gossip.encoder.encode(self._told(asked, in_parts))
+            return gossip.encoder.encode(self._compose(asked, in_parts))
         contents = Contents(
             self.state.configuration_version(),
             self.state.registry.revision,
@@ -187,16 +187,16 @@
             in_parts,
         )
         if self.packed is None or self.packed.contents != contents:
-            encoded = gossip.encoder.encode(self._told(asked, in_parts))
+            encoded = gossip.encoder.encode(self._compose(asked, in_parts))
             if len(encoded) >= MIN_COMPRESSED:
                 encoded = zlib.compress(encoded, ZLIB_LEVEL)
             self.packed = PackedAnswer(contents, encoded)
         return self.packed.encoded
 
-    def _told(
+    def _compose(
         self, asked: gossip.SnapshotRequest, in_parts: bool
     ) -> gossip.Snapshot | gossip.FullSnapshot:
-        return self._snapshot(asked) if in_parts else self._whole(asked)
+        return self._snapshot(asked) if in_parts else self._full(asked)
 
     def _is_configuration_newer(self, asked: gossip.SnapshotRequest) -> bool:
         return self.state.configuration_version() > asked.configuration
@@ -204,7 +204,7 @@
     def _are_endpoints_newer(self, asked: gossip.SnapshotRequest) -> bool:
         return self.state.registry.changed_revision > asked.registry_revision
 
-    def _whole(self, asked: gossip.SnapshotRequest) -> gossip.FullSnapshot:
+    def _full(self, asked: gossip.SnapshotRequest) -> gossip.FullSnapshot:
         """Return a snapshot as earlier builds take it."""
         table, registry = self.state.table, self.state.registry
         newer = self._is_configuration_newer(asked)
@@ -245,7 +245,7 @@
     return gossip.decode_snapshot(answer)
 
 
-async def _ask(address: str, request: gossip.SnapshotRequest) -> gossip.Snapshot:
+async def _request(address: str, request: gossip.SnapshotRequest) -> gossip.Snapshot:
     reader, writer = await asyncio.open_connection(*addresses.split(address))
     try:
         writer.write(frames.pack(gossip.encoder.encode(request)))
--- a/plumarch/gateway/gossip/snapshots_test.py
+++ b/plumarch/gateway/gossip/snapshots_test.py
@@ -75,7 +75,7 @@
 
     monkeypatch.setattr(gossip, "raw", fail)
     assert one._answer(NOTHING_HELD) == first
-    assert one._guess("10.0.0.1", NOTHING_HELD)
+    assert one._guess_in_parts("10.0.0.1", NOTHING_HELD)
 
 
 def test_what_inflates_beyond_a_frame_is_refused(monkeypatch: pytest.MonkeyPatch):
--- a/plumarch/gateway/gossip/spending_ledger.py
+++ b/plumarch/gateway/gossip/spending_ledger.py
@@ -26,7 +26,7 @@
     spent: dict[str, float] = dataclasses.field(default_factory=dict)
     counted: dict[str, float] = dataclasses.field(default_factory=dict)
 
-    def take_in(self, news: gossip.FleetUpdate) -> None:
+    def apply_update(self, news: gossip.FleetUpdate) -> None:
         """Take in how far a coordinator has counted."""
         if not news.ledger:
             return
--- a/plumarch/gateway/gossip/stale_figures.py
+++ b/plumarch/gateway/gossip/stale_figures.py
@@ -13,12 +13,12 @@
     """Forget loads that were told long ago, or by whom nobody knows any more."""
     now = state.clock.now()
     for name in list(state.chooser.reported_loads):
-        received_ms = _told_ms(view, name)
+        received_ms = _received_ms(view, name)
         if received_ms is None or now - received_ms > LOADS_RETENTION_MS:
             state.chooser.forget(name)
 
 
-def _told_ms(view: fleet_view.FleetView, source: str) -> int | None:
+def _received_ms(view: fleet_view.FleetView, source: str) -> int | None:
     """Return when the loads of a source were told, or None for one that is gone."""
     if source == member_updates.FLEET:
         return view.fleet_update.received_ms if view.fleet_update is not None else None
@@ -29,7 +29,7 @@
     return peer.last_seen_ms if peer is not None else None
 
 
-def forget_for_role(
+def drop_for_role(
     state: fleet_state.FleetState,
     view: fleet_view.FleetView,
     sums: coordination.Coordination,
@@ -52,7 +52,7 @@
         state.quota.heard.clear()
 
 
-def forget_nodes_of(
+def drop_nodes_of(
     state: fleet_state.FleetState, view: fleet_view.FleetView, data_centre: str
 ) -> None:
     """Forget what nodes of a data centre told one by one, now that it is summed up."""
--- a/plumarch/gateway/gossip/suspect_updates.py
+++ b/plumarch/gateway/gossip/suspect_updates.py
@@ -12,22 +12,22 @@
 from plumarch.limits import quarantine
 from plumarch.peers import gossip, suspect_entries
 
-TELLINGS = 8
+OWN_SENDS = 8
 """How often this node's own news are told: two seconds of heartbeats, of which a bad link loses a
 few in a hundred."""
 
-TELLINGS_ON = 4
+FORWARDED_SENDS = 4
 """How often others' news are told on. A member of a large fleet hears of them from its two
 coordinators only: at a loss of one datagram in five, one of 400,000 members misses all eight."""
 
-SUSPECTS_EACH = 8
+MAX_SUSPECTS = 8
 """Requests in one datagram, some 150 bytes each."""
 
-DATAGRAMS_EACH = 3
+MAX_DATAGRAMS = 3
 """Datagrams at a time, the requests with the most ends first: where a data centre ends at once, its
 bystanders are told over the next heartbeats."""
 
-HELD_EVERY = 16
+QUARANTINED_INTERVAL = 16
 """Every how many heartbeats the requests that are held back are told, to nodes that started, or
 were cut off, since."""
 
@@ -40,7 +40,7 @@
 
     Attributes:
       send: sends a message to addresses.
-      tells_on: whether what is heard is told on at once, as coordinators do.
+      forwards: whether what is heard is told on at once, as coordinators do.
       recipients: whom this node tells.
       due: how often each request is to be told still, by its fingerprint.
       beats: heartbeats so far.
@@ -50,26 +50,26 @@
     node: str
     send: Send
     recipients: Callable[[], Iterable[str]]
-    tells_on: Callable[[], bool]
+    forwards: Callable[[], bool]
     due: dict[str, int] = dataclasses.field(default_factory=dict)
-    beats: int = 0
+    heartbeat_count: int = 0
 
-    def learned(self, fingerprint: str) -> None:
+    def publish(self, fingerprint: str) -> None:
         """Tell at once what this node saw of a request, and again with the next heartbeats."""
-        self.due[fingerprint] = TELLINGS
-        self._tell([fingerprint])
+        self.due[fingerprint] = OWN_SENDS
+        self._send_due([fingerprint])
 
     def step(self) -> None:
         """Tell what is due with a heartbeat."""
-        self.beats += 1
+        self.heartbeat_count += 1
         known = self.state.quarantine
-        if self.beats % HELD_EVERY == 0:
-            for suspect in known.held()[:SUSPECTS_EACH]:
+        if self.heartbeat_count % QUARANTINED_INTERVAL == 0:
+            for suspect in known.held()[:MAX_SUSPECTS]:
                 self.due.setdefault(suspect.fingerprint, 1)
         chosen = sorted(self.due, key=lambda name: (-known.points(name), name))
-        self._tell(chosen[: SUSPECTS_EACH * DATAGRAMS_EACH])
+        self._send_due(chosen[: MAX_SUSPECTS * MAX_DATAGRAMS])
 
-    def _tell(self, fingerprints: list[str]) -> None:
+    def _send_due(self, fingerprints: list[str]) -> None:
         found = []
         for name in fingerprints:
             self.due[name] -= 1
@@ -79,13 +79,13 @@
             if suspect is not None:
                 found.append(suspect_entries.to_message(suspect))
         recipients = list(self.recipients()) if found else []
-        for first in range(0, len(found), SUSPECTS_EACH):
-            news = gossip.SuspectUpdate(self.node, found[first : first + SUSPECTS_EACH])
+        for first in range(0, len(found), MAX_SUSPECTS):
+            news = gossip.SuspectUpdate(self.node, found[first : first + MAX_SUSPECTS])
             self.send(news, recipients)
 
-    def meet(self, address: str) -> None:
+    def send_quarantined(self, address: str) -> None:
         """Tell a node that is heard for the first time, or again, what is held back."""
-        held = self.state.quarantine.held()[:SUSPECTS_EACH]
+        held = self.state.quarantine.held()[:MAX_SUSPECTS]
         if held:
             told = [suspect_entries.to_message(one) for one in held]
             self.send(gossip.SuspectUpdate(self.node, told), [address])
@@ -95,9 +95,9 @@
         suspects = [suspect_entries.from_message(one) for one in told.suspects]
         news = adopt(self.state, suspects, told.node)
         for name in news:
-            self.due[name] = max(TELLINGS_ON, self.due.get(name, 0))
-        if news and self.tells_on():
-            self._tell(news[:SUSPECTS_EACH])
+            self.due[name] = max(FORWARDED_SENDS, self.due.get(name, 0))
+        if news and self.forwards():
+            self._send_due(news[:MAX_SUSPECTS])
 
 
 def adopt(
--- a/plumarch/gateway/gossip/unreadable_messages.py
+++ b/plumarch/gateway/gossip/unreadable_messages.py
@@ -12,10 +12,10 @@
 from plumarch.membership import fleet_view
 from plumarch.peers import gossip, tolerant
 
-MAX_TOLD = 64
+MAX_LOGGED = 64
 """Senders and kinds that are logged; of more, the count says enough."""
 
-WHY_LIMIT = 200
+MAX_ERROR_LENGTH = 200
 """Characters that are told of why a message can't be read."""
 
 KINDS = 256
@@ -30,7 +30,7 @@
     def __init__(self, state: fleet_state.FleetState, view: fleet_view.FleetView) -> None:
         self.state = state
         self.view = view
-        self.told: set[tuple[str, str]] = set()
+        self.logged: set[tuple[str, str]] = set()
 
     def note(self, sender: str, data: bytes, error: msgspec.DecodeError) -> None:
         """Take in a message that can't be read.
@@ -40,19 +40,19 @@
         """
         kind, build = _kind(data), self._build_of(sender)
         self.state.measures.unreadable_messages.add(kind, build)
-        if (sender, kind) in self.told or len(self.told) >= MAX_TOLD:
+        if (sender, kind) in self.logged or len(self.logged) >= MAX_LOGGED:
             return
-        self.told.add((sender, kind))
+        self.logged.add((sender, kind))
         self.state.log.write(
             "bad_heartbeat",
             sender=sender,
             message=kind,
             build=build,
-            error=str(error)[:WHY_LIMIT],
+            error=str(error)[:MAX_ERROR_LENGTH],
         )
 
     @staticmethod
-    def rest_of(data: bytes) -> gossip.Datagram | None:
+    def readable_part(data: bytes) -> gossip.Datagram | None:
         """Return a message without the parts that can't be read, or None if too little is left."""
         try:
             return cast(gossip.Datagram, tolerant.read(data).datagram)
--- a/plumarch/gateway/gossip/version_reports.py
+++ b/plumarch/gateway/gossip/version_reports.py
@@ -7,14 +7,14 @@
 from plumarch.gateway import fleet_state
 from plumarch.peers import gossip
 
-ROUTES_TOLD = 12
+MAX_ROUTES = 12
 """Routes and versions whose answers one datagram tells, those with most answers first; some 60
 bytes each."""
 
 STATES = {state.value: state for state in rollouts.RolloutState}
 
 
-def shares_told(state: fleet_state.FleetState) -> list[gossip.VersionShare]:
+def shares_to_messages(state: fleet_state.FleetState) -> list[gossip.VersionShare]:
     """Return the shares of versions as they are told."""
     return [
         gossip.VersionShare(
@@ -30,7 +30,7 @@
     ]
 
 
-def answers_told(
+def answers_to_messages(
     state: fleet_state.FleetState, counts_in: Callable[[str], bool] = lambda source: False
 ) -> list[gossip.VersionAnswers]:
     """Return the answers of versions while a roll-out runs, as they are told.
@@ -46,11 +46,11 @@
     found.sort(key=lambda one: (-one[1].answers, one[0].version, one[0].route))
     return [
         gossip.VersionAnswers(key.service, key.version, key.route, tally.answers, tally.bad)
-        for key, tally in found[:ROUTES_TOLD]
+        for key, tally in found[:MAX_ROUTES]
     ]
 
 
-def take_shares(state: fleet_state.FleetState, told: Iterable[gossip.VersionShare]) -> bool:
+def apply_shares(state: fleet_state.FleetState, told: Iterable[gossip.VersionShare]) -> bool:
     """Adopt the shares that others told.
 
     Returns:
@@ -72,7 +72,7 @@
     return news
 
 
-def take_answers(
+def apply_answers(
     state: fleet_state.FleetState, source: str, told: Iterable[gossip.VersionAnswers]
 ) -> None:
     """Keep the counts that a source told."""
--- a/plumarch/gateway/store/registration.py
+++ b/plumarch/gateway/store/registration.py
@@ -101,7 +101,7 @@
                 self.state.log.write("bad_node_record", name=record.name, value=record.value)
             for node in nodes or ():
                 self.view.learn(node.address, node.address, node.data_centre)
-        self.gossip.beat_soon()
+        self.gossip.send_heartbeat_soon()
 
     def _wanted(self) -> WantedRecord | None:
         """Return the record that this node is to keep, or None if it is for others to keep one."""
--- a/plumarch/standins/gossip_fleet.py
+++ b/plumarch/standins/gossip_fleet.py
@@ -125,7 +125,7 @@
         self.gossip.learn_seeds(seeds)
         self.fetched: list[str] = []
         cast(Any, self.gossip.snapshots).fetch_from = self.fetched.append
-        cast(Any, self.gossip).beat_soon = lambda: fleet.beat_soon(self)
+        cast(Any, self.gossip).send_heartbeat_soon = lambda: fleet.send_heartbeat_soon(self)
         self.asked_to_beat = False
         self.tell_round: Callable[[], None] = self.gossip.rounds.step
         state.adopt_table(fleet.table, "store")
@@ -213,7 +213,7 @@
             node.gossip.tick()
         self.schedule(node.gossip.interval_ms(), lambda: self._beat(node))
 
-    def beat_soon(self, node: Node) -> None:
+    def send_heartbeat_soon(self, node: Node) -> None:
         """Let a node send its next heartbeat at once."""
         if node.asked_to_beat:
             return
--- a/plumarch/standins/store_replay.py
+++ b/plumarch/standins/store_replay.py
@@ -222,7 +222,7 @@
         following = follower.Follower(
             node.state,
             reached,
-            node.gossip.beat_soon,
+            node.gossip.send_heartbeat_soon,
             lambda: node.view.watches_store(node.data_centre),
             node.view.shares_following,
         )
