--- a/plumarch/gateway/gossip/__init__.py
+++ b/plumarch/gateway/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""News between nodes: heartbeats, sums of data centres, what they tell, and who tells whom."""
+"""Exchange of state between nodes: heartbeats, centre summaries and fleet updates."""
--- a/plumarch/gateway/gossip/builds.py
+++ b/plumarch/gateway/gossip/builds.py
@@ -1,15 +1,15 @@
-"""Which builds of the product the fleet consists of, as far as this node hears it."""
+"""Lists the builds that the live nodes run."""
 
 import datetime
 
 from plumarch.core import build
 from plumarch.membership import fleet_view
 
-UNKNOWN_BUILD = "(an earlier build, which doesn't tell)"
+UNKNOWN_BUILD = "(an earlier build that does not report its name)"
 
 
 def lines(view: fleet_view.FleetView) -> list[str]:
-    """Return a line for each build: how many nodes run it, and since when the first one does."""
+    """Return a line for each build: its name, how many nodes run it, and the earliest start."""
     starts: dict[str, list[int]] = {build.NAME: [view.incarnation]}
     for peer in view.live():
         starts.setdefault(peer.build or UNKNOWN_BUILD, []).append(peer.incarnation)
@@ -23,5 +23,5 @@
     try:
         at = datetime.datetime.fromtimestamp(ms / 1000.0, datetime.UTC)
     except (OverflowError, OSError, ValueError):
-        return f"at {ms}, which is no time of day"
+        return f"at {ms} ms, which is out of range"
     return at.strftime("%Y-%m-%dT%H:%M:%SZ")
--- a/plumarch/gateway/gossip/coordination.py
+++ b/plumarch/gateway/gossip/coordination.py
@@ -1,4 +1,4 @@
-"""What a coordinator sums up and tells: its data centre to others, the whole fleet to members."""
+"""Aggregates a data centre's figures for summaries, and the fleet's figures for members."""
 
 import collections
 import dataclasses
@@ -18,41 +18,43 @@
 from plumarch.routing import endpoint_choice
 
 FULL_INTERVAL = 16
-"""Every how many rounds all figures are told, not just those that changed lately."""
+"""Rounds from one full message to the next; the others hold recent changes only."""
 
 FULL_SUMMARIES = 3
-"""How many whole summaries are told once a data centre is heard for the first time, or again."""
+"""Full summaries in a row once a data centre becomes reachable."""
 
 RESYNC_MS = 1_000
-"""How long lower levels of a data centre are taken over that is heard for the first time, or again:
-until the coordinators of all have told each other what was admitted meanwhile, over slow links too.
-A coordinator that followed on one that died doesn't know what others told before."""
+"""How long lower bucket levels are adopted from a data centre that became reachable.
+
+By then the coordinators of all data centres have exchanged what was admitted meanwhile. A new
+coordinator does not know what its predecessor had received.
+"""
 
 USAGE_INTERVAL = 4
-"""Every how many rounds usage is told."""
+"""Rounds from one summary with usage to the next."""
 
 MAX_LOADS = 60
-"""Endpoints whose load one datagram tells, the heaviest first; some 20 bytes each."""
+"""Endpoint loads in one datagram, heaviest first; about 20 bytes each."""
 
 CENTRE = "centre "
-"""What the figures of a whole data centre are kept under, before its name."""
+"""Prefix of a data centre's name where its figures are kept beside those of nodes."""
 
 
 @dataclasses.dataclass(slots=True)
 class Coordination:
-    """A coordinator's sums.
+    """The aggregates that a coordinator keeps.
 
     Attributes:
-      ledger: who began to count what the nodes of the own data centre admitted.
-      spent: what was counted in it, by workspace.
-      own_counted: the part of this node's own spending that is counted in it.
-      acknowledged: sequence of the last heartbeat or notice of each node of it, by name.
-      rounds: news composed so far.
+      ledger: the node that began the count of what the own data centre admitted.
+      spent: units that the own data centre admitted, by workspace.
+      own_counted: this node's own spending that `spent` includes.
+      acknowledged: sequence of the last heartbeat or notice of each of its nodes, by name.
+      rounds: fleet updates composed so far.
       summaries: summaries composed so far.
-      newest: incarnation and number of the last summary of each coordinator elsewhere.
-      resync_until_ms: until when each data centre counts as heard since just now.
-      full_summaries: how many of the next summaries tell all figures.
-      full_due: whether the next news are whole, for a member that was not heard before.
+      newest: incarnation and sequence of the last summary of each coordinator elsewhere.
+      resync_until_ms: until when each data centre's lower levels are adopted.
+      full_summaries: how many of the next summaries are full.
+      full_due: whether the next fleet update is full, for a member that just became reachable.
     """
 
     state: fleet_state.FleetState
@@ -87,99 +89,103 @@
 
     # Other data centres.
 
-    def handle_summary(self, told: gossip.CentreSummary) -> bool:
-        """Take in what a coordinator of another data centre tells.
+    def handle_summary(self, summary: gossip.CentreSummary) -> bool:
+        """Apply the summary of a coordinator of another data centre.
 
         Returns:
-          Whether it is news: one that came twice, or after a newer one, is passed over.
+          False for a duplicate or stale summary, which is dropped.
         """
-        newest = self.newest.get(told.node, (0, 0))
-        if told.sequence and (told.incarnation, told.sequence) <= newest:
+        newest = self.newest.get(summary.node, (0, 0))
+        if summary.sequence and (summary.incarnation, summary.sequence) <= newest:
             return False
-        self.newest[told.node] = (told.incarnation, told.sequence)
-        candidates = seniors.from_messages(told.candidate)
+        self.newest[summary.node] = (summary.incarnation, summary.sequence)
+        candidates = seniors.from_messages(summary.candidate)
         now = self.state.clock.now()
-        if told.data_centre not in self.view.live_centres():
-            # Windows that ended while it was not heard are told in whole summaries only.
+        if summary.data_centre not in self.view.live_centres():
+            # Only full summaries hold usage windows that ended while it was unreachable.
             self.full_summaries = FULL_SUMMARIES
-            self.resync_until_ms[told.data_centre] = now + RESYNC_MS
-        self.view.all_centres.heard(told.data_centre, seniors.from_messages(told.seniors), now)
-        self.view.centres[told.data_centre] = tiers.CentreView(
-            nodes=told.nodes,
-            reachable_nodes=told.reachable_nodes,
-            seniors=seniors.from_messages(told.seniors),
-            token=told.token,
+            self.resync_until_ms[summary.data_centre] = now + RESYNC_MS
+        self.view.all_centres.heard(
+            summary.data_centre, seniors.from_messages(summary.seniors), now
+        )
+        self.view.centres[summary.data_centre] = tiers.CentreView(
+            nodes=summary.nodes,
+            reachable_nodes=summary.reachable_nodes,
+            seniors=seniors.from_messages(summary.seniors),
+            token=summary.token,
             candidate=candidates[0].seniority if candidates else None,
-            reported=told.reported,
-            usage_age_ms=told.usage_age_ms,
+            reported=summary.reported,
+            usage_age_ms=summary.usage_age_ms,
             received_ms=now,
-            usage_reported_ms=self._usage_reported_ms(told, now - told.usage_age_ms),
-            oldest_ms=now if _is_from_senior(told) else self._senior_summary_ms(told.data_centre),
+            usage_reported_ms=self._usage_reported_ms(summary, now - summary.usage_age_ms),
+            oldest_ms=now
+            if _is_from_senior(summary)
+            else self._senior_summary_ms(summary.data_centre),
         )
-        self.duty.reported = max(self.duty.reported, told.reported)
-        self._charge(told, now < self.resync_until_ms[told.data_centre])
-        loads = load_reports.from_messages(told.loads, self.state.registry.by_name)
-        self.state.chooser.report_loads(CENTRE + told.data_centre, loads)
-        speed_reports.apply(self.state, CENTRE + told.data_centre, told.speeds)
-        version_reports.apply_shares(self.state, told.versions)
-        version_reports.apply_answers(self.state, CENTRE + told.data_centre, told.answers)
-        if told.usage:
-            counts = {one.window: one.counts for one in told.usage}
-            self.state.usage.apply_centre_summary(CENTRE + told.data_centre, counts)
+        self.duty.reported = max(self.duty.reported, summary.reported)
+        self._charge(summary, now < self.resync_until_ms[summary.data_centre])
+        loads = load_reports.from_messages(summary.loads, self.state.registry.by_name)
+        self.state.chooser.report_loads(CENTRE + summary.data_centre, loads)
+        speed_reports.apply(self.state, CENTRE + summary.data_centre, summary.speeds)
+        version_reports.apply_shares(self.state, summary.versions)
+        version_reports.apply_answers(self.state, CENTRE + summary.data_centre, summary.answers)
+        if summary.usage:
+            counts = {one.window: one.counts for one in summary.usage}
+            self.state.usage.apply_centre_summary(CENTRE + summary.data_centre, counts)
         return True
 
     def _senior_summary_ms(self, data_centre: str) -> int:
-        """Return when the oldest coordinator of a data centre told last, 0 if it never did."""
+        """Return when a data centre's senior coordinator last sent a summary, or 0."""
         before = self.view.centres.get(data_centre)
         return before.oldest_ms if before is not None else 0
 
-    def _usage_reported_ms(self, told: gossip.CentreSummary, as_of_ms: int) -> dict[int, int]:
-        """Return as of when the newest usage windows of a data centre were told."""
-        before = self.view.centres.get(told.data_centre)
+    def _usage_reported_ms(self, summary: gossip.CentreSummary, as_of_ms: int) -> dict[int, int]:
+        """Return, for the newest usage windows of a data centre, as of when they were reported."""
+        before = self.view.centres.get(summary.data_centre)
         known = dict(before.usage_reported_ms) if before is not None else {}
-        for one in told.usage:
+        for one in summary.usage:
             known[one.window] = max(as_of_ms, known.get(one.window, as_of_ms))
         newest = sorted(known)[-heartbeats.USAGE_WINDOWS :]
         return {window: known[window] for window in newest}
 
-    def _charge(self, told: gossip.CentreSummary, anew: bool) -> None:
-        """Charge what another data centre admitted.
+    def _charge(self, summary: gossip.CentreSummary, resync: bool) -> None:
+        """Charge the own buckets for what another data centre admitted.
 
         Args:
-          anew: whether it is heard since just now, for the first time in this role or again.
+          resync: whether it became reachable, or this node a coordinator, within RESYNC_MS.
         """
-        sums = {one.workspace: one.spent for one in told.spending}
-        author = f"{told.node}#{told.incarnation}"
+        sums = {one.workspace: one.spent for one in summary.spending}
+        author = f"{summary.node}#{summary.incarnation}"
         charged = self.elsewhere.charge(
-            told.data_centre,
+            summary.data_centre,
             author,
             sums,
             self.view.alive_timeout_ms(),
-            _is_from_senior(told),
-            self._ledger_from(told),
+            _is_from_senior(summary),
+            self._ledger_from(summary),
         )
         levels = {
             one.workspace: quota_records.TakenOver(one.level, one.overdrawn)
-            for one in told.spending
+            for one in summary.spending
             if one.settled
         }
-        share = min(1.0, told.nodes / max(1, self.view.size()))
+        share = min(1.0, summary.nodes / max(1, self.view.size()))
         self.state.quota.apply_centre_summary(
-            CENTRE + told.data_centre, charged, levels, anew, share
+            CENTRE + summary.data_centre, charged, levels, resync, share
         )
 
-    def _ledger_from(self, told: gossip.CentreSummary) -> centre_spending.Ledger:
+    def _ledger_from(self, summary: gossip.CentreSummary) -> centre_spending.Ledger:
         """Return the ledger in which a coordinator elsewhere counts."""
-        if not told.ledger:
+        if not summary.ledger:
             return centre_spending.UNNAMED
-        begun = tiers.Seniority(told.ledger[0].incarnation, told.ledger[0].name)
+        begun = tiers.Seniority(summary.ledger[0].incarnation, summary.ledger[0].name)
         name = f"{begun.name}#{begun.incarnation}"
         return centre_spending.Ledger(name, begun.incarnation > self.view.incarnation)
 
     # The ledger of the own data centre.
 
     def continue_ledger(self, ledger: spending_ledger.FollowedLedger) -> None:
-        """Begin to coordinate: count on in the ledger that this node followed, or in a new one."""
+        """Continue the ledger that this node followed as a member, or begin one."""
         if ledger.begun_by is None:
             self.ledger = self.view.seniority()
         else:
@@ -188,14 +194,14 @@
         self.own_counted = dict(ledger.counted)
 
     def followed(self) -> spending_ledger.FollowedLedger:
-        """Return the ledger for this node to follow once it coordinates no more."""
+        """Return the ledger to follow once this node is no longer a coordinator."""
         self._count_own()
         return spending_ledger.FollowedLedger(self.ledger, dict(self.spent), dict(self.own_counted))
 
     def merge_ledger(self, ledger: spending_ledger.FollowedLedger) -> None:
-        """Count on in the ledger of an older coordinator of the own data centre.
+        """Merge the ledger of a more senior coordinator of the own data centre.
 
-        Both count the same nodes, each by what it hears: the larger sum is the truer one.
+        Both count the same nodes from what each received, so the larger sum is the more complete.
         """
         if ledger.begun_by is None:
             return
@@ -208,18 +214,18 @@
             self.spent[name] = max(self.spent[name], units)
 
     def _count_own(self) -> None:
-        """Count what this node admitted itself."""
+        """Count what this node itself admitted."""
         for name, bucket in self.state.quota.buckets.items():
             self.spent[name] += bucket.spent - self.own_counted.get(name, 0.0)
             self.own_counted[name] = bucket.spent
 
     def summary(self) -> gossip.CentreSummary:
-        """Return what to tell the coordinators of other data centres now."""
+        """Return the summary for the coordinators of other data centres."""
         view, state = self.view, self.state
         neighbours = [one for one in view.neighbours() if view.is_alive(one)]
-        whole = self.full_summaries > 0 or self.summaries % FULL_INTERVAL == 0
+        full = self.full_summaries > 0 or self.summaries % FULL_INTERVAL == 0
         self.full_summaries = max(0, self.full_summaries - 1)
-        with_usage = whole or self.summaries % USAGE_INTERVAL == 1
+        with_usage = full or self.summaries % USAGE_INTERVAL == 1
         self.summaries += 1
         tokens = [one.token for one in neighbours if not one.leaving]
         return gossip.CentreSummary(
@@ -236,9 +242,9 @@
             candidate=self._candidate(neighbours),
             reported=self.duty.reported,
             usage_age_ms=self._usage_age_ms(),
-            spending=self._spending(whole),
+            spending=self._spending(full),
             loads=self._centre_loads(),
-            usage=self._usage(whole) if with_usage else [],
+            usage=self._usage(full) if with_usage else [],
             speeds=speed_reports.to_messages(state, self._is_own_centre) if with_usage else [],
             versions=version_reports.shares_to_messages(state),
             answers=version_reports.answers_to_messages(state, self._is_own_centre),
@@ -251,21 +257,21 @@
         return gossip.NodeIdentity(self.ledger.name, self.ledger.incarnation, "")
 
     def _candidate(self, neighbours: list[peer_node.Peer]) -> list[gossip.NodeIdentity]:
-        ages = [one.seniority() for one in neighbours if one.candidate and not one.leaving]
+        found = [one.seniority() for one in neighbours if one.candidate and not one.leaving]
         if self.duty.candidate:
-            ages.append(self.view.seniority())
+            found.append(self.view.seniority())
         return [
             gossip.NodeIdentity(seniority.name, seniority.incarnation, "")
-            for seniority in sorted(ages)[:1]
+            for seniority in sorted(found)[:1]
         ]
 
     def _usage_age_ms(self) -> int:
-        """Return how old the oldest news of a node of the own data centre is."""
+        """Return the time since the least recent heartbeat of a node of the own data centre."""
         now = self.state.clock.now()
-        heard = [one.last_seen_ms for one in self.view.neighbours() if one.incarnation]
-        return max((now - at for at in heard if at is not None), default=0)
+        last_seen = [one.last_seen_ms for one in self.view.neighbours() if one.incarnation]
+        return max((now - at for at in last_seen if at is not None), default=0)
 
-    def _spending(self, whole: bool) -> list[gossip.CentreSpending]:
+    def _spending(self, full: bool) -> list[gossip.CentreSpending]:
         report = self.state.quota.report()
         self._count_own()
         sums = {name: self.spent[name] for name in report}
@@ -274,16 +280,16 @@
             gossip.CentreSpending(
                 name,
                 round(sums[name]),
-                round(told.level),
-                told.settled,
-                round(told.overdrawn),
+                round(bucket.level),
+                bucket.settled,
+                round(bucket.overdrawn),
             )
-            for name, told in report.items()
-            if whole or name in changed
+            for name, bucket in report.items()
+            if full or name in changed
         ]
 
     def _centre_loads(self) -> list[gossip.EndpointLoad]:
-        """Return what the nodes of the own data centre have at endpoints."""
+        """Return the load that the own data centre's nodes put on endpoints, heaviest first."""
         chooser = self.state.chooser
         sums: dict[str, endpoint_choice.Load] = {}
         sources = [
@@ -297,9 +303,9 @@
         return load_reports.heaviest(sums, MAX_LOADS)
 
     def _is_own_centre(self, source: str) -> bool:
-        """Return whether what a node told belongs to the sums of the own data centre.
+        """Return whether a source's figures belong to the own data centre.
 
-        Before roles are settled, nodes of other data centres tell theirs one by one.
+        Until roles are settled, nodes of other data centres report individually.
 
         Args:
           source: the node's name, with or without its incarnation, or a data centre's.
@@ -309,9 +315,9 @@
         peer = self.view.peers.get(source.partition("#")[0])
         return peer is None or peer.data_centre == self.state.data_centre
 
-    def _usage(self, whole: bool) -> list[gossip.WindowUsage]:
+    def _usage(self, full: bool) -> list[gossip.WindowUsage]:
         usage, now = self.state.usage, self.state.wall.now()
-        windows = heartbeats.window_count(usage, now, whole)
+        windows = heartbeats.window_count(usage, now, full)
         newest = usage.window_at(now)
         return [
             gossip.WindowUsage(number, usage.total(number, self._is_own_centre))
@@ -321,20 +327,20 @@
     # The own data centre.
 
     def count_reported(self, node: str, sequence: int, charged: dict[str, float]) -> None:
-        """Count what a node of the own data centre was heard to admit.
+        """Count what a node of the own data centre reported as admitted.
 
         Args:
-          sequence: number of its heartbeat or notice; a late one goes before no newer one.
+          sequence: of its heartbeat or notice; a late one does not replace a newer one.
         """
         for name, units in charged.items():
             self.spent[name] += units
         self.acknowledged[node] = max(sequence, self.acknowledged.get(node, 0))
 
     def fleet_update(self) -> gossip.FleetUpdate:
-        """Return what to tell the members of the own data centre now."""
+        """Return the fleet update for the members of the own data centre."""
         state, quota, view = self.state, self.state.quota, self.view
         fraction = view.fresh_fraction()
-        whole = self.rounds % FULL_INTERVAL == 0 or self.full_due or fraction != self.last_fraction
+        full = self.rounds % FULL_INTERVAL == 0 or self.full_due or fraction != self.last_fraction
         self.full_due = False
         self.last_fraction = fraction
         self.rounds += 1
@@ -351,7 +357,7 @@
                 round(self.spent[name]),
             )
             for name, bucket in quota.buckets.items()
-            if whole or name in changed
+            if full or name in changed
         ]
         return gossip.FleetUpdate(
             node=view.node,
@@ -366,14 +372,14 @@
             seniors=seniors.announced(view),
             followers=view.followers(state.reaches_store),
             levels=levels,
-            loads=self._fleet_loads(whole),
-            full=whole,
+            loads=self._fleet_loads(full),
+            full=full,
             versions=version_reports.shares_to_messages(state),
             ledger=[self._ledger_message()],
         )
 
-    def _fleet_loads(self, whole: bool) -> list[gossip.EndpointLoad]:
-        """Return the loads of endpoints from all nodes that changed lately."""
+    def _fleet_loads(self, full: bool) -> list[gossip.EndpointLoad]:
+        """Return the endpoint loads of all nodes; only recent changes unless full."""
         chooser = self.state.chooser
         loads = {name: chooser.load(name) for name in sorted({*chooser.own, *chooser.others})}
         before = self.load_changes.known.keys() - loads.keys()
@@ -381,14 +387,14 @@
         changed = self.load_changes.select(loads)
         for name in [name for name in before if name not in changed]:
             del self.load_changes.known[name]
-        chosen = {name: load for name, load in loads.items() if whole or name in changed}
+        chosen = {name: load for name, load in loads.items() if full or name in changed}
         return load_reports.heaviest(chosen, MAX_LOADS)
 
     def forget(self, node: str) -> None:
-        """Drop what is kept of a node that is gone."""
+        """Drop the state of a node that is gone."""
         self.acknowledged.pop(node, None)
 
 
-def _is_from_senior(told: gossip.CentreSummary) -> bool:
-    """Return whether a summary's author believes to be the oldest of its data centre."""
-    return bool(told.seniors) and told.seniors[0].name == told.node
+def _is_from_senior(summary: gossip.CentreSummary) -> bool:
+    """Return whether a summary's author regards itself as its data centre's senior node."""
+    return bool(summary.seniors) and summary.seniors[0].name == summary.node
--- a/plumarch/gateway/gossip/gossiper.py
+++ b/plumarch/gateway/gossip/gossiper.py
@@ -1,4 +1,4 @@
-"""What nodes tell one another: heartbeats, notices, sums of data centres, news of the fleet."""
+"""Sends and receives the gossip of one node."""
 
 import asyncio
 from collections.abc import Iterable, Mapping
@@ -31,23 +31,20 @@
 
 HEARTBEAT_INTERVAL_MS = 250
 MAX_HEARTBEATS_PER_SECOND = 150
-"""Heartbeats that a node sends, or a coordinator takes in, in a second at most; where more nodes
-tell each other they become rarer."""
+"""Heartbeats that a node sends, or a coordinator receives; with more senders the interval grows."""
 
 MIN_ANSWER_INTERVAL_MS = HEARTBEAT_INTERVAL_MS
-"""How often a node that looks for the coordinators of its data centre is answered at most."""
+"""Minimum time between two answers to a node that looks for its coordinators."""
 
 CONTACTS_PER_ROUND = 4
-"""Nodes known by name only that a coordinator greets in a round of heartbeats."""
+"""Nodes, not yet reached or in other data centres, to which each heartbeat goes as well."""
 
 NOTICE_TOKENS = 1_500.0
-"""A prompt with this many unread tokens, or charged so much, is told at once: between two
-heartbeats of a large fleet several nodes would choose the same engine for theirs, and admit
-from the same rest of an allotment."""
+"""Unread tokens, or units charged, from which on a prompt is announced at once."""
 
 
 class Gossiper(asyncio.DatagramProtocol):
-    """The peer side of one node."""
+    """Gossips with the other nodes on behalf of one node."""
 
     def __init__(
         self,
@@ -82,7 +79,7 @@
         self.snapshots = snapshots.SnapshotExchange(state)
         self.soon = asyncio.Event()
         self.server: asyncio.Server | None = None
-        self.told: set[str] = set()
+        self.recipients: set[str] = set()
         self.last_answer_ms: dict[str, int] = {}
         self.role_announced_ms = 0
         state.announce_prompt = self.announce_prompt
@@ -90,7 +87,7 @@
         state.request_permits = self.permits.ask
 
     async def start(self) -> None:
-        """Listen, and learn the seeds."""
+        """Start listening and learn the seeds."""
         host, port = addresses.split(self.view.address)
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
@@ -100,12 +97,10 @@
         self.learn_seeds(self.seeds)
 
     def learn_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Learn of nodes that may exist, in place of those that the settings named before.
-
-        All nodes listen on the same port.
+        """Replace the seeds.
 
         Args:
-          seeds: IP or IP:port of nodes; a port is ignored.
+          seeds: IP or IP:port of nodes; a port is ignored, since all nodes listen on the same one.
         """
         _, port = addresses.split(self.view.address)
         known = {f"{seed.rpartition(':')[0] or seed}:{port}" for seed in seeds}
@@ -120,22 +115,22 @@
     # Sending.
 
     def interval_ms(self) -> float:
-        """Return the time between heartbeats, longer where many nodes tell each other."""
+        """Return the time between heartbeats, which grows with the number of senders."""
         flat = self.view.role is tiers.Role.FLAT and self.view.size() <= tiers.FLAT_FLEET
-        told = len(self.view.peers) if flat else self.view.tellers()
-        return max(HEARTBEAT_INTERVAL_MS, 1000.0 * told / MAX_HEARTBEATS_PER_SECOND)
+        senders = len(self.view.peers) if flat else self.view.tellers()
+        return max(HEARTBEAT_INTERVAL_MS, 1000.0 * senders / MAX_HEARTBEATS_PER_SECOND)
 
     def send_heartbeat_soon(self) -> None:
-        """Send the next heartbeat at once, since there is news."""
+        """Send the next heartbeat at once."""
         self.soon.set()
 
     def start_bootstrap(self) -> None:
-        """Tell all with the next heartbeat, at once: others may have missed what was told."""
+        """Send a full heartbeat at once, for nodes that may have missed earlier ones."""
         self.composer.schedule_full()
         self.send_heartbeat_soon()
 
     async def run_heartbeats(self) -> None:
-        """Send heartbeats."""
+        """Send heartbeats until cancelled."""
         while True:
             self.tick()
             try:
@@ -146,13 +141,13 @@
             self.soon.clear()
 
     async def run_rounds(self) -> None:
-        """Tell sums and news as long as this node coordinates."""
+        """Send summaries and fleet updates, while this node coordinates, until cancelled."""
         while True:
             self.rounds.step()
             await asyncio.sleep(rounds.ROUND_INTERVAL_MS / 1000.0)
 
     def tick(self) -> None:
-        """Age what is known of peers, and send one heartbeat to each that it is for."""
+        """Update what is known of peers, and send one heartbeat."""
         self._decide_role()
         self.view.interval_ms = self.interval_ms()
         self.state.quota.update_age_ms = self._update_age_ms()
@@ -166,24 +161,24 @@
         self.state.budget.nodes = max(8, 2 * self.view.size())
         if self.transport is None:
             return
-        told = set(self._heartbeat_addresses())
-        if self.view.role is not tiers.Role.FLAT and told - self.told:
-            # What one counts of a node begins with the first figure that it hears.
+        recipients = set(self._heartbeat_addresses())
+        if self.view.role is not tiers.Role.FLAT and recipients - self.recipients:
+            # A new recipient counts spending from the first figure that it receives.
             self.composer.schedule_full()
-        self.told = told
-        beat = self.composer.next(self.leaving, self._counted_spending())
-        self.member.record_heartbeat(beat)
-        self._send(beat, told)
-        if beat.usage and self.view.role is tiers.Role.COORDINATOR:
+        self.recipients = recipients
+        heartbeat = self.composer.next(self.leaving, self._counted_spending())
+        self.member.record_heartbeat(heartbeat)
+        self._send(heartbeat, recipients)
+        if heartbeat.usage and self.view.role is tiers.Role.COORDINATOR:
             successors = self.view.seniors()[tiers.COORDINATORS : tiers.SENIORS]
-            self._send(heartbeats.usage_only(beat), [one.address for one in successors])
+            self._send(heartbeats.usage_only(heartbeat), [one.address for one in successors])
         self.bootstrap.step(self.leaving)
         self.suspects.step()
 
     def _counted_spending(self) -> Mapping[str, float] | None:
-        """Return the part of this node's spending that the coordinators of its data centre counted.
+        """Return this node's own spending that the coordinators of its data centre counted.
 
-        None where there are none: each node hears each other one.
+        None in a small fleet, where each node receives the heartbeats of all others.
         """
         if self.view.role is tiers.Role.COORDINATOR:
             return self.coordination.own_counted
@@ -192,10 +187,10 @@
         return self.member.ledger.counted
 
     def _update_age_ms(self) -> float:
-        """Return the age of news of other nodes' spending, as a rule.
+        """Return the usual age of what is known of other nodes' spending.
 
-        Large charges reach the coordinators at once, small ones with the next heartbeat; then
-        come a round between data centres and one to the members.
+        Large charges reach the coordinators at once, small ones with the next heartbeat. Then follow
+        a round between data centres and one to the members.
         """
         if self.view.role is tiers.Role.FLAT:
             return self.view.interval_ms
@@ -204,32 +199,34 @@
     def _heartbeat_addresses(self) -> Iterable[str]:
         if self.view.role is tiers.Role.FLAT:
             return self._flat_addresses()
-        told = {senior.address for senior in self.view.coordinators()}
+        addresses = {senior.address for senior in self.view.coordinators()}
         if self.view.role is tiers.Role.MEMBER and not self.view.has_fresh_update():
-            told |= {senior.address for senior in self.view.seniors()} - {self.view.address}
+            addresses |= {senior.address for senior in self.view.seniors()} - {self.view.address}
         if self.view.role is tiers.Role.COORDINATOR:
             unknown = [peer.address for peer in self.view.peers.values() if not peer.incarnation]
-            told |= set(self.state.rng.sample(unknown, min(CONTACTS_PER_ROUND, len(unknown))))
-        return told
+            addresses |= set(self.state.rng.sample(unknown, min(CONTACTS_PER_ROUND, len(unknown))))
+        return addresses
 
     def _update_addresses(self) -> Iterable[str]:
-        """Return whom this node tells what all nodes are to know at once."""
+        """Return where updates go that all nodes need at once."""
         if self.view.role is not tiers.Role.COORDINATOR:
             return self._heartbeat_addresses()
         members = {peer.address for peer in self.view.neighbours()}
         return members | self.rounds.other_coordinators()
 
     def _flat_addresses(self) -> Iterable[str]:
-        """Return all nodes of a small fleet; of a large one the own data centre and some others.
+        """Return all nodes of a small fleet, else the own data centre's and a sample of the others.
 
-        There a node only looks for those that coordinate its data centre.
+        In a large fleet a node without a role is only looking for its coordinators.
         """
         peers = self.view.peers.values()
         if self.view.size() <= tiers.FLAT_FLEET:
             return self.view.addresses()
-        near = [one.address for one in peers if one.data_centre in ("", self.state.data_centre)]
-        far = [one.address for one in peers if one.data_centre not in ("", self.state.data_centre)]
-        return near + self.state.rng.sample(far, min(CONTACTS_PER_ROUND, len(far)))
+        own = [one.address for one in peers if one.data_centre in ("", self.state.data_centre)]
+        others = [
+            one.address for one in peers if one.data_centre not in ("", self.state.data_centre)
+        ]
+        return own + self.state.rng.sample(others, min(CONTACTS_PER_ROUND, len(others)))
 
     def _send(self, message: gossip.Datagram, to: Iterable[str]) -> None:
         if self.transport is None:
@@ -239,8 +236,8 @@
             self.transport.sendto(datagram, addresses.split(address))
 
     def _forget(self, peer: peer_node.Peer) -> None:
-        apart = self.view.role is not tiers.Role.FLAT
-        if not apart or peer.data_centre == self.state.data_centre:
+        is_large = self.view.role is not tiers.Role.FLAT
+        if not is_large or peer.data_centre == self.state.data_centre:
             self.state.log.write("peer_forgotten", peer=peer.name, address=peer.address)
         self.state.quota.forget(f"{peer.name}#{peer.incarnation}")
         self.coordination.forget(peer.name)
@@ -270,7 +267,7 @@
         self._announce_role()
 
     def _announce_role(self) -> None:
-        """Tell a new role at once, but not each one of a series."""
+        """Send a heartbeat at once after a role change, at most once per round."""
         now = self.state.clock.now()
         if now - self.role_announced_ms >= rounds.ROUND_INTERVAL_MS:
             self.role_announced_ms = now
@@ -280,7 +277,7 @@
         self.state.quota.set_reachable_fraction(self.view.fresh_fraction())
 
     def announce_prompt(self, sent: fleet_state.SentPrompt) -> None:
-        """Tell the peers at once of a prompt that was sent to an engine, if it is a long one."""
+        """Notify peers at once of a long prompt that was sent to an engine."""
         load = self.state.chooser.own.get(sent.endpoint)
         if load is None or max(sent.unread_tokens, sent.units) < NOTICE_TOKENS:
             return
@@ -303,37 +300,37 @@
     # Receiving.
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Take in what a peer tells."""
+        """Decode a datagram and dispatch it by type."""
         try:
-            told = gossip.datagram_decoder.decode(data)
+            message = gossip.datagram_decoder.decode(data)
         except msgspec.DecodeError as error:
             self.unreadable.note(str(addr[0]), data, error)
             readable = self.unreadable.readable_part(data)
             if readable is None:
                 return
-            told = readable
-        match told:
+            message = readable
+        match message:
             case gossip.Heartbeat():
-                self.apply_heartbeat(told)
+                self.apply_heartbeat(message)
             case gossip.LoadNotice():
-                self.handle_notice(told)
+                self.handle_notice(message)
             case gossip.CentreSummary():
-                self.handle_summary(told, f"{addr[0]}:{addr[1]}")
+                self.handle_summary(message, f"{addr[0]}:{addr[1]}")
             case gossip.CentreDirectory():
-                self.bootstrap.handle_directory(told, self.leaving)
+                self.bootstrap.handle_directory(message, self.leaving)
             case gossip.MemberUpdate():
-                self._handle_member_update(told, str(addr[0]))
+                self._handle_member_update(message, str(addr[0]))
             case gossip.SuspectUpdate():
-                self.suspects.apply(told)
+                self.suspects.apply(message)
             case gossip.PermitRequest():
-                self.permits.handle_request(told)
+                self.permits.handle_request(message)
             case gossip.PermitAnswer():
-                self.permits.handle_answer(told)
+                self.permits.handle_answer(message)
             case gossip.RateUpdate():
-                self.permits.handle_rate_update(told)
+                self.permits.handle_rate_update(message)
 
     def handle_notice(self, notice: gossip.LoadNotice) -> None:
-        """Take in a peer's load at one endpoint."""
+        """Apply a peer's load at one endpoint, and what it charged."""
         peer = self.view.peers.get(notice.node)
         chooser = self.state.chooser
         if (
@@ -348,115 +345,117 @@
         if peer.data_centre == self.state.data_centre:
             self.coordination.count_reported(notice.node, notice.sequence, charged)
 
-    def handle_summary(self, told: gossip.CentreSummary, sender: str) -> None:
-        """Take in the sums of another data centre; a member hands them to its coordinators."""
-        if told.data_centre == self.state.data_centre:
+    def handle_summary(self, summary: gossip.CentreSummary, sender: str) -> None:
+        """Apply the summary of another data centre; a member forwards it to its coordinators."""
+        if summary.data_centre == self.state.data_centre:
             return
         if self.view.role is tiers.Role.COORDINATOR:
-            if told.data_centre not in self.view.centres:
-                stale_figures.drop_nodes_of(self.state, self.view, told.data_centre)
-            if not self.coordination.handle_summary(told):
+            if summary.data_centre not in self.view.centres:
+                stale_figures.drop_nodes_of(self.state, self.view, summary.data_centre)
+            if not self.coordination.handle_summary(summary):
                 return
-            self.bootstrap.compare_digest(told, self.leaving)
-            if sender == told.address:
-                self.rounds.forward(told)
-            if self._is_newer(told):
-                self.snapshots.fetch_from(told.address)
-        elif self.view.role is tiers.Role.MEMBER and sender == told.address:
-            self._send(told, [senior.address for senior in self.view.coordinators()])
-
-    def _handle_member_update(self, told: gossip.MemberUpdate, sender: str) -> None:
+            self.bootstrap.compare_digest(summary, self.leaving)
+            if sender == summary.address:
+                self.rounds.forward(summary)
+            if self._is_newer(summary):
+                self.snapshots.fetch_from(summary.address)
+        elif self.view.role is tiers.Role.MEMBER and sender == summary.address:
+            self._send(summary, [senior.address for senior in self.view.coordinators()])
+
+    def _handle_member_update(self, message: gossip.MemberUpdate, sender: str) -> None:
         try:
-            news = gossip.fleet_update_decoder.decode(told.update)
+            update = gossip.fleet_update_decoder.decode(message.update)
         except msgspec.DecodeError as error:
-            self.unreadable.note(sender, bytes(told.update), error)
+            self.unreadable.note(sender, bytes(message.update), error)
             return
-        self.apply_fleet_update(news, told.acknowledged)
+        self.apply_fleet_update(update, message.acknowledged)
 
-    def apply_fleet_update(self, news: gossip.FleetUpdate, taken_in: int) -> None:
-        """Take in what a coordinator tells of the fleet.
+    def apply_fleet_update(self, update: gossip.FleetUpdate, acknowledged: int) -> None:
+        """Apply a coordinator's fleet update.
 
         Args:
-          acknowledged: sequence of the last heartbeat or notice of this node that it had then.
+          acknowledged: sequence of the last heartbeat or notice of this node that it includes.
         """
-        if news.data_centre != self.state.data_centre:
+        if update.data_centre != self.state.data_centre:
             return
-        peer = self.view.heard(news.node, news.incarnation, news.address, news.data_centre)
+        peer = self.view.heard(update.node, update.incarnation, update.address, update.data_centre)
         if peer is None:
             return
-        version_reports.apply_shares(self.state, news.versions)
-        if self._is_newer(news):
-            self.snapshots.fetch_from(news.address)
-        if not self.member.apply_update(news):
+        version_reports.apply_shares(self.state, update.versions)
+        if self._is_newer(update):
+            self.snapshots.fetch_from(update.address)
+        if not self.member.apply_update(update):
             return
-        self._adopt_ledger(news)
+        self._adopt_ledger(update)
         if self.view.role is not tiers.Role.MEMBER:
             self._decide_role()
         if self.view.role is tiers.Role.MEMBER:
-            self.member.adopt_figures(news, taken_in)
-
-    def _adopt_ledger(self, news: gossip.FleetUpdate) -> None:
-        """Count on in the ledger of an older coordinator, once all of it was told."""
-        is_older = tiers.Seniority(news.incarnation, news.node) < self.view.seniority()
-        if self.view.role is tiers.Role.COORDINATOR and news.full and is_older:
-            told = spending_ledger.FollowedLedger()
-            told.apply_update(news)
-            self.coordination.merge_ledger(told)
-
-    def apply_heartbeat(self, beat: gossip.Heartbeat) -> None:
-        """Take in a node's heartbeat."""
-        known = self.view.peers.get(beat.node)
-        was_heard = known is not None and self.view.is_alive(known)
+            self.member.adopt_figures(update, acknowledged)
+
+    def _adopt_ledger(self, update: gossip.FleetUpdate) -> None:
+        """Merge the ledger of a more senior coordinator, once it was received in full."""
+        is_more_senior = tiers.Seniority(update.incarnation, update.node) < self.view.seniority()
+        if self.view.role is tiers.Role.COORDINATOR and update.full and is_more_senior:
+            ledger = spending_ledger.FollowedLedger()
+            ledger.apply_update(update)
+            self.coordination.merge_ledger(ledger)
+
+    def apply_heartbeat(self, heartbeat: gossip.Heartbeat) -> None:
+        """Apply a node's heartbeat."""
+        known = self.view.peers.get(heartbeat.node)
+        was_alive = known is not None and self.view.is_alive(known)
         was_fresh = known is not None and self.view.is_fresh(known)
         before = known.incarnation if known else 0
-        peer = self.view.heard(beat.node, beat.incarnation, beat.address, beat.data_centre)
+        peer = self.view.heard(
+            heartbeat.node, heartbeat.incarnation, heartbeat.address, heartbeat.data_centre
+        )
         if peer is None:
             return
-        if before not in (0, beat.incarnation) and not was_fresh:
-            self._charge_lost_node(beat.data_centre)
-        if not was_heard or before != beat.incarnation:
+        if before not in (0, heartbeat.incarnation) and not was_fresh:
+            self._charge_lost_node(heartbeat.data_centre)
+        if not was_alive or before != heartbeat.incarnation:
             self.coordination.forget(peer.name)
             self._handle_new_peer(peer)
             if self.view.role is not tiers.Role.MEMBER:
                 self._decide_role()
-        peer.leaving = beat.leaving
-        if beat.build or before != beat.incarnation:
-            peer.build = beat.build
-        peer.reaches_store = beat.reaches_store
-        peer.token = beat.token
-        peer.candidate = beat.candidate
-        peer.nodes = beat.nodes
-        self.duty.reported = max(self.duty.reported, beat.reported)
-        for other in beat.peers:
+        peer.leaving = heartbeat.leaving
+        if heartbeat.build or before != heartbeat.incarnation:
+            peer.build = heartbeat.build
+        peer.reaches_store = heartbeat.reaches_store
+        peer.token = heartbeat.token
+        peer.candidate = heartbeat.candidate
+        peer.nodes = heartbeat.nodes
+        self.duty.reported = max(self.duty.reported, heartbeat.reported)
+        for other in heartbeat.peers:
             self.view.learn(other.name, other.address)
-        near = beat.data_centre == self.state.data_centre
+        in_own_centre = heartbeat.data_centre == self.state.data_centre
         if (
-            near
-            and beat.seniors
-            and self.view.note_reported_seniors(seniors.from_messages(beat.seniors))
+            in_own_centre
+            and heartbeat.seniors
+            and self.view.note_reported_seniors(seniors.from_messages(heartbeat.seniors))
         ):
             self._announce_role()
-        if not near:
-            self.bootstrap.apply_seniors(beat)
-        self._apply_figures(beat, heard_again=not was_heard and before == beat.incarnation)
-        if version_reports.apply_shares(self.state, beat.versions):
+        if not in_own_centre:
+            self.bootstrap.apply_seniors(heartbeat)
+        self._apply_figures(heartbeat, seen_again=not was_alive and before == heartbeat.incarnation)
+        if version_reports.apply_shares(self.state, heartbeat.versions):
             self.send_heartbeat_soon()
-        if self._is_newer(beat):
-            self.snapshots.fetch_from(beat.address)
-        if beat.sequence and self._seeks(near):
+        if self._is_newer(heartbeat):
+            self.snapshots.fetch_from(heartbeat.address)
+        if heartbeat.sequence and self._is_looking(in_own_centre):
             self._answer(peer)
 
     def _charge_lost_node(self, data_centre: str) -> None:
-        """Count what a node may have admitted whose process ended unheard.
+        """Charge what a node may have admitted unseen before its process was replaced.
 
-        Of other nodes than these coordinators tell what they had counted.
+        For nodes elsewhere their coordinators report what they had counted.
         """
-        role, near = self.view.role, data_centre == self.state.data_centre
-        if role is tiers.Role.FLAT or (role is tiers.Role.COORDINATOR and near):
+        role, in_own_centre = self.view.role, data_centre == self.state.data_centre
+        if role is tiers.Role.FLAT or (role is tiers.Role.COORDINATOR and in_own_centre):
             self.state.quota.lose_part(1.0 / self.view.size())
 
     def _handle_new_peer(self, peer: peer_node.Peer) -> None:
-        """Note a node that is heard for the first time, or again."""
+        """Log a node that was reached for the first time, or again, and send it full state."""
         self.state.log.write(
             "peer", peer=peer.name, incarnation=peer.incarnation, address=peer.address
         )
@@ -466,20 +465,20 @@
         self.bootstrap.send_known_peers(peer)
         self.suspects.send_quarantined(peer.address)
 
-    def _seeks(self, near: bool) -> bool:
-        """Return whether a node that sent a heartbeat here looks for its coordinators.
+    def _is_looking(self, in_own_centre: bool) -> bool:
+        """Return whether a node that sent a heartbeat here is looking for its coordinators.
 
         In a large fleet all others send theirs to coordinators of their own data centre.
 
         Args:
-          near: whether it is of the own data centre.
+          in_own_centre: whether it is of the own data centre.
         """
-        if near:
+        if in_own_centre:
             return self.view.role is tiers.Role.MEMBER
         return self.view.known_size() > tiers.FLAT_FLEET
 
     def _answer(self, peer: peer_node.Peer) -> None:
-        """Tell a node that looks for the coordinators of its data centre who they may be."""
+        """Send a node that is looking for its coordinators the seniors of its data centre."""
         now = self.state.clock.now()
         if (
             now - self.last_answer_ms.get(peer.name, -MIN_ANSWER_INTERVAL_MS)
@@ -489,57 +488,61 @@
         self.last_answer_ms[peer.name] = now
         self._send(self.composer.discovery_answer(self.leaving, peer.data_centre), [peer.address])
 
-    def _apply_figures(self, beat: gossip.Heartbeat, heard_again: bool) -> None:
-        """Take in a node's own figures, unless coordinators tell them.
+    def _apply_figures(self, heartbeat: gossip.Heartbeat, seen_again: bool) -> None:
+        """Apply a node's own figures, unless its coordinators report them.
 
         Args:
-          heard_again: whether it was silent before, and is the same process.
+          seen_again: whether the same process was unreachable before.
         """
         role = self.view.role
-        near = beat.data_centre == self.state.data_centre
+        in_own_centre = heartbeat.data_centre == self.state.data_centre
         if role is tiers.Role.MEMBER:
-            if near:
-                self._apply_usage(beat)
+            if in_own_centre:
+                self._apply_usage(heartbeat)
             return
-        if role is tiers.Role.COORDINATOR and not near and beat.data_centre in self.view.centres:
+        if (
+            role is tiers.Role.COORDINATOR
+            and not in_own_centre
+            and heartbeat.data_centre in self.view.centres
+        ):
             return
         state = self.state
-        incarnation = f"{beat.node}#{beat.incarnation}"
+        incarnation = f"{heartbeat.node}#{heartbeat.incarnation}"
         charged = state.quota.apply_node_report(
             incarnation,
             {
-                told.workspace: quota_records.PeerSpending(
-                    told.spent,
-                    told.level,
-                    told.settled,
-                    told.spent if told.counted is None else told.counted,
-                    told.overdrawn,
+                one.workspace: quota_records.PeerSpending(
+                    one.spent,
+                    one.level,
+                    one.settled,
+                    one.spent if one.counted is None else one.counted,
+                    one.overdrawn,
                 )
-                for told in beat.spending
+                for one in heartbeat.spending
             },
-            heard_again,
+            seen_again,
             1.0 / self.view.size(),
         )
-        if near:
-            self.coordination.count_reported(beat.node, beat.sequence, charged)
+        if in_own_centre:
+            self.coordination.count_reported(heartbeat.node, heartbeat.sequence, charged)
         state.chooser.report_loads(
-            beat.node, load_reports.from_messages(beat.loads, state.registry.by_name)
+            heartbeat.node, load_reports.from_messages(heartbeat.loads, state.registry.by_name)
         )
-        speed_reports.apply(state, beat.node, beat.speeds)
-        version_reports.apply_answers(state, incarnation, beat.answers)
-        self._apply_usage(beat)
+        speed_reports.apply(state, heartbeat.node, heartbeat.speeds)
+        version_reports.apply_answers(state, incarnation, heartbeat.answers)
+        self._apply_usage(heartbeat)
 
-    def _apply_usage(self, beat: gossip.Heartbeat) -> None:
-        """Take in a node's usage; a member keeps it for when it coordinates itself."""
-        if beat.usage:
-            counts = {told.window: told.counts for told in beat.usage}
-            self.state.usage.apply_node_report(f"{beat.node}#{beat.incarnation}", counts)
+    def _apply_usage(self, heartbeat: gossip.Heartbeat) -> None:
+        """Apply a node's usage; a member keeps it for when it becomes a coordinator."""
+        if heartbeat.usage:
+            counts = {one.window: one.counts for one in heartbeat.usage}
+            self.state.usage.apply_node_report(f"{heartbeat.node}#{heartbeat.incarnation}", counts)
 
-    def _is_newer(self, told: gossip.Versions) -> bool:
+    def _is_newer(self, versions: gossip.Versions) -> bool:
         state = self.state
         return (
-            told.configuration > state.configuration_version()
-            or told.registry_revision > state.registry.revision
+            versions.configuration > state.configuration_version()
+            or versions.registry_revision > state.registry.revision
         )
 
     def close(self) -> None:
--- a/plumarch/gateway/gossip/heartbeats.py
+++ b/plumarch/gateway/gossip/heartbeats.py
@@ -1,4 +1,4 @@
-"""What a node's heartbeats tell: what changed lately in most of them, all in some."""
+"""Composes heartbeats: most hold what changed recently, some hold everything."""
 
 import collections
 import dataclasses
@@ -14,32 +14,32 @@
 from plumarch.peers import gossip, recent_changes
 
 PEERS_INTERVAL = 8
-"""Every how many heartbeats the known peers are told, and the build."""
+"""Heartbeats from one with known peers and the build to the next."""
 
 MAX_PEERS = 8
 USAGE_INTERVAL = 2
-"""Every how many heartbeats usage is told; never in the same ones as the peers."""
+"""Heartbeats from one with usage to the next, never one with peers."""
 
 SPEEDS_INTERVAL = 4
-"""Every how many heartbeats it is told what was learned of engines' speed."""
+"""Heartbeats from one with engine speeds to the next."""
 
 USAGE_WINDOWS = 3
 USAGE_RETENTION_MS = 3_000
-"""How long a usage window is told in each of those after its end; later in whole ones only."""
+"""How long after its end a usage window is in all heartbeats with usage; then in full ones only."""
 
 FULL_INTERVAL = 16
-"""Every how many heartbeats all figures are told, not just those that changed lately."""
+"""Heartbeats from one full one to the next; the others hold recent changes only."""
 
 FULL_HEARTBEATS = 3
-"""How many whole heartbeats are sent once a node is heard for the first time, or again."""
+"""Full heartbeats in a row once a node becomes reachable."""
 
 MAX_LOADS = 12
-"""Endpoints whose load a heartbeat tells, the heaviest first."""
+"""Endpoint loads in one heartbeat, heaviest first."""
 
 
 @dataclasses.dataclass(slots=True)
 class DutyStatus:
-    """What a node tells of the duties.
+    """The state of the duties on a node.
 
     Attributes:
       token: the fencing token under which it holds them, or 0.
@@ -57,8 +57,8 @@
     """Composes the heartbeats of one node.
 
     Attributes:
-      beats: heartbeats composed so far.
-      full_heartbeats: how many of the next ones tell all figures.
+      heartbeat_count: heartbeats composed so far.
+      full_heartbeats: how many of the next ones are full.
     """
 
     state: fleet_state.FleetState
@@ -72,36 +72,40 @@
     )
 
     def schedule_full(self) -> None:
-        """Make the next heartbeats whole, for a node that was not heard before."""
+        """Make the next heartbeats full, for a node that just became reachable."""
         self.full_heartbeats = FULL_HEARTBEATS
 
     def next(self, leaving: bool, counted: Mapping[str, float] | None = None) -> gossip.Heartbeat:
-        """Return the heartbeat to send now.
+        """Return the next heartbeat.
 
         Args:
-          leaving: whether this process is about to end.
-          counted: the part of this node's spending that its coordinators are known to have counted,
-            by workspace; None where each node hears each other one.
+          leaving: whether this process is shutting down.
+          counted: this node's own spending that its coordinators are known to have counted, by
+            workspace; None in a small fleet.
         """
         state = self.state
-        whole = self.full_heartbeats > 0 or self.heartbeat_count % FULL_INTERVAL == 0
+        full = self.full_heartbeats > 0 or self.heartbeat_count % FULL_INTERVAL == 0
         report = state.quota.report()
-        changed = self.spending_changes.select({name: told.spent for name, told in report.items()})
+        changed = self.spending_changes.select(
+            {name: bucket.spent for name, bucket in report.items()}
+        )
         spending = [
             gossip.Spending(
                 name,
-                round(told.spent),
-                round(told.level),
-                told.settled,
-                round(told.spent if counted is None else min(told.spent, counted.get(name, 0.0))),
-                round(told.overdrawn),
+                round(bucket.spent),
+                round(bucket.level),
+                bucket.settled,
+                round(
+                    bucket.spent if counted is None else min(bucket.spent, counted.get(name, 0.0))
+                ),
+                round(bucket.overdrawn),
             )
-            for name, told in report.items()
-            if whole or name in changed
+            for name, bucket in report.items()
+            if full or name in changed
         ]
-        tell_peers = self.heartbeat_count % PEERS_INTERVAL == 0
-        tell_usage = whole or self.heartbeat_count % USAGE_INTERVAL == 1
-        tell_speeds = self.heartbeat_count % SPEEDS_INTERVAL == 2
+        with_peers = self.heartbeat_count % PEERS_INTERVAL == 0
+        with_usage = full or self.heartbeat_count % USAGE_INTERVAL == 1
+        with_speeds = self.heartbeat_count % SPEEDS_INTERVAL == 2
         self.heartbeat_count += 1
         self.sequence += 1
         self.full_heartbeats = max(0, self.full_heartbeats - 1)
@@ -109,47 +113,47 @@
             self._without_figures(leaving, self.view.role is tiers.Role.FLAT),
             spending=spending,
             loads=load_reports.heaviest(state.chooser.own, MAX_LOADS),
-            usage=self._usage(whole) if tell_usage else [],
-            peers=self._known_peers() if tell_peers else [],
-            build=build.NAME if tell_peers else "",
+            usage=self._usage(full) if with_usage else [],
+            peers=self._known_peers() if with_peers else [],
+            build=build.NAME if with_peers else "",
             sequence=self.sequence,
-            speeds=speed_reports.to_messages(state) if tell_speeds else [],
+            speeds=speed_reports.to_messages(state) if with_speeds else [],
             versions=version_reports.shares_to_messages(state),
             answers=version_reports.answers_to_messages(state),
         )
 
     def discovery_answer(self, leaving: bool, data_centre: str) -> gossip.Heartbeat:
-        """Return a heartbeat without figures that answers a node which looks for its coordinators.
+        """Return the answer to a node that is looking for its coordinators.
 
         It has no sequence, so that it is not answered in turn.
 
         Args:
           data_centre: the other node's.
         """
-        discovery_answer = self._without_figures(leaving, with_seniors=True)
+        answer = self._without_figures(leaving, with_seniors=True)
         return msgspec.structs.replace(
-            discovery_answer, peers=self._seniors_of(data_centre), build=build.NAME
+            answer, peers=self._seniors_of(data_centre), build=build.NAME
         )
 
     def discovery(self, leaving: bool) -> gossip.Heartbeat:
-        """Return a heartbeat without figures that is answered with whom its sender should ask."""
-        discovery = self._without_figures(leaving, with_seniors=True)
-        return msgspec.structs.replace(discovery, sequence=max(1, self.sequence), build=build.NAME)
+        """Return a heartbeat without figures; its receiver answers with whom to contact."""
+        heartbeat = self._without_figures(leaving, with_seniors=True)
+        return msgspec.structs.replace(heartbeat, sequence=max(1, self.sequence), build=build.NAME)
 
     def _seniors_of(self, data_centre: str) -> list[gossip.KnownPeer]:
-        """Return the oldest known nodes of a data centre, or else those who may know them."""
+        """Return the known seniors of a data centre, or else the own ones, who may know them."""
         view = self.view
         centre = view.centres.get(data_centre)
         found = list(centre.seniors) if centre is not None else []
         if not found:
-            ages = {
+            addresses = {
                 one.seniority(): one.address
                 for one in view.live()
                 if one.data_centre == data_centre
             }
             found = [
-                tiers.Senior(seniority, ages[seniority])
-                for seniority in sorted(ages)[: tiers.SENIORS]
+                tiers.Senior(seniority, addresses[seniority])
+                for seniority in sorted(addresses)[: tiers.SENIORS]
             ]
         return [
             gossip.KnownPeer(one.seniority.name, one.address)
@@ -175,45 +179,44 @@
         )
 
     def _seniors(self) -> list[gossip.NodeIdentity]:
-        """Return the oldest live nodes of the own data centre, where the fleet is a large one."""
+        """Return the seniors of the own data centre, in a large fleet."""
         if self.view.size() <= tiers.FLAT_FLEET:
             return []
         return seniors.announced(self.view)
 
-    def _usage(self, whole: bool) -> list[gossip.WindowUsage]:
+    def _usage(self, full: bool) -> list[gossip.WindowUsage]:
         counter = self.state.usage
         now = self.state.wall.now()
-        recent = counter.recent(now, window_count(counter, now, whole))
+        recent = counter.recent(now, window_count(counter, now, full))
         return [gossip.WindowUsage(number, counts) for number, counts in recent.items()]
 
     def _known_peers(self) -> list[gossip.KnownPeer]:
-        """Return some of the peers, and of each data centre those that may coordinate it."""
-        heard = sorted(self.view.live(), key=lambda peer: peer.seniority())
-        if len(heard) <= MAX_PEERS:
-            chosen = heard
+        """Return a sample of the peers, and all likely coordinators of each data centre."""
+        live = sorted(self.view.live(), key=lambda peer: peer.seniority())
+        if len(live) <= MAX_PEERS:
+            chosen = live
         else:
             seen: collections.Counter[str] = collections.Counter()
-            chosen = self.state.rng.sample(heard, MAX_PEERS)
-            for peer in heard:
+            chosen = self.state.rng.sample(live, MAX_PEERS)
+            for peer in live:
                 seen[peer.data_centre] += 1
                 if seen[peer.data_centre] <= tiers.COORDINATORS and peer not in chosen:
                     chosen.append(peer)
         return [gossip.KnownPeer(peer.name, peer.address) for peer in chosen]
 
 
-def usage_only(beat: gossip.Heartbeat) -> gossip.Heartbeat:
-    """Return what a coordinator tells those that would follow it; they don't answer.
+def usage_only(heartbeat: gossip.Heartbeat) -> gossip.Heartbeat:
+    """Return a coordinator's heartbeat for its likely successors; they do not answer.
 
-    Only coordinators hear what each node counted. Where all of a data centre die at once, what
-    they had counted themselves would be lost with them.
+    It preserves the usage that only the coordinators counted, should all of them die at once.
     """
     return msgspec.structs.replace(
-        beat, spending=[], loads=[], peers=[], sequence=0, speeds=[], versions=[], answers=[]
+        heartbeat, spending=[], loads=[], peers=[], sequence=0, speeds=[], versions=[], answers=[]
     )
 
 
-def window_count(counter: usage.UsageCounter, wall_ms: int, whole: bool) -> int:
-    """Return how many usage windows are told, the newest first."""
-    if whole:
+def window_count(counter: usage.UsageCounter, wall_ms: int, full: bool) -> int:
+    """Return how many usage windows are sent, newest first."""
+    if full:
         return USAGE_WINDOWS
     return 1 + (wall_ms % counter.window_ms < USAGE_RETENTION_MS)
--- a/plumarch/gateway/gossip/member_updates.py
+++ b/plumarch/gateway/gossip/member_updates.py
@@ -1,4 +1,4 @@
-"""What a member of a large fleet makes of its coordinators' news."""
+"""Applies the fleet updates that a member of a large fleet receives."""
 
 import collections
 import dataclasses
@@ -11,23 +11,24 @@
 from plumarch.routing import endpoint_choice
 
 FLEET = "fleet"
-"""What the loads of all other nodes are kept under."""
+"""Source under which the loads of all other nodes are kept."""
 
 MAX_SENT_FIGURES = 64
-"""Heartbeats and notices whose figures are remembered, for news that answer them late: some six
-seconds of a node with ten long prompts a second."""
+"""Heartbeats and notices whose figures are kept for late acknowledgements."""
 
 FRACTION_MARGIN = 0.05
-"""News of a coordinator that hears less of the fleet than another one by this part are passed over
-as long as the other one's are fresh: it froze, was cut off, or has just started."""
+"""A coordinator that reaches this much less of the fleet than the followed one is ignored.
+
+It was frozen or cut off, or it has just started; until the followed one's updates are stale.
+"""
 
 FRESH_MS = 350
-"""News of one coordinator are followed until they are older than this: three rounds and a half."""
+"""How long after its last update a coordinator is followed: three and a half rounds."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SentFigures:
-    """What this node had spent, and had at endpoints, when it sent a heartbeat."""
+    """This node's spending and endpoint loads when it sent a heartbeat or notice."""
 
     sequence: int
     spent: dict[str, float]
@@ -36,12 +37,12 @@
 
 @dataclasses.dataclass(slots=True)
 class MemberUpdates:
-    """Keeps what news tell, put together with what this node did since.
+    """Combines fleet updates with what this node did since.
 
     Attributes:
-      told: the figures of the last heartbeats, oldest first.
-      loads: the loads of all nodes, this one included, by who told them and endpoint.
-      ledger: how far its coordinators have counted what the nodes of the data centre admitted.
+      sent_figures: the figures of the last heartbeats and notices, earliest first.
+      loads: the loads of all nodes, this one included, by coordinator and endpoint.
+      ledger: what the coordinators counted as admitted in the data centre.
     """
 
     state: fleet_state.FleetState
@@ -54,37 +55,37 @@
         default_factory=spending_ledger.FollowedLedger
     )
 
-    def record_heartbeat(self, beat: gossip.Heartbeat) -> None:
-        """Remember what a heartbeat told."""
+    def record_heartbeat(self, heartbeat: gossip.Heartbeat) -> None:
+        """Record the figures in a heartbeat."""
         spent = {name: bucket.spent for name, bucket in self.state.quota.buckets.items()}
-        loads = load_reports.from_messages(beat.loads, self.state.registry.by_name)
-        self.sent_figures.append(SentFigures(beat.sequence, spent, loads))
+        loads = load_reports.from_messages(heartbeat.loads, self.state.registry.by_name)
+        self.sent_figures.append(SentFigures(heartbeat.sequence, spent, loads))
 
     def record_notice(self, notice: gossip.LoadNotice) -> None:
-        """Remember what a notice told besides the heartbeats before it."""
+        """Record the figures in a notice on top of those sent before."""
         before = self.sent_figures[-1] if self.sent_figures else SentFigures(0, {}, {})
         spent = {**before.spent, notice.workspace: notice.spent}
         load = load_reports.from_message(notice.load)
         loads = {**before.loads, notice.load.endpoint: load}
         self.sent_figures.append(SentFigures(notice.sequence, spent, loads))
 
-    def apply_update(self, news: gossip.FleetUpdate) -> bool:
-        """Take news in.
+    def apply_update(self, update: gossip.FleetUpdate) -> bool:
+        """Apply a fleet update, if its author is the coordinator to follow.
 
         Returns:
-          Whether it counts: another coordinator may be followed, or hear more of the fleet.
+          Whether it was applied.
         """
-        author = tiers.Seniority(news.incarnation, news.node)
+        author = tiers.Seniority(update.incarnation, update.node)
         now = self.state.clock.now()
-        if not self._is_preferred(author, news.fraction, now):
+        if not self._is_preferred(author, update.fraction, now):
             return False
         self.view.fleet_update = tiers.ReceivedFleetUpdate(
             author=author,
-            nodes=news.nodes,
-            centre_nodes=news.centre_nodes,
-            fraction=news.fraction,
-            seniors=seniors.from_messages(news.seniors),
-            followers=tuple(news.followers),
+            nodes=update.nodes,
+            centre_nodes=update.centre_nodes,
+            fraction=update.fraction,
+            seniors=seniors.from_messages(update.seniors),
+            followers=tuple(update.followers),
             received_ms=now,
         )
         return True
@@ -97,19 +98,19 @@
             return fraction > last.fraction
         return author < last.author
 
-    def adopt_figures(self, news: gossip.FleetUpdate, taken_in: int) -> None:
-        """Take over the levels of allotments and the loads of endpoints.
+    def adopt_figures(self, update: gossip.FleetUpdate, acknowledged: int) -> None:
+        """Adopt the quota levels and endpoint loads of a fleet update.
 
         Args:
-          taken_in: sequence of the last heartbeat or notice of this node that they hold.
+          acknowledged: sequence of the last heartbeat or notice of this node that they include.
         """
-        known = next((one for one in self.sent_figures if one.sequence == taken_in), None)
+        known = next((one for one in self.sent_figures if one.sequence == acknowledged), None)
         quota = self.state.quota
-        self.ledger.apply_update(news)
+        self.ledger.apply_update(update)
         if known is not None:
             self.ledger.counted |= known.spent
         buckets = {}
-        for one in news.levels:
+        for one in update.levels:
             bucket = quota.buckets.get(one.workspace)
             unacknowledged = 0.0
             if bucket is not None and known is not None:
@@ -117,17 +118,19 @@
             buckets[one.workspace] = quota_records.ReportedBucket(
                 one.level - unacknowledged, one.part - unacknowledged, one.settled
             )
-        quota.adopt(buckets, news.fraction)
-        self._adopt_loads(news, known.loads if known is not None else {})
-
-    def _adopt_loads(self, news: gossip.FleetUpdate, mine: dict[str, endpoint_choice.Load]) -> None:
-        """Keep the loads of the others: what is told less what of it is this node's own."""
-        reported = load_reports.from_messages(news.loads, self.state.registry.by_name)
-        known = self.loads.get(news.node)
-        if known is None and not news.full:
+        quota.adopt(buckets, update.fraction)
+        self._adopt_loads(update, known.loads if known is not None else {})
+
+    def _adopt_loads(
+        self, update: gossip.FleetUpdate, mine: dict[str, endpoint_choice.Load]
+    ) -> None:
+        """Keep the loads of the other nodes: those reported less this node's own."""
+        reported = load_reports.from_messages(update.loads, self.state.registry.by_name)
+        known = self.loads.get(update.node)
+        if known is None and not update.full:
             return
-        loads = reported if news.full else {**(known or {}), **reported}
-        self.loads = {news.node: loads}
+        loads = reported if update.full else {**(known or {}), **reported}
+        self.loads = {update.node: loads}
         others = {}
         for endpoint, load in loads.items():
             own = mine.get(endpoint, endpoint_choice.NO_LOAD)
--- a/plumarch/gateway/gossip/permit_exchange.py
+++ b/plumarch/gateway/gossip/permit_exchange.py
@@ -1,12 +1,9 @@
-"""Which node allocates the permits of an endpoint, and the messages to and from it.
+"""Routes permit requests to the node that allocates an endpoint's permits.
 
-An endpoint's permits are allocated by the senior node of its data centre, the one that started
-first. In a large fleet that is a coordinator: members ask the one of their own data centre, which
-passes the request on; the answer goes straight to the node that asked.
-
-Two nodes may believe to be the senior one: on both sides of a cut, or while news of a start or an
-end are on their way. Each allocates by the part of the fleet that it is in contact with, so that
-both together stay near the rate. Nothing is agreed on, and nothing is kept for a successor.
+This is the senior node of the endpoint's data centre; in a large fleet members send to their own
+senior coordinator, which forwards. During a cut or a change two nodes may both allocate. Each
+scales by its reachable fraction of the fleet, so that together they stay near the rate; no
+agreement is reached, and a successor takes over no state.
 """
 
 import dataclasses
@@ -21,27 +18,26 @@
 from plumarch.peers import gossip
 
 MAX_HOPS = 3
-"""Nodes that pass a request on: the own coordinator, one of the endpoint's data centre, and its
-senior one."""
+"""Nodes that forward a request: own coordinator, one of the data centre's, its senior."""
 
 MAX_PERMITS = 64
-"""Permits in one answer, whatever is asked for."""
+"""Maximum permits in one answer."""
 
 MIN_BROADCAST_INTERVAL_MS = 1_000
-"""How often a node broadcasts news of the same endpoint at most."""
+"""Minimum time between two broadcasts of the rate of the same endpoint."""
 
 Send = Callable[[gossip.Datagram, Iterable[str]], None]
 
 
 @dataclasses.dataclass(slots=True)
 class PermitExchange:
-    """One node's side of the allocation of permits.
+    """Exchanges permit messages on behalf of one node.
 
     Attributes:
       send: sends a message to addresses.
       recipients: addresses to which this node sends what all nodes are to know.
-      is_leaving: whether this process is about to end, and allocates nothing any more.
-      broadcast_ms: when news of an endpoint were broadcast last, by its identifier.
+      is_leaving: whether this process is shutting down, and allocates nothing any more.
+      broadcast_ms: when each endpoint's rate was broadcast last, by its identifier.
     """
 
     state: fleet_state.FleetState
@@ -52,7 +48,7 @@
     broadcast_ms: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def ask(self, endpoint: traffic.Endpoint, request: rate_allocator.PermitRequest) -> None:
-        """Send a request for permits, or answer it if this node allocates them itself."""
+        """Send a request for permits, or handle it if this node allocates them."""
         message = gossip.PermitRequest(
             self.view.node,
             self.view.address,
@@ -70,7 +66,7 @@
             self._broadcast(gossip.RateUpdate(self.view.node, endpoint.id, per_s, observed.age_ms))
 
     def handle_request(self, message: gossip.PermitRequest) -> None:
-        """Answer a request, or pass it on to who may."""
+        """Answer a request, or forward it to the allocator."""
         if message.hops < MAX_HOPS and self._is_sound(message):
             self._route(message)
 
@@ -122,10 +118,10 @@
                 self.state.rate_changed(endpoint, "allocator")
         self.state.permit_answers.answered(message.endpoint)
 
-    def _broadcast(self, news: gossip.RateUpdate) -> None:
+    def _broadcast(self, update: gossip.RateUpdate) -> None:
         now = self.state.clock.now()
         if (
-            now - self.broadcast_ms.get(news.endpoint, -MIN_BROADCAST_INTERVAL_MS)
+            now - self.broadcast_ms.get(update.endpoint, -MIN_BROADCAST_INTERVAL_MS)
             < MIN_BROADCAST_INTERVAL_MS
         ):
             return
@@ -134,11 +130,11 @@
             for name, at in self.broadcast_ms.items()
             if now - at < MIN_BROADCAST_INTERVAL_MS
         }
-        self.broadcast_ms = {**recent, news.endpoint: now}
-        self.send(news, self.recipients())
+        self.broadcast_ms = {**recent, update.endpoint: now}
+        self.send(update, self.recipients())
 
     def handle_rate_update(self, message: gossip.RateUpdate) -> None:
-        """Apply what another node's answer announced; a coordinator passes on what was new."""
+        """Apply a rate that another node observed; a coordinator forwards it if it was new."""
         endpoint = self.state.registry.endpoints.get(message.endpoint)
         if endpoint is None or not self._is_sound(message):
             return
@@ -152,7 +148,7 @@
     def _is_sound(
         self, message: gossip.PermitRequest | gossip.PermitAnswer | gossip.RateUpdate
     ) -> bool:
-        """Return whether a message's rate can be one."""
+        """Return whether a message's rate is valid; log it if not."""
         if all(request_rate.is_rate(per_s) for per_s in message.per_s):
             return True
         self.state.log.write(
@@ -163,8 +159,8 @@
     def allocator_address(self, data_centre: str) -> str | None:
         """Return where the permits of a data centre's endpoints are allocated, as far as known.
 
-        Endpoints whose data centre has no live node are left to another one's. None where this node
-        looks for the coordinators of its own data centre.
+        Another data centre's node allocates for one without live nodes. None while this node is
+        looking for its coordinators.
         """
         view = self.view
         if view.role is tiers.Role.MEMBER:
@@ -180,8 +176,8 @@
         nodes = [(one.seniority(), one.address, one.data_centre) for one in self.view.live()]
         if not self.is_leaving():
             nodes.append((self.view.seniority(), self.view.address, self.view.data_centre))
-        near = [one for one in nodes if one[2] == data_centre]
-        return min(near or nodes)[1] if nodes else None
+        local = [one for one in nodes if one[2] == data_centre]
+        return min(local or nodes)[1] if nodes else None
 
     def _coordinator_address(self, data_centre: str) -> str | None:
         """Return the address of the senior coordinator of a data centre in a large fleet."""
@@ -198,17 +194,17 @@
 
 
 def _forwarded(message: gossip.PermitRequest, node: str) -> gossip.PermitRequest:
-    """Return a message as it is sent by a node, counting its way if it came from another one."""
+    """Return the message that a node sends, with a hop added if it is forwarded."""
     if message.node == node:
         return message
     return msgspec.structs.replace(message, hops=message.hops + 1)
 
 
 def rate_list(observed: rate_allocator.Announcement) -> list[float]:
-    """Return a rate as messages hold it."""
+    """Return an announced rate as messages hold it."""
     return [] if observed.per_s is None else [observed.per_s]
 
 
 def announcement(per_s: list[float], age_ms: int) -> rate_allocator.Announcement:
-    """Return the announcement that a message holds."""
+    """Return the announcement in a message."""
     return rate_allocator.Announcement(per_s[0] if per_s else None, max(0, age_ms))
--- a/plumarch/gateway/gossip/region_sums.py
+++ b/plumarch/gateway/gossip/region_sums.py
@@ -1,4 +1,4 @@
-"""What this node knows of each region: what its nodes admitted, and how many of them are heard."""
+"""Aggregates by region: units admitted, and which regions are reachable in part only."""
 
 import collections
 import dataclasses
@@ -12,10 +12,10 @@
 
 @dataclasses.dataclass(slots=True)
 class RegionSums:
-    """Sums by region since they were asked for last.
+    """Sums by region since the last call.
 
     Attributes:
-      before: units that each source had admitted then, in all; sources as in
+      before: units that each source had admitted in all by then; sources as in
         `workspace_quota.charged_by`.
     """
 
@@ -24,7 +24,7 @@
     before: dict[str, float] = dataclasses.field(default_factory=dict)
 
     def begin(self) -> None:
-        """Begin to count."""
+        """Start counting."""
         self.before = dict(self.state.quota.charged_by)
 
     def admitted(self) -> dict[str, float]:
@@ -40,7 +40,7 @@
         return {region: max(0.0, units) for region, units in found.items()}
 
     def _data_centre(self, source: str) -> str | None:
-        """Return where a source of charges is, or None if it is not known any more."""
+        """Return the data centre of a source of charges, or None if it is no longer known."""
         if not source:
             return self.state.data_centre
         if source.startswith(coordination.CENTRE):
@@ -48,31 +48,31 @@
         peer = self.view.peers.get(source)
         return peer.data_centre if peer is not None else None
 
-    def partially_reachable(self, least: float) -> frozenset[str]:
-        """Return the regions of which less than a part of the nodes is heard.
+    def partially_reachable(self, min_fraction: float) -> frozenset[str]:
+        """Return the regions of which less than a fraction of the nodes is reachable.
 
-        A region of which a named data centre is not known at all is one of them.
+        They include those with a configured data centre that is unknown.
 
         Args:
-          least: the part of a region's nodes that must be heard.
+          min_fraction: the fraction of a region's nodes that must be reachable.
         """
         state = self.state
         nodes: collections.Counter[str] = collections.Counter()
-        heard: collections.Counter[str] = collections.Counter()
+        reachable: collections.Counter[str] = collections.Counter()
         known = self._known()
-        for data_centre, (there, heard_there) in known.items():
+        for data_centre, (there, reachable_there) in known.items():
             region = state.distances.region_of(data_centre)
             nodes[region] += there
-            heard[region] += heard_there
+            reachable[region] += reachable_there
         unknown = {region for name, region in state.distances.regions.items() if name not in known}
         return frozenset(
             region
             for region in {*nodes, *unknown}
-            if region in unknown or heard[region] < least * nodes[region]
+            if region in unknown or reachable[region] < min_fraction * nodes[region]
         )
 
     def _known(self) -> dict[str, tuple[int, int]]:
-        """Return how many nodes each data centre has, and how many of them are heard."""
+        """Return the number of nodes, and of reachable ones, of each data centre."""
         view = self.view
         live = view.live_centres()
         found = {self.state.data_centre: (1, 1)}
@@ -83,15 +83,15 @@
                 continue
             if peer.leaving and not view.is_alive(peer):
                 continue
-            there, heard = found.get(peer.data_centre, (0, 0))
-            found[peer.data_centre] = (there + 1, heard + view.is_alive(peer))
+            there, reachable = found.get(peer.data_centre, (0, 0))
+            found[peer.data_centre] = (there + 1, reachable + view.is_alive(peer))
         return found
 
 
 def network_latency_fraction(
     state: fleet_state.FleetState, service: str, data_centres: Iterable[str]
 ) -> float:
-    """Return what a request to another region costs, as a part of a service's tightest target.
+    """Return a remote request's network latency as a fraction of a service's tightest target.
 
     Args:
       data_centres: where its endpoints may be.
@@ -105,11 +105,11 @@
         if any(share.service == service for share in route.shares) and route.target_ms > 0
     ]
     own = state.distances.own_region()
-    ways = [
+    round_trips_ms = [
         state.distances.round_trip_ms(name)
         for name in data_centres
         if state.distances.region_of(name) != own
     ]
-    if not targets or not ways:
+    if not targets or not round_trips_ms:
         return 0.0
-    return distance.FRESH_CONNECTION_ROUND_TRIPS * max(ways) / min(targets)
+    return distance.FRESH_CONNECTION_ROUND_TRIPS * max(round_trips_ms) / min(targets)
--- a/plumarch/gateway/gossip/seniors.py
+++ b/plumarch/gateway/gossip/seniors.py
@@ -1,4 +1,4 @@
-"""The oldest live nodes of a data centre, as nodes tell them to one another and keep them."""
+"""Conversion of a data centre's seniors between messages and membership."""
 
 from collections.abc import Iterable
 
@@ -7,12 +7,12 @@
 
 
 def announced(view: fleet_view.FleetView) -> list[gossip.NodeIdentity]:
-    """Return the elders of a node's own data centre as it tells them."""
+    """Return the messages for the seniors of a node's own data centre."""
     return to_messages(view.seniors()[: tiers.SENIORS])
 
 
 def to_messages(known: Iterable[tiers.Senior]) -> list[gossip.NodeIdentity]:
-    """Return elders as they are told."""
+    """Return the messages for seniors."""
     return [
         gossip.NodeIdentity(one.seniority.name, one.seniority.incarnation, one.address)
         for one in known
@@ -20,7 +20,7 @@
 
 
 def from_messages(reports: Iterable[gossip.NodeIdentity]) -> tuple[tiers.Senior, ...]:
-    """Return elders that were told, as a node keeps them."""
+    """Return the seniors in messages."""
     return tuple(
         tiers.Senior(tiers.Seniority(one.incarnation, one.name), one.address) for one in reports
     )
--- a/plumarch/gateway/gossip/snapshots.py
+++ b/plumarch/gateway/gossip/snapshots.py
@@ -1,4 +1,4 @@
-"""Configurations and endpoints fetched from peers that know more, and handed to those that ask."""
+"""Fetches configurations and endpoints from peers with newer ones, and serves them to peers."""
 
 import asyncio
 import dataclasses
@@ -13,31 +13,30 @@
 from plumarch.peers import frames, gossip
 
 FETCH_PAUSE_MS = 120
-"""How long the store may take to tell by itself what a peer knows already."""
+"""Delay before a fetch, in which the store usually reports the same change."""
 
 FETCH_TIMEOUT_MS = 1_500
 
-
 MIN_COMPRESSED = 4_096
-"""Bytes from which on a snapshot is compressed: one of 1,400 routes shrinks to a twentieth, and
-some forty nodes fetch it from one coordinator over a link of 20 Mbit/s at the same moment."""
+"""Minimum size in bytes of a compressed snapshot: many nodes fetch one from the same peer at once."""
 
 LEGACY_RETRY_MS = 750
-"""How soon a peer that could not read an answer asks once more: by the next heartbeat, 500 ms at
-most over regions, and the pause and a round trip after it. A process that starts again at its IP
-asks the same as the one before, but later."""
+"""Maximum time until a peer of an earlier build that could not read an answer requests it again.
+
+A process that restarts at the same IP sends the same request, but later.
+"""
 
 MAX_LEGACY_REQUESTS = 512
-"""Peers of earlier builds whose last question is kept; more than the largest fleet has nodes."""
+"""Peers of earlier builds whose last request is kept."""
 
 ZLIB_LEVEL = 1
 ZLIB_FIRST_BYTE = 0x78
-"""What compressed bytes begin with; MessagePack of a snapshot begins with an array."""
+"""First byte of compressed data; an uncompressed snapshot starts with a MessagePack array."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Contents:
-    """What an answer was made of, and whether it holds each of the two."""
+    """The versions that an answer was built from, and which parts it includes."""
 
     configuration: int
     registry_revision: int
@@ -48,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PackedAnswer:
-    """An answer to peers, compressed where that pays."""
+    """An encoded answer, compressed if it is large enough."""
 
     contents: Contents
     encoded: bytes
@@ -56,23 +55,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LegacyRequest:
-    """What a peer asked that doesn't tell which shape of answer it takes, and which one it got.
+    """A request from a build that does not declare its snapshot format, and the format sent.
 
     Attributes:
-      at_ms: when it asked.
+      at_ms: when it was received.
     """
 
-    asked: gossip.SnapshotRequest
+    request: gossip.SnapshotRequest
     in_parts: bool
     at_ms: int
 
 
 class SnapshotExchange:
-    """One node's side of the snapshots.
+    """Fetches and serves snapshots on behalf of one node.
 
     Attributes:
       packed: the last answer.
-      untold: what peers asked last that don't tell which shape they take, by IP.
+      legacy_requests: the last request of peers that do not declare their snapshot format, by IP.
     """
 
     def __init__(self, state: fleet_state.FleetState) -> None:
@@ -82,7 +81,7 @@
         self.legacy_requests: dict[str, LegacyRequest] = {}
 
     def fetch_from(self, address: str) -> None:
-        """Begin to fetch what a peer knows beyond this node, unless a fetch runs."""
+        """Start fetching what is newer from a peer, unless a fetch is running."""
         if self.fetching is not None and not self.fetching.done():
             return
         loop = asyncio.get_running_loop()
@@ -91,7 +90,7 @@
     async def _fetch(self, address: str) -> None:
         if self.state.table is not None:
             await asyncio.sleep(FETCH_PAUSE_MS / 1000.0)
-        held = gossip.SnapshotRequest(
+        request = gossip.SnapshotRequest(
             self.state.configuration_version(),
             self.state.registry.revision,
             takes_compressed=True,
@@ -99,7 +98,7 @@
         )
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_MS / 1000.0):
-                snapshot = await _request(address, held)
+                snapshot = await _request(address, request)
         except (OSError, TimeoutError, msgspec.DecodeError, errors.PeerProtocolError) as error:
             self.state.log.write("fetch_failed", peer=address, error=f"{error!r}")
             return
@@ -126,7 +125,7 @@
         self.state.adopt_table(routing_table.build(configuration), peer)
 
     def _readable(self, peer: str, encoded: Iterable[msgspec.Raw]) -> list[traffic.Endpoint]:
-        """Return the endpoints that can be read; one that can't costs no other."""
+        """Return the endpoints that can be decoded, and log the others."""
         found = []
         for one in encoded:
             try:
@@ -136,94 +135,96 @@
         return found
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer one peer that asks for what is newer."""
+        """Answer a peer's snapshot request."""
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_MS / 1000.0):
-                asked = gossip.request_decoder.decode(await frames.read(reader, gossip.FRAME_LIMIT))
-                in_parts = asked.takes_parts or self._guess_in_parts(
-                    writer.get_extra_info("peername")[0], asked
+                request = gossip.request_decoder.decode(
+                    await frames.read(reader, gossip.FRAME_LIMIT)
+                )
+                in_parts = request.takes_parts or self._guess_in_parts(
+                    writer.get_extra_info("peername")[0], request
                 )
-                writer.write(frames.pack(self._answer(asked, in_parts)))
+                writer.write(frames.pack(self._answer(request, in_parts)))
                 await writer.drain()
         except (OSError, TimeoutError, EOFError, msgspec.DecodeError, errors.PeerProtocolError):
             pass
         except asyncio.CancelledError:
-            # Only the process's end cancels this; asyncio would print a cancelled task as an error.
+            # Cancelled at shutdown only; asyncio would log the cancelled task as an error.
             pass
         finally:
             writer.close()
 
-    def _guess_in_parts(self, peer: str, asked: gossip.SnapshotRequest) -> bool:
-        """Return whether a peer that doesn't tell takes parts.
+    def _guess_in_parts(self, peer: str, request: gossip.SnapshotRequest) -> bool:
+        """Return whether a peer that does not declare its snapshot format takes parts.
 
-        Two earlier builds take different shapes, and ask alike. One that asks once more for what it
-        just got could not read it, and gets the other shape. Nodes are told apart by their IP.
+        Two earlier builds expect different formats and send the same request. One that repeats its
+        request soon could not read the answer, and gets the other format. Peers are identified by IP.
         """
-        if not self._is_configuration_newer(asked) and not self._are_endpoints_newer(asked):
-            # Whoever asks too early gets nothing new, in a shape that is as good as the other one.
+        if not self._is_configuration_newer(request) and not self._are_endpoints_newer(request):
+            # Without content both formats serve as well.
             return True
         now = self.state.clock.now()
         before = self.legacy_requests.pop(peer, None)
         in_parts = (
             before is None
-            or before.asked != asked
+            or before.request != request
             or now - before.at_ms > LEGACY_RETRY_MS
             or not before.in_parts
         )
-        self.legacy_requests[peer] = LegacyRequest(asked, in_parts, now)
+        self.legacy_requests[peer] = LegacyRequest(request, in_parts, now)
         while len(self.legacy_requests) > MAX_LEGACY_REQUESTS:
             del self.legacy_requests[next(iter(self.legacy_requests))]
         return in_parts
 
-    def _answer(self, asked: gossip.SnapshotRequest, in_parts: bool = True) -> bytes:
-        """Return the answer to one peer; the same one is not put together twice."""
-        if not asked.takes_compressed:
-            return gossip.encoder.encode(self._compose(asked, in_parts))
+    def _answer(self, request: gossip.SnapshotRequest, in_parts: bool = True) -> bytes:
+        """Return the encoded answer to a request, reusing the last one if nothing changed."""
+        if not request.takes_compressed:
+            return gossip.encoder.encode(self._compose(request, in_parts))
         contents = Contents(
             self.state.configuration_version(),
             self.state.registry.revision,
-            self._is_configuration_newer(asked),
-            self._are_endpoints_newer(asked),
+            self._is_configuration_newer(request),
+            self._are_endpoints_newer(request),
             in_parts,
         )
         if self.packed is None or self.packed.contents != contents:
-            encoded = gossip.encoder.encode(self._compose(asked, in_parts))
+            encoded = gossip.encoder.encode(self._compose(request, in_parts))
             if len(encoded) >= MIN_COMPRESSED:
                 encoded = zlib.compress(encoded, ZLIB_LEVEL)
             self.packed = PackedAnswer(contents, encoded)
         return self.packed.encoded
 
     def _compose(
-        self, asked: gossip.SnapshotRequest, in_parts: bool
+        self, request: gossip.SnapshotRequest, in_parts: bool
     ) -> gossip.Snapshot | gossip.FullSnapshot:
-        return self._snapshot(asked) if in_parts else self._full(asked)
+        return self._snapshot(request) if in_parts else self._full(request)
 
-    def _is_configuration_newer(self, asked: gossip.SnapshotRequest) -> bool:
-        return self.state.configuration_version() > asked.configuration
+    def _is_configuration_newer(self, request: gossip.SnapshotRequest) -> bool:
+        return self.state.configuration_version() > request.configuration
 
-    def _are_endpoints_newer(self, asked: gossip.SnapshotRequest) -> bool:
-        return self.state.registry.changed_revision > asked.registry_revision
+    def _are_endpoints_newer(self, request: gossip.SnapshotRequest) -> bool:
+        return self.state.registry.changed_revision > request.registry_revision
 
-    def _full(self, asked: gossip.SnapshotRequest) -> gossip.FullSnapshot:
-        """Return a snapshot as earlier builds take it."""
+    def _full(self, request: gossip.SnapshotRequest) -> gossip.FullSnapshot:
+        """Return a snapshot in the format of earlier builds."""
         table, registry = self.state.table, self.state.registry
-        newer = self._is_configuration_newer(asked)
+        with_configuration = self._is_configuration_newer(request)
         return gossip.FullSnapshot(
             self.state.node,
-            table.configuration if table is not None and newer else None,
-            tuple(registry.endpoints.values()) if self._are_endpoints_newer(asked) else None,
+            table.configuration if table is not None and with_configuration else None,
+            tuple(registry.endpoints.values()) if self._are_endpoints_newer(request) else None,
             registry.revision,
         )
 
-    def _snapshot(self, asked: gossip.SnapshotRequest) -> gossip.Snapshot:
+    def _snapshot(self, request: gossip.SnapshotRequest) -> gossip.Snapshot:
         table, registry = self.state.table, self.state.registry
-        newer = self._is_configuration_newer(asked)
-        fresher = self._are_endpoints_newer(asked)
+        with_configuration = self._is_configuration_newer(request)
+        with_endpoints = self._are_endpoints_newer(request)
         return gossip.Snapshot(
             self.state.node,
-            [gossip.raw(table.configuration)] if table is not None and newer else [],
-            [gossip.raw(one) for one in registry.endpoints.values()] if fresher else [],
-            fresher,
+            [gossip.raw(table.configuration)] if table is not None and with_configuration else [],
+            [gossip.raw(one) for one in registry.endpoints.values()] if with_endpoints else [],
+            with_endpoints,
             registry.revision,
         )
 
@@ -232,16 +233,16 @@
     """Return the snapshot in an answer.
 
     Raises:
-      PeerProtocolError: it is not what it says, or larger than a frame may be.
+      PeerProtocolError: it cannot be decompressed or decoded, or exceeds the frame limit.
     """
     if answer[:1] == bytes((ZLIB_FIRST_BYTE,)):
         inflater = zlib.decompressobj()
         try:
             answer = inflater.decompress(answer, gossip.FRAME_LIMIT)
         except zlib.error as error:
-            raise errors.PeerProtocolError(f"The snapshot can't be inflated: {error}.") from error
+            raise errors.PeerProtocolError(f"Snapshot cannot be inflated: {error}") from error
         if inflater.unconsumed_tail:
-            raise errors.PeerProtocolError("The snapshot is larger than a frame may be.")
+            raise errors.PeerProtocolError("snapshot is larger than the frame limit")
     return gossip.decode_snapshot(answer)
 
 
@@ -251,6 +252,8 @@
         writer.write(frames.pack(gossip.encoder.encode(request)))
         return _unpack(await frames.read(reader, gossip.FRAME_LIMIT))
     except EOFError as error:
-        raise errors.PeerProtocolError("The peer closed early. Ask again later.") from error
+        raise errors.PeerProtocolError(
+            "peer closed the connection before the end of its answer"
+        ) from error
     finally:
         writer.close()
--- a/plumarch/gateway/gossip/speed_reports.py
+++ b/plumarch/gateway/gossip/speed_reports.py
@@ -1,4 +1,4 @@
-"""What nodes learn of engines' speed, as they tell it to one another and as it is kept."""
+"""Conversion of engine speeds between messages and the chooser."""
 
 from collections.abc import Callable, Iterable
 
@@ -12,20 +12,20 @@
 def to_messages(
     state: fleet_state.FleetState, counts_in: Callable[[str], bool] = lambda source: False
 ) -> list[gossip.EngineSpeed]:
-    """Return what is known of all services' engines as it is told.
+    """Return messages for the speeds of all services' engines.
 
     Args:
-      counts_in: whose reports are part of it besides what this node learned itself.
+      counts_in: whether to include a source's reports besides what this node observed.
     """
     now = state.clock.now()
     found = []
     for name, speed in state.chooser.speeds.items():
         one = speed.report(now, state.work.reading(name), counts_in)
         if one.seen:
-            told_us = round(US_PER_MS * one.ms_per_token, 2)
+            us_per_token = round(US_PER_MS * one.ms_per_token, 2)
             units, unread = round(one.work.units), round(one.work.unread)
             found.append(
-                gossip.EngineSpeed(name, told_us, round(one.seen), one.nodes, units, unread)
+                gossip.EngineSpeed(name, us_per_token, round(one.seen), one.nodes, units, unread)
             )
     return found
 
@@ -33,7 +33,7 @@
 def apply(
     state: fleet_state.FleetState, source: str, reports: Iterable[gossip.EngineSpeed]
 ) -> None:
-    """Keep what a source told."""
+    """Record the speeds that a source reported."""
     now = state.clock.now()
     for one in reports:
         if one.us_per_token <= 0:
--- a/plumarch/gateway/gossip/spending_ledger.py
+++ b/plumarch/gateway/gossip/spending_ledger.py
@@ -1,9 +1,7 @@
-"""What the nodes of a data centre admitted, counted on by one coordinator after the other.
+"""The count of what a data centre's nodes admitted, continued by successive coordinators.
 
-A coordinator that begins to count at nothing would lose all that was admitted since the last one
-told its sum, on all nodes and for good: the fleet then admits that much more than it may. So
-coordinators tell their members how far they have counted, in which ledger, and whoever follows on
-one that died counts on from there.
+Coordinators send it to their members, since a successor that began at zero would lose what was
+admitted since the last summary, and the fleet would exceed the quota by as much.
 """
 
 import dataclasses
@@ -14,25 +12,25 @@
 
 @dataclasses.dataclass(slots=True)
 class FollowedLedger:
-    """The ledger of the coordinators that a node follows, as they told it last.
+    """The ledger that a node last received from the coordinators that it follows.
 
     Attributes:
-      begun_by: the coordinator that began it; None if none was told.
+      begun_by: the coordinator that began it; None if none was received.
       spent: units that the nodes of the data centre admitted, by workspace.
-      counted: the part of this node's own spending that is in it.
+      counted: this node's own spending that it includes.
     """
 
     begun_by: tiers.Seniority | None = None
     spent: dict[str, float] = dataclasses.field(default_factory=dict)
     counted: dict[str, float] = dataclasses.field(default_factory=dict)
 
-    def apply_update(self, news: gossip.FleetUpdate) -> None:
-        """Take in how far a coordinator has counted."""
-        if not news.ledger:
+    def apply_update(self, update: gossip.FleetUpdate) -> None:
+        """Apply the counts in a fleet update."""
+        if not update.ledger:
             return
-        begun_by = tiers.Seniority(news.ledger[0].incarnation, news.ledger[0].name)
+        begun_by = tiers.Seniority(update.ledger[0].incarnation, update.ledger[0].name)
         if begun_by != self.begun_by:
             self.begun_by = begun_by
             self.spent.clear()
-        for one in news.levels:
+        for one in update.levels:
             self.spent[one.workspace] = one.spent
--- a/plumarch/gateway/gossip/stale_figures.py
+++ b/plumarch/gateway/gossip/stale_figures.py
@@ -1,16 +1,15 @@
-"""When figures that others told stop counting: with age, with a role, with a better teller."""
+"""Drops figures from others that are stale, or superseded after a change of role or source."""
 
 from plumarch.gateway import fleet_state
 from plumarch.gateway.gossip import coordination, member_updates
 from plumarch.membership import fleet_view, tiers
 
 LOADS_RETENTION_MS = 2_500
-"""Loads that were told longer ago count no more: most of what they tell has ended. A judgement:
-two runs of a typical request."""
+"""Maximum age of reported loads: about two runs of a typical request."""
 
 
 def drop_old_loads(state: fleet_state.FleetState, view: fleet_view.FleetView) -> None:
-    """Forget loads that were told long ago, or by whom nobody knows any more."""
+    """Drop loads that are stale or whose source is gone."""
     now = state.clock.now()
     for name in list(state.chooser.reported_loads):
         received_ms = _received_ms(view, name)
@@ -19,7 +18,7 @@
 
 
 def _received_ms(view: fleet_view.FleetView, source: str) -> int | None:
-    """Return when the loads of a source were told, or None for one that is gone."""
+    """Return when a source's loads were received, or None if it is gone."""
     if source == member_updates.FLEET:
         return view.fleet_update.received_ms if view.fleet_update is not None else None
     if source.startswith(coordination.CENTRE):
@@ -34,7 +33,7 @@
     view: fleet_view.FleetView,
     sums: coordination.Coordination,
 ) -> None:
-    """Forget what a node is no longer told in the role that it has now."""
+    """Drop figures that a node does not receive in its current role."""
     chooser = state.chooser
     if view.role is not tiers.Role.MEMBER:
         chooser.forget(member_updates.FLEET)
@@ -47,15 +46,14 @@
     if view.role is tiers.Role.MEMBER:
         for name in [name for name in chooser.reported_loads if name != member_updates.FLEET]:
             chooser.forget(name)
-        # Levels come from news now, with all that the others admitted in them; counting on from
-        # these sums later would charge it twice.
+        # Levels from fleet updates include what others admitted; these sums would charge it twice.
         state.quota.heard.clear()
 
 
 def drop_nodes_of(
     state: fleet_state.FleetState, view: fleet_view.FleetView, data_centre: str
 ) -> None:
-    """Forget what nodes of a data centre told one by one, now that it is summed up."""
+    """Drop what nodes of a data centre reported individually, once a summary covers them."""
     for peer in view.peers.values():
         if peer.data_centre == data_centre:
             state.chooser.forget(peer.name)
--- a/plumarch/gateway/gossip/suspect_updates.py
+++ b/plumarch/gateway/gossip/suspect_updates.py
@@ -1,8 +1,7 @@
-"""What nodes learn of requests under which endpoints ended, told to one another.
+"""Exchange of updates on suspect requests, under which endpoints crashed.
 
-A node that saw an end tells it at once, and again with some heartbeats after it, since datagrams
-are lost. Who hears of it tells it on: in a large fleet a member tells its coordinators, and these
-their members and the coordinators of the other data centres. Nothing is sent while nothing ends.
+A node publishes a crash at once and repeats the update with later heartbeats, since datagrams are
+lost. In a large fleet coordinators forward it. Without crashes nothing is sent.
 """
 
 import dataclasses
@@ -13,37 +12,33 @@
 from plumarch.peers import gossip, suspect_entries
 
 OWN_SENDS = 8
-"""How often this node's own news are told: two seconds of heartbeats, of which a bad link loses a
-few in a hundred."""
+"""How often this node's own update is sent: over two seconds of heartbeats."""
 
 FORWARDED_SENDS = 4
-"""How often others' news are told on. A member of a large fleet hears of them from its two
-coordinators only: at a loss of one datagram in five, one of 400,000 members misses all eight."""
+"""How often an update of another node is forwarded."""
 
 MAX_SUSPECTS = 8
-"""Requests in one datagram, some 150 bytes each."""
+"""Requests in one datagram, about 150 bytes each."""
 
 MAX_DATAGRAMS = 3
-"""Datagrams at a time, the requests with the most ends first: where a data centre ends at once, its
-bystanders are told over the next heartbeats."""
+"""Datagrams per heartbeat; the requests with most points go first."""
 
 QUARANTINED_INTERVAL = 16
-"""Every how many heartbeats the requests that are held back are told, to nodes that started, or
-were cut off, since."""
+"""Heartbeats from one announcement of all quarantined requests to the next, for late joiners."""
 
 Send = Callable[[gossip.Datagram, Iterable[str]], None]
 
 
 @dataclasses.dataclass(slots=True)
 class SuspectPublisher:
-    """One node's news of suspect requests.
+    """Publishes one node's updates on suspect requests.
 
     Attributes:
       send: sends a message to addresses.
-      forwards: whether what is heard is told on at once, as coordinators do.
-      recipients: whom this node tells.
-      due: how often each request is to be told still, by its fingerprint.
-      beats: heartbeats so far.
+      forwards: whether received updates are forwarded at once, as coordinators do.
+      recipients: addresses to which this node sends.
+      due: how often each request is still to be sent, by its fingerprint.
+      heartbeat_count: heartbeats so far.
     """
 
     state: fleet_state.FleetState
@@ -55,12 +50,12 @@
     heartbeat_count: int = 0
 
     def publish(self, fingerprint: str) -> None:
-        """Tell at once what this node saw of a request, and again with the next heartbeats."""
+        """Send what this node learned of a request at once, and again with the next heartbeats."""
         self.due[fingerprint] = OWN_SENDS
         self._send_due([fingerprint])
 
     def step(self) -> None:
-        """Tell what is due with a heartbeat."""
+        """Send what is due with a heartbeat."""
         self.heartbeat_count += 1
         known = self.state.quarantine
         if self.heartbeat_count % QUARANTINED_INTERVAL == 0:
@@ -80,49 +75,49 @@
                 found.append(suspect_entries.to_message(suspect))
         recipients = list(self.recipients()) if found else []
         for first in range(0, len(found), MAX_SUSPECTS):
-            news = gossip.SuspectUpdate(self.node, found[first : first + MAX_SUSPECTS])
-            self.send(news, recipients)
+            update = gossip.SuspectUpdate(self.node, found[first : first + MAX_SUSPECTS])
+            self.send(update, recipients)
 
     def send_quarantined(self, address: str) -> None:
-        """Tell a node that is heard for the first time, or again, what is held back."""
-        held = self.state.quarantine.held()[:MAX_SUSPECTS]
-        if held:
-            told = [suspect_entries.to_message(one) for one in held]
-            self.send(gossip.SuspectUpdate(self.node, told), [address])
-
-    def apply(self, told: gossip.SuspectUpdate) -> None:
-        """Take in what another node tells."""
-        suspects = [suspect_entries.from_message(one) for one in told.suspects]
-        news = adopt(self.state, suspects, told.node)
-        for name in news:
+        """Send the quarantined requests to a node that just became reachable."""
+        quarantined = self.state.quarantine.held()[:MAX_SUSPECTS]
+        if quarantined:
+            suspects = [suspect_entries.to_message(one) for one in quarantined]
+            self.send(gossip.SuspectUpdate(self.node, suspects), [address])
+
+    def apply(self, update: gossip.SuspectUpdate) -> None:
+        """Apply another node's update."""
+        suspects = [suspect_entries.from_message(one) for one in update.suspects]
+        changed = adopt(self.state, suspects, update.node)
+        for name in changed:
             self.due[name] = max(FORWARDED_SENDS, self.due.get(name, 0))
-        if news and self.forwards():
-            self._send_due(news[:MAX_SUSPECTS])
+        if changed and self.forwards():
+            self._send_due(changed[:MAX_SUSPECTS])
 
 
 def adopt(
     state: fleet_state.FleetState, suspects: Iterable[quarantine.Suspect], source: str
 ) -> list[str]:
-    """Take in what others know, and log what is held back, or no longer, by that.
+    """Merge what others know, and log requests that become quarantined or cleared by it.
 
     Args:
-      source: who told: a node, or the store.
+      source: a node's name, or the store.
     Returns:
-      The fingerprints of which something was news.
+      The fingerprints of changed entries.
     """
     known = state.quarantine
-    told = list(suspects)
-    before = {one.fingerprint: known.hold(one.fingerprint) is not None for one in told}
-    news = known.merge(told)
-    for name in news:
+    reported = list(suspects)
+    before = {one.fingerprint: known.hold(one.fingerprint) is not None for one in reported}
+    changed = known.merge(reported)
+    for name in changed:
         log_change(state, name, before[name], source)
-    return news
+    return changed
 
 
 def log_change(
     state: fleet_state.FleetState, fingerprint: str, was_quarantined: bool, source: str
 ) -> None:
-    """Log that a request is held back from now on, or no longer."""
+    """Log that a request became quarantined, or was cleared."""
     hold = state.quarantine.hold(fingerprint)
     if hold is not None and not was_quarantined:
         state.measures.quarantined.add("held")
--- a/plumarch/gateway/gossip/unreadable_messages.py
+++ b/plumarch/gateway/gossip/unreadable_messages.py
@@ -1,7 +1,6 @@
-"""Messages of other nodes that this build can't read: counted, and told once.
+"""Counts messages that this build cannot decode, and logs the first of each sender and kind.
 
-A newer build may tell what this one doesn't know, ten times a second for as long as both run. What
-can't be read costs that part of a message alone, or that message.
+A newer build may send unknown fields or kinds as often as each heartbeat.
 """
 
 from typing import cast
@@ -13,19 +12,19 @@
 from plumarch.peers import gossip, tolerant
 
 MAX_LOGGED = 64
-"""Senders and kinds that are logged; of more, the count says enough."""
+"""Maximum number of senders and kinds that are logged."""
 
 MAX_ERROR_LENGTH = 200
-"""Characters that are told of why a message can't be read."""
+"""Maximum length of a logged decoding error, in characters."""
 
 KINDS = 256
-"""Numbers of kinds that are told apart; a larger one is no kind that a build will ever send."""
+"""Kinds that are told apart in the metric; bounds its labels."""
 
 NO_KIND = "none"
 
 
 class UnreadableMessages:
-    """Which ones were told already, by sender and kind."""
+    """Counts and logs unreadable messages; `logged` holds senders and kinds."""
 
     def __init__(self, state: fleet_state.FleetState, view: fleet_view.FleetView) -> None:
         self.state = state
@@ -33,10 +32,10 @@
         self.logged: set[tuple[str, str]] = set()
 
     def note(self, sender: str, data: bytes, error: msgspec.DecodeError) -> None:
-        """Take in a message that can't be read.
+        """Record a message that cannot be decoded.
 
         Args:
-          sender: IP of who sent it.
+          sender: the sender's IP.
         """
         kind, build = _kind(data), self._build_of(sender)
         self.state.measures.unreadable_messages.add(kind, build)
@@ -53,14 +52,14 @@
 
     @staticmethod
     def readable_part(data: bytes) -> gossip.Datagram | None:
-        """Return a message without the parts that can't be read, or None if too little is left."""
+        """Return a message without its unreadable parts, or None if too little is left."""
         try:
             return cast(gossip.Datagram, tolerant.read(data).datagram)
         except msgspec.DecodeError:
             return None
 
     def _build_of(self, sender: str) -> str:
-        """Return the build that the node at an IP told last, or "" if none is known."""
+        """Return the last known build of the node at an IP, or ""."""
         for peer in self.view.peers.values():
             if peer.address.rpartition(":")[0] == sender:
                 return peer.build
@@ -68,7 +67,7 @@
 
 
 def _kind(data: bytes) -> str:
-    """Return the number that says what a message is, as text."""
+    """Return a message's kind, the number that it starts with, as text."""
     try:
         first = msgspec.msgpack.decode(data)[0]
     except (msgspec.DecodeError, TypeError, IndexError, KeyError):
--- a/plumarch/gateway/gossip/version_reports.py
+++ b/plumarch/gateway/gossip/version_reports.py
@@ -1,4 +1,4 @@
-"""Shares and answers of versions, as nodes tell them to one another and as they keep them."""
+"""Conversion of version shares and answer counts between messages and a node's state."""
 
 from collections.abc import Callable, Iterable
 
@@ -8,14 +8,13 @@
 from plumarch.peers import gossip
 
 MAX_ROUTES = 12
-"""Routes and versions whose answers one datagram tells, those with most answers first; some 60
-bytes each."""
+"""Routes and versions in one datagram, most answers first; about 60 bytes each."""
 
 STATES = {state.value: state for state in rollouts.RolloutState}
 
 
 def shares_to_messages(state: fleet_state.FleetState) -> list[gossip.VersionShare]:
-    """Return the shares of versions as they are told."""
+    """Return messages for the shares of versions."""
     return [
         gossip.VersionShare(
             one.service,
@@ -33,10 +32,10 @@
 def answers_to_messages(
     state: fleet_state.FleetState, counts_in: Callable[[str], bool] = lambda source: False
 ) -> list[gossip.VersionAnswers]:
-    """Return the answers of versions while a roll-out runs, as they are told.
+    """Return messages for the answers of versions of which a roll-out is running.
 
     Args:
-      counts_in: whose counts are part of it besides this node's own.
+      counts_in: whether to include a source's counts besides this node's own.
     """
     running = {split.service for split in state.splits.running()}
     if not running:
@@ -50,14 +49,14 @@
     ]
 
 
-def apply_shares(state: fleet_state.FleetState, told: Iterable[gossip.VersionShare]) -> bool:
-    """Adopt the shares that others told.
+def apply_shares(state: fleet_state.FleetState, reports: Iterable[gossip.VersionShare]) -> bool:
+    """Adopt reported shares of versions.
 
     Returns:
-      Whether some were news.
+      Whether any of them changed.
     """
-    news = False
-    for one in told:
+    changed = False
+    for one in reports:
         if one.state in STATES:
             split = rollouts.VersionSplit(
                 one.service,
@@ -68,19 +67,19 @@
                 one.step,
                 one.vetoed,
             )
-            news = state.adopt_split(split) or news
-    return news
+            changed = state.adopt_split(split) or changed
+    return changed
 
 
 def apply_answers(
-    state: fleet_state.FleetState, source: str, told: Iterable[gossip.VersionAnswers]
+    state: fleet_state.FleetState, source: str, reports: Iterable[gossip.VersionAnswers]
 ) -> None:
-    """Keep the counts that a source told."""
+    """Record the answer counts that a source reported."""
     counts = {
         version_tally.TallyKey(one.service, one.version, one.route): version_tally.Tally(
             one.answers, one.bad
         )
-        for one in told
+        for one in reports
     }
     if counts:
         state.answers.hear(source, counts)
