--- a/plumarch/gateway/gossip/bootstrap.py
+++ b/plumarch/gateway/gossip/bootstrap.py
@@ -123,11 +123,11 @@
             known = [gossip.KnownPeer(one.name, one.address) for one in self.view.live()]
             self.send(gossip.CentreDirectory(self.view.node, [], known), [peer.address])
 
-    def apply_seniors(self, beat: gossip.Heartbeat) -> None:
+    def apply_seniors(self, heartbeat: gossip.Heartbeat) -> None:
         """Learn the seniors of another data centre from a node in it."""
-        if beat.seniors and beat.data_centre not in self.view.reachable_centres():
-            reported = seniors.from_messages(beat.seniors)
-            self.view.all_centres.told(beat.data_centre, reported, self.state.clock.now())
+        if heartbeat.seniors and heartbeat.data_centre not in self.view.reachable_centres():
+            reported = seniors.from_messages(heartbeat.seniors)
+            self.view.all_centres.told(heartbeat.data_centre, reported, self.state.clock.now())
 
     def remember(self, peer: peer_node.Peer) -> None:
         """Remember a node that is no longer counted, so that it can be contacted again."""
--- a/plumarch/gateway/gossip/bootstrap_test.py
+++ b/plumarch/gateway/gossip/bootstrap_test.py
@@ -1,4 +1,4 @@
-"""What is told of data centres that are not heard, and how much is sent about them."""
+"""Tests how unreachable data centres are logged, contacted and exchanged in directories."""
 
 import itertools
 
@@ -28,7 +28,7 @@
     return bytes(node.state.log.pending).count(b'"' + event + b'"')
 
 
-def test_a_data_centre_that_is_not_heard_is_noted_when_it_begins_and_when_it_ends():
+def test_start_and_end_of_an_unreachable_data_centre_are_logged_once():
     fleet = settled()
     node = coordinator(fleet)
     contact = node.state.contact
@@ -48,7 +48,7 @@
     assert (contact.known, contact.unheard) == (3, 0)
 
 
-def test_a_directory_is_sent_where_views_differ_and_not_each_time():
+def test_directory_is_sent_where_digests_differ_at_a_limited_rate():
     fleet = settled()
     node = coordinator(fleet)
     sent: list[gossip.Datagram] = []
@@ -71,30 +71,30 @@
 
 
 def with_digest(summary: gossip.CentreSummary, digest: int) -> gossip.CentreSummary:
-    """Return a summary of one that hears other data centres; 0 is told by older processes."""
+    """Return a summary with another digest; processes of earlier builds send 0."""
     return msgspec.structs.replace(summary, centres_digest=digest)
 
 
-def test_those_that_stay_silent_are_asked_less_and_less():
+def test_contact_attempts_back_off_until_the_data_centre_expires():
     centres = known_centres.KnownCentres()
     senior = tiers.Senior(tiers.Seniority(1, "n"), "10.0.0.1:7")
     assert centres.told("dc-z", (senior,), 1_000)
     assert not centres.told("dc-z", (senior,), 1_100)
-    asked = [
+    contacted_ms = [
         now
         for now in range(1_000, 121_000, 250)
         if centres.to_ask({"dc-a"}, set(), now) == {"10.0.0.1:7"}
     ]
-    pauses = [later - earlier for earlier, later in itertools.pairwise(asked)]
-    assert pauses[0] == known_centres.ASK_MS
-    assert pauses == sorted(pauses)
-    assert pauses[-1] == known_centres.MAX_ASK_MS
+    intervals = [later - earlier for earlier, later in itertools.pairwise(contacted_ms)]
+    assert intervals[0] == known_centres.ASK_MS
+    assert intervals == sorted(intervals)
+    assert intervals[-1] == known_centres.MAX_ASK_MS
     assert not centres.to_ask({"dc-z"}, set(), 130_000)
     assert not centres.to_ask(set(), set(), 1_001 + known_centres.RETENTION_MS)
     assert not centres.centres
 
 
-def test_a_seed_is_asked_until_it_is_reached():
+def test_seed_is_contacted_until_it_is_reachable():
     centres = known_centres.KnownCentres()
     centres.seed("10.0.0.9:7", 1_000)
     assert not centres.to_ask(set(), set(), 1_100)
@@ -103,7 +103,7 @@
     assert centres.to_ask(set(), set(), 3_600_000_000) == {"10.0.0.9:7"}
 
 
-def test_a_node_that_is_gone_makes_no_data_centre_silent_that_is_heard():
+def test_data_centre_stays_reachable_after_one_of_its_nodes_is_gone():
     fleet = gossip_fleet.GossipFleet(gossip_fleet.Size(3, 3))
     fleet.run(SETTLE_MS)
     for gone in [node for node in fleet.live() if node.number == 2]:
@@ -121,7 +121,7 @@
             assert node.view.all_centres.centres[name].since_ms >= cut_ms
 
 
-def test_a_coordinator_that_became_a_member_shows_no_contact():
+def test_coordinator_that_became_a_member_resets_its_contact_gauges():
     fleet = settled()
     node = coordinator(fleet)
     assert node.state.contact.known == 3
@@ -132,7 +132,7 @@
     assert (contact.known, contact.unheard, contact.oldest_ms) == (0, 0, 0)
 
 
-def test_seeds_that_the_settings_name_no_more_are_not_asked_any_more():
+def test_seeds_removed_from_the_settings_are_dropped():
     fleet = gossip_fleet.GossipFleet(gossip_fleet.Size(2, 2))
     gossip_of_one = fleet.live()[0].gossip
     for number in range(5):
--- a/plumarch/gateway/gossip/gossiper.py
+++ b/plumarch/gateway/gossip/gossiper.py
@@ -84,7 +84,7 @@
         self.role_announced_ms = 0
         state.announce_prompt = self.announce_prompt
         state.publish_suspect = self.suspects.publish
-        state.request_permits = self.permits.ask
+        state.request_permits = self.permits.request_permits
 
     async def start(self) -> None:
         """Start listening and learn the seeds."""
@@ -189,8 +189,8 @@
     def _update_age_ms(self) -> float:
         """Return the usual age of what is known of other nodes' spending.
 
-        Large charges reach the coordinators at once, small ones with the next heartbeat. Then follow
-        a round between data centres and one to the members.
+        Large charges reach the coordinators at once, small ones with the next heartbeat; then they
+        need a round between data centres and one to the members.
         """
         if self.view.role is tiers.Role.FLAT:
             return self.view.interval_ms
--- a/plumarch/gateway/gossip/gossiper_test.py
+++ b/plumarch/gateway/gossip/gossiper_test.py
@@ -1,4 +1,4 @@
-"""What nodes hand on to one another: configurations, endpoints, loads, spending, usage."""
+"""Tests the exchange of configurations, endpoints, loads, spending and usage between nodes."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -95,7 +95,7 @@
     play(test)
 
 
-def test_a_newer_configuration_and_endpoints_are_handed_on_and_never_go_back():
+def test_newer_configuration_and_endpoints_replace_older_ones_only():
     async def test(pair: Pair) -> None:
         pair.one.state.adopt_table(table(7), "store")
         pair.one.state.registry.replace([ENDPOINT], 40, "store")
@@ -131,7 +131,7 @@
     play(test)
 
 
-def test_a_long_prompt_is_told_at_once_and_a_short_one_with_the_next_heartbeat():
+def test_only_a_long_prompt_is_announced_before_the_next_heartbeat():
     async def test(pair: Pair) -> None:
         await pair.until(lambda: bool(pair.one.view.live() and pair.two.view.live()))
         other = pair.two.state
@@ -148,7 +148,7 @@
     play(test)
 
 
-def test_a_node_whose_knowledge_was_only_confirmed_is_not_asked_for_it():
+def test_revision_without_changes_is_not_announced():
     state = gateway_parts.new_state(clock.ManualClock())
     view = fleet_view.FleetView(clock.ManualClock(), "n", 1, "127.0.0.1:1")
     node = gossiper.Gossiper(state, view, heartbeats.DutyStatus(), ())
@@ -157,7 +157,7 @@
     assert node.composer.next(leaving=False).registry_revision == 40
 
 
-def test_a_notice_of_a_process_that_was_replaced_is_dropped():
+def test_notice_of_an_earlier_incarnation_is_dropped():
     state = gateway_parts.new_state(clock.ManualClock())
     view = fleet_view.FleetView(clock.ManualClock(), "n", 1, "127.0.0.1:1")
     node = gossiper.Gossiper(state, view, heartbeats.DutyStatus(), ())
@@ -169,7 +169,7 @@
         assert state.chooser.load("e").running == running
 
 
-def test_what_is_no_heartbeat_is_dropped():
+def test_undecodable_datagram_is_dropped_and_logged():
     state = gateway_parts.new_state(clock.ManualClock())
     view = fleet_view.FleetView(clock.ManualClock(), "n", 1, "127.0.0.1:1")
     node = gossiper.Gossiper(state, view, heartbeats.DutyStatus(), ())
@@ -179,7 +179,7 @@
     assert b"bad_heartbeat" in bytes(state.log.pending)
 
 
-def test_a_frame_that_claims_too_much_is_refused():
+def test_frame_over_the_limit_is_rejected():
     async def test() -> None:
         reader = asyncio.StreamReader()
         reader.feed_data((gossip.FRAME_LIMIT + 1).to_bytes(4, "big"))
@@ -189,24 +189,24 @@
     asyncio.run(test())
 
 
-def spending_told(node: gossiper.Gossiper) -> list[str]:
-    return [told.workspace for told in node.composer.next(leaving=False).spending]
+def reported_spending(node: gossiper.Gossiper) -> list[str]:
+    return [one.workspace for one in node.composer.next(leaving=False).spending]
 
 
-def test_spending_is_told_while_it_is_news_and_whole_to_a_node_heard_for_the_first_time():
+def test_heartbeat_holds_changed_spending_and_all_for_a_new_peer():
     state = gateway_parts.new_state(clock.ManualClock())
     view = fleet_view.FleetView(clock.ManualClock(), "n", 1, "127.0.0.1:1")
     node = gossiper.Gossiper(state, view, heartbeats.DutyStatus(), ())
     state.adopt_table(table(7), "store")
     for _ in range(heartbeats.FULL_INTERVAL - 1):
-        spending_told(node)
-    assert spending_told(node) == []
-    assert spending_told(node) == ["w"]
-    assert spending_told(node) == []
+        reported_spending(node)
+    assert reported_spending(node) == []
+    assert reported_spending(node) == ["w"]
+    assert reported_spending(node) == []
     state.quota.buckets["w"].spent += 3.0
-    assert spending_told(node) == ["w"]
+    assert reported_spending(node) == ["w"]
     node.composer.heartbeat_count = 1
     for _ in range(recent_changes.SEND_COUNT):
-        spending_told(node)
+        reported_spending(node)
     node.apply_heartbeat(gossip.Heartbeat("m", 5, "127.0.0.2:1", "a", False, -1, -1, 0, True, 0))
-    assert spending_told(node) == ["w"]
+    assert reported_spending(node) == ["w"]
--- a/plumarch/gateway/gossip/permit_exchange.py
+++ b/plumarch/gateway/gossip/permit_exchange.py
@@ -47,7 +47,9 @@
     is_leaving: Callable[[], bool]
     broadcast_ms: dict[str, int] = dataclasses.field(default_factory=dict)
 
-    def ask(self, endpoint: traffic.Endpoint, request: rate_allocator.PermitRequest) -> None:
+    def request_permits(
+        self, endpoint: traffic.Endpoint, request: rate_allocator.PermitRequest
+    ) -> None:
         """Send a request for permits, or handle it if this node allocates them."""
         message = gossip.PermitRequest(
             self.view.node,
--- a/plumarch/gateway/gossip/permit_exchange_test.py
+++ b/plumarch/gateway/gossip/permit_exchange_test.py
@@ -1,8 +1,8 @@
-"""Request rates that endpoints announce, divided among all nodes of a fleet, whatever befalls them.
+"""Tests that all nodes together keep to the request rates that endpoints announce, under faults.
 
-The rule: in any 4 s an endpoint gets at most one and a half times its rate and five requests more
-from nodes that passed on an announcement half a second before or earlier. Nodes that were killed,
-frozen or cut off lately are not held to it.
+The rule: in any 4 s an endpoint receives at most one and a half times its rate plus five requests
+from nodes that received an announcement at least half a second before. Nodes that were killed,
+frozen or cut off within the last 2 s are exempt.
 """
 
 import dataclasses
@@ -20,8 +20,8 @@
 
 WINDOW_MS = 4_000
 KNOWN_AFTER_MS = 500
-EXCUSED_MS = 2_000
-"""For how long a node is excused after it was harmed; what it takes to be in contact again."""
+EXEMPT_MS = 2_000
+"""How long a node is exempt after a fault; covers the time to get in contact again."""
 
 STEP_MS = 10
 ANSWER_MS = 20
@@ -39,7 +39,7 @@
 
 
 class Session:
-    """A fleet before one endpoint that announces a rate.
+    """A fleet that sends to one endpoint, which announces a rate.
 
     Attributes:
       announced: the rate that its answers announce, or "".
@@ -62,7 +62,7 @@
         node.state.registry.replace([ENDPOINT], 1, "store")
 
     def serve(self, per_s: float, for_ms: int) -> int:
-        """Let callers ask for a while, at random nodes, and return how many were served."""
+        """Send callers' requests to random nodes for a while, and return how many were served."""
         before = len(self.arrivals)
         due = 0.0
         for _ in range(for_ms // STEP_MS):
@@ -72,18 +72,18 @@
                 due -= 1.0
                 node = self.rng.choice(self.fleet.live()[: self.nodes or None])
                 if not node.frozen:
-                    self.ask(node)
+                    self.request(node)
         return len(self.arrivals) - before
 
-    def ask(self, node: gossip_fleet.Node) -> None:
-        """Let one caller ask one node, which waits for permits since no other endpoint has room."""
+    def request(self, node: gossip_fleet.Node) -> None:
+        """Send one caller's request to a node, which waits for permits if it has none."""
         if announced_rates.may_send(node.state, ENDPOINT):
             self.send(node)
         elif node.state.permits.is_asked(ENDPOINT):
             self.wait(node, self.fleet.time.now() + round(announced_rates.ANSWER_MS))
 
     def wait(self, node: gossip_fleet.Node, until_ms: int) -> None:
-        """Send a request as soon as permits came, if they come in time."""
+        """Send a request once permits arrive, unless they are late."""
         permits = node.state.permits
         if not node.alive or self.fleet.time.now() > until_ms:
             return
@@ -98,9 +98,9 @@
             announced_rates.ask(state, ENDPOINT, is_needed=False)
         now = self.fleet.time.now()
         known = self.received_ms.get((node.name, node.view.incarnation), now)
-        harmed = self.harmed_ms.get(node.name, now - EXCUSED_MS)
-        held = now - known >= KNOWN_AFTER_MS and now - harmed >= EXCUSED_MS
-        self.arrivals.append(Arrival(now, held))
+        harmed = self.harmed_ms.get(node.name, now - EXEMPT_MS)
+        counts = now - known >= KNOWN_AFTER_MS and now - harmed >= EXEMPT_MS
+        self.arrivals.append(Arrival(now, counts))
         announced = self.announced
         self.fleet.schedule(ANSWER_MS, lambda: self.answer(node, announced, now))
 
@@ -135,8 +135,8 @@
                 self.harm([node])
                 self.fleet.thaw(node)
 
-    def most(self) -> int:
-        """Return the most requests in a window from nodes that are held to the rate."""
+    def max_in_window(self) -> int:
+        """Return the maximum number of requests in a window from nodes that are not exempt."""
         at = [one.at_ms for one in self.arrivals if one.counts]
         return max((sum(first <= one < first + WINDOW_MS for one in at) for first in at), default=0)
 
@@ -145,40 +145,40 @@
     return 1.5 * rate * WINDOW_MS / 1000.0 + 5
 
 
-def used_part(session: Session, rate: float, per_s: float, for_ms: int = 20_000) -> float:
-    """Return the part of a rate that is used, once it is known."""
+def used_fraction(session: Session, rate: float, per_s: float, for_ms: int = 20_000) -> float:
+    """Return the fraction of a rate that is used, once it is known."""
     session.serve(per_s, 4_000)
     return session.serve(per_s, for_ms) / (rate * for_ms / 1000.0)
 
 
 @pytest.mark.parametrize("rate", [0.5, 1.0, 8.0])
 @pytest.mark.parametrize("nodes", [0, 1, 3])
-def test_four_fifths_of_the_rate_are_used_wherever_there_is_demand(rate: float, nodes: int):
+def test_most_of_the_rate_is_used_in_a_small_fleet(rate: float, nodes: int):
     session = Session(SMALL, 1, str(rate))
     session.nodes = nodes
-    assert 0.8 <= used_part(session, rate, 6.0 * rate + 10.0) <= 1.1
-    assert session.most() <= allowed(rate)
+    assert 0.8 <= used_fraction(session, rate, 6.0 * rate + 10.0) <= 1.1
+    assert session.max_in_window() <= allowed(rate)
 
 
 @pytest.mark.parametrize(("rate", "nodes"), [(1.0, 0), (8.0, 0), (8.0, 1)])
-def test_four_fifths_are_used_in_a_large_fleet(rate: float, nodes: int):
+def test_most_of_the_rate_is_used_in_a_large_fleet(rate: float, nodes: int):
     session = Session(LARGE, 1, str(rate))
     session.nodes = nodes
-    assert 0.8 <= used_part(session, rate, 6.0 * rate + 10.0, 8_000) <= 1.25
-    assert session.most() <= allowed(rate)
+    assert 0.8 <= used_fraction(session, rate, 6.0 * rate + 10.0, 8_000) <= 1.25
+    assert session.max_in_window() <= allowed(rate)
 
 
-def test_a_lower_rate_is_kept_to_from_its_first_answer():
+def test_lower_rate_applies_from_its_first_announcement():
     session = Session(SMALL, 1, "40")
     session.serve(200.0, 4_000)
     session.announced = "2"
     session.serve(200.0, KNOWN_AFTER_MS)
     session.arrivals.clear()
     session.serve(200.0, 8_000)
-    assert session.most() <= allowed(2.0)
+    assert session.max_in_window() <= allowed(2.0)
 
 
-def test_a_limit_that_is_over_ends_on_all_nodes():
+def test_withdrawn_limit_ends_on_all_nodes():
     session = Session(LARGE, 1, "1")
     session.serve(100.0, 2_000)
     session.announced = ""
@@ -186,22 +186,22 @@
     assert session.serve(100.0, 1_000) == 100
 
 
-def test_a_rate_that_changes_with_each_answer_is_told_to_the_allocator_only():
+def test_rate_that_changes_with_each_answer_causes_no_broadcasts():
     session = Session(SMALL, 1, "20")
     session.serve(100.0, 2_000)
     steady = session.fleet.datagrams.copy()
     session.serve(100.0, 4_000)
-    steady = {far: count - steady[far] for far, count in session.fleet.datagrams.items()}
+    steady = {key: count - steady[key] for key, count in session.fleet.datagrams.items()}
     before = session.fleet.datagrams.copy()
     for number in range(400):
         session.announced = f"{20 + (number % 2) * 0.5 + number / 1e6:f}"
         session.serve(100.0, 10)
-    for far, count in session.fleet.datagrams.items():
-        assert count - before[far] <= 1.1 * steady[far]
+    for key, count in session.fleet.datagrams.items():
+        assert count - before[key] <= 1.1 * steady[key]
 
 
-def count_news(session: Session) -> list[str]:
-    """Return a list of the addresses to which nodes send news of rates from now on."""
+def record_updates(session: Session) -> list[str]:
+    """Return a list to which the address of each rate update is appended from now on."""
     found: list[str] = []
 
     def counting(send: permit_exchange.Send) -> permit_exchange.Send:
@@ -218,30 +218,30 @@
     return found
 
 
-def test_an_endpoint_that_takes_its_limit_back_again_and_again_costs_little():
+def test_alternating_limit_causes_a_bounded_number_of_broadcasts():
     session = Session(SMALL, 1, "20")
     session.serve(100.0, 2_000)
-    news = count_news(session)
+    updates = record_updates(session)
     for number in range(400):
         session.announced = "20" if number % 2 else ""
         session.serve(100.0, 10)
-    assert len(news) <= 8 * 7 * 5
+    assert len(updates) <= 8 * 7 * 5
 
 
 @pytest.mark.parametrize("per_s", [-1.0, float("nan"), float("inf"), 1e300])
-def test_a_message_with_a_rate_that_is_none_counts_for_nothing(per_s: float):
+def test_message_with_an_invalid_rate_is_ignored(per_s: float):
     session = Session(SMALL, 1, "1")
     [node, *_] = session.fleet.live()
     permits = node.gossip.permits
     permits.handle_rate_update(gossip.RateUpdate("m", "e", [per_s], 0))
-    asked = gossip.PermitRequest("m", "10.0.0.2:1", "e", "dc-a", 1, 1, [per_s], 0)
-    permits.handle_request(asked)
+    request = gossip.PermitRequest("m", "10.0.0.2:1", "e", "dc-a", 1, 1, [per_s], 0)
+    permits.handle_request(request)
     permits.handle_answer(gossip.PermitAnswer("e", 1, 1, [per_s], 0))
     assert node.state.permits.known == {}
     assert node.state.allocator.known == {}
 
 
-def test_a_request_that_each_node_passes_on_comes_to_an_end():
+def test_request_that_each_node_forwards_stops_at_the_hop_limit():
     session = Session(SMALL, 1, "1")
     for node in session.fleet.live():
         node.gossip.permits.is_leaving = lambda: True
@@ -254,7 +254,7 @@
 
 
 def harm(session: Session, kind: str, pick: int) -> None:
-    """Do one thing to a fleet."""
+    """Inject one fault, heal, or change the announced rate."""
     fleet, nodes = session.fleet, session.fleet.live()
     node = nodes[pick % len(nodes)]
     if kind == "cut":
@@ -277,8 +277,8 @@
         session.heal()
 
 
-def over(size: gossip_fleet.Size, seed: int) -> float:
-    """Return the part of what is allowed that an endpoint gets in a random session."""
+def peak_load(size: gossip_fleet.Size, seed: int) -> float:
+    """Run a random session, and return its peak as a fraction of what the rule allows."""
     rng = random.Random(seed)
     rate = rng.choice([0.5, 1.0, 4.0, 10.0])
     session = Session(size, seed, str(rate))
@@ -293,18 +293,18 @@
             session.harm(cut)
     session.heal()
     session.serve(100.0, 4_000)
-    return session.most() / allowed(rate)
+    return session.max_in_window() / allowed(rate)
 
 
 def _is_cut(session: Session, node: gossip_fleet.Node) -> bool:
     return any(session.fleet.cut(node, other) for other in session.fleet.live())
 
 
-def test_the_rule_holds_in_random_sessions():
-    found = [over(SMALL, seed) for seed in range(50)]
+def test_rule_holds_in_random_sessions():
+    found = [peak_load(SMALL, seed) for seed in range(50)]
     assert max(found) <= 1.0, found
 
 
-def test_the_rule_holds_in_random_sessions_of_a_large_fleet():
-    found = over(LARGE, 0)
+def test_rule_holds_in_random_sessions_of_a_large_fleet():
+    found = peak_load(LARGE, 0)
     assert found <= 1.0, found
--- a/plumarch/gateway/gossip/region_sums_test.py
+++ b/plumarch/gateway/gossip/region_sums_test.py
@@ -1,4 +1,4 @@
-"""What a node knows of regions: who admitted what, who is heard in part, what a way costs."""
+"""Tests what a node knows of regions: admitted units, reachability, network latency."""
 
 import pytest
 
@@ -27,11 +27,11 @@
     return region_sums.RegionSums(state, view), state
 
 
-def centre(nodes: int, heard: int, received_ms: int) -> tiers.CentreView:
-    return tiers.CentreView(nodes, heard, (), 0, None, 0, 0, received_ms)
+def centre(nodes: int, reachable: int, received_ms: int) -> tiers.CentreView:
+    return tiers.CentreView(nodes, reachable, (), 0, None, 0, 0, received_ms)
 
 
-def test_what_nodes_admit_counts_for_their_region():
+def test_admitted_units_count_for_the_region_of_the_node():
     time = clock.ManualClock(START_MS)
     sums, state = new_sums(time)
     quota = state.quota
@@ -48,7 +48,7 @@
     assert sums.admitted() == {"north": 0.0, "south": 1.0}
 
 
-def test_a_node_that_is_gone_counts_for_no_region():
+def test_node_that_is_gone_counts_for_no_region():
     time = clock.ManualClock(START_MS)
     sums, state = new_sums(time)
     sums.begin()
@@ -59,7 +59,7 @@
     assert "x" not in state.quota.charged_by
 
 
-def test_regions_are_heard_in_part_while_a_data_centre_of_them_is_not_heard_or_not_known():
+def test_region_with_an_unreachable_or_unknown_data_centre_is_partially_reachable():
     time = clock.ManualClock(START_MS)
     sums, _ = new_sums(time)
     assert sums.partially_reachable(0.9) == {"north", "south"}
@@ -74,14 +74,14 @@
     assert sums.partially_reachable(0.9) == {"north"}
 
 
-def test_without_named_regions_only_what_is_known_counts():
+def test_without_named_regions_unknown_data_centres_do_not_count():
     time = clock.ManualClock(START_MS)
     sums, _ = new_sums(time, {})
     assert sums.partially_reachable(0.9) == frozenset()
 
 
 @pytest.mark.parametrize(("targets", "expected"), [((1_200.0, 1_000.0), 0.12), ((), 0.0)])
-def test_the_way_is_weighed_against_the_tightest_target(
+def test_network_latency_is_a_fraction_of_the_tightest_target(
     targets: tuple[float, ...], expected: float
 ):
     time = clock.ManualClock(START_MS)
--- a/plumarch/gateway/gossip/rounds.py
+++ b/plumarch/gateway/gossip/rounds.py
@@ -17,7 +17,7 @@
 """Maximum summaries per second that a coordinator sends to other data centres."""
 
 STANDBY_ROUNDS = 4
-"""Rounds from one to the next of a coordinator that is not its data centre's senior node."""
+"""Rounds from one in which a standby coordinator sends to the next."""
 
 LATE_ROUND_MS = 1_000
 """A gap between rounds after which a coordinator pauses until heartbeats have refreshed its state.
@@ -33,7 +33,7 @@
 """
 
 MAX_MISSED_ROUNDS = 2.5
-"""Rounds after which a senior coordinator is taken not to forward any more.
+"""Rounds after which an unresponsive senior coordinator is assumed to forward nothing.
 
 The second one then receives each summary, before it counts the senders as unreachable.
 """
--- a/plumarch/gateway/gossip/snapshots.py
+++ b/plumarch/gateway/gossip/snapshots.py
@@ -18,7 +18,7 @@
 FETCH_TIMEOUT_MS = 1_500
 
 MIN_COMPRESSED = 4_096
-"""Minimum size in bytes of a compressed snapshot: many nodes fetch one from the same peer at once."""
+"""Minimum size in bytes from which a snapshot is compressed; many peers fetch one at once."""
 
 LEGACY_RETRY_MS = 750
 """Maximum time until a peer of an earlier build that could not read an answer requests it again.
@@ -158,7 +158,7 @@
         """Return whether a peer that does not declare its snapshot format takes parts.
 
         Two earlier builds expect different formats and send the same request. One that repeats its
-        request soon could not read the answer, and gets the other format. Peers are identified by IP.
+        request soon could not read the answer, and gets the other format. The IP identifies a peer.
         """
         if not self._is_configuration_newer(request) and not self._are_endpoints_newer(request):
             # Without content both formats serve as well.
@@ -240,9 +240,9 @@
         try:
             answer = inflater.decompress(answer, gossip.FRAME_LIMIT)
         except zlib.error as error:
-            raise errors.PeerProtocolError(f"Snapshot cannot be inflated: {error}") from error
+            raise errors.PeerProtocolError(f"The snapshot cannot be inflated: {error}.") from error
         if inflater.unconsumed_tail:
-            raise errors.PeerProtocolError("snapshot is larger than the frame limit")
+            raise errors.PeerProtocolError("The snapshot is larger than the frame limit.")
     return gossip.decode_snapshot(answer)
 
 
@@ -253,7 +253,7 @@
         return _unpack(await frames.read(reader, gossip.FRAME_LIMIT))
     except EOFError as error:
         raise errors.PeerProtocolError(
-            "peer closed the connection before the end of its answer"
+            "The peer closed the connection before the end of its answer."
         ) from error
     finally:
         writer.close()
--- a/plumarch/gateway/gossip/snapshots_test.py
+++ b/plumarch/gateway/gossip/snapshots_test.py
@@ -1,4 +1,4 @@
-"""Snapshots handed to peers: compressed where that pays, and not put together for each of them."""
+"""Tests snapshots served to peers: their compression, reuse and tolerance of invalid parts."""
 
 import asyncio
 import socket
@@ -38,47 +38,47 @@
     return snapshots.SnapshotExchange(state)
 
 
-NOTHING_HELD = gossip.SnapshotRequest(-1, -1, takes_compressed=True)
+FIRST_REQUEST = gossip.SnapshotRequest(-1, -1, takes_compressed=True)
 
 
-def test_a_large_configuration_is_compressed_and_read_back():
+def test_large_snapshot_is_compressed_and_reused():
     one = exchange(ROUTES)
-    answer = one._answer(NOTHING_HELD)
+    answer = one._answer(FIRST_REQUEST)
     plain = one._answer(gossip.SnapshotRequest(-1, -1))
     assert len(answer) * 10 < len(plain)
     assert snapshots._unpack(answer) == snapshots._unpack(plain)
-    assert one._answer(NOTHING_HELD) is answer
+    assert one._answer(FIRST_REQUEST) is answer
 
 
-def test_a_small_one_is_sent_as_it_is():
-    answer = exchange(2)._answer(NOTHING_HELD)
+def test_small_snapshot_is_sent_uncompressed():
+    answer = exchange(2)._answer(FIRST_REQUEST)
     [encoded] = gossip.snapshot_decoder.decode(answer).configuration
     assert gossip.configuration_decoder.decode(encoded).version == 5
 
 
-def test_an_answer_made_for_older_versions_is_not_given_again():
+def test_answer_is_not_reused_after_a_change():
     one = exchange(2)
-    first = one._answer(NOTHING_HELD)
-    held = one._answer(gossip.SnapshotRequest(5, -1, takes_compressed=True))
-    assert snapshots._unpack(held).configuration == []
+    first = one._answer(FIRST_REQUEST)
+    later = one._answer(gossip.SnapshotRequest(5, -1, takes_compressed=True))
+    assert snapshots._unpack(later).configuration == []
     one.state.registry.replace([], 9, "store")
-    assert one._answer(NOTHING_HELD) != first
+    assert one._answer(FIRST_REQUEST) != first
 
 
-def test_an_answer_that_is_kept_is_not_encoded_again(monkeypatch: pytest.MonkeyPatch):
-    """100 askers cost as many encodings of 3,000 endpoints: 224 ms of processor time."""
+def test_reused_answer_is_not_encoded_again(monkeypatch: pytest.MonkeyPatch):
+    """Encoding per request would block a coordinator that many peers contact at once."""
     one = exchange(ROUTES)
-    first = one._answer(NOTHING_HELD)
+    first = one._answer(FIRST_REQUEST)
 
     def fail(_: object) -> msgspec.Raw:
         raise AssertionError("encoded again")
 
     monkeypatch.setattr(gossip, "raw", fail)
-    assert one._answer(NOTHING_HELD) == first
-    assert one._guess_in_parts("10.0.0.1", NOTHING_HELD)
+    assert one._answer(FIRST_REQUEST) == first
+    assert one._guess_in_parts("10.0.0.1", FIRST_REQUEST)
 
 
-def test_what_inflates_beyond_a_frame_is_refused(monkeypatch: pytest.MonkeyPatch):
+def test_invalid_or_oversized_compressed_snapshot_is_rejected(monkeypatch: pytest.MonkeyPatch):
     monkeypatch.setattr(gossip, "FRAME_LIMIT", 10_000)
     with pytest.raises(errors.PeerProtocolError, match="larger"):
         snapshots._unpack(zlib.compress(bytes(20_000)))
@@ -86,10 +86,10 @@
         snapshots._unpack(b"\x78nonsense")
 
 
-def test_a_process_that_ends_during_an_answer_prints_no_error():
+def test_shutdown_during_an_answer_logs_no_error():
     found = []
 
-    async def end_while_asked() -> None:
+    async def cancel_while_serving() -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: found.append(context["message"]))
         before = asyncio.all_tasks()
@@ -105,18 +105,18 @@
         writer.close()
         server.close()
 
-    asyncio.run(end_while_asked())
+    asyncio.run(cancel_while_serving())
     assert found == []
 
 
-def test_what_a_peer_hands_on_that_cannot_be_read_costs_nothing_else():
+def test_unreadable_part_of_a_snapshot_does_not_affect_the_others():
     one = exchange(1)
-    sound = traffic.Endpoint("e1", "s", "10.0.0.1:80", "a", 4, traffic.EndpointState.READY)
+    valid = traffic.Endpoint("e1", "s", "10.0.0.1:80", "a", 4, traffic.EndpointState.READY)
     encode = gossip.encoder.encode
-    spoiled = [msgspec.Raw(encode(wrong)) for wrong in (5, {"id": "e2"}, {"id": 7, "slots": "x"})]
-    endpoints = [spoiled[0], msgspec.Raw(encode(sound)), *spoiled[1:]]
-    told = gossip.Snapshot("peer", [msgspec.Raw(encode("none"))], endpoints, True, 9)
-    one._adopt(snapshots._unpack(encode(told)))
+    invalid = [msgspec.Raw(encode(wrong)) for wrong in (5, {"id": "e2"}, {"id": 7, "slots": "x"})]
+    endpoints = [invalid[0], msgspec.Raw(encode(valid)), *invalid[1:]]
+    snapshot = gossip.Snapshot("peer", [msgspec.Raw(encode("none"))], endpoints, True, 9)
+    one._adopt(snapshots._unpack(encode(snapshot)))
     assert list(one.state.registry.endpoints) == ["e1"]
     assert one.state.registry.revision == 9
     assert one.state.configuration_version() == 5
@@ -124,15 +124,11 @@
 
 NODES_AT_ONCE = 300
 CONNECT_S = 0.2
-"""A connect over loopback that the kernel's queue takes is there at once, else after a second."""
+"""A connect over loopback that the backlog takes is immediate; else it is retried after 1 s."""
 
 
-def test_all_nodes_of_a_data_centre_may_connect_at_once():
-    """A hundred and more fetch from one coordinator at the same moment, and it may be busy then.
-
-    A queue that is full drops the opening packet, which is sent again after a second or three. Of a
-    fleet of 300 one node sent to an endpoint 3.4 s after that had said that it leaves.
-    """
+def test_backlog_takes_connects_from_all_nodes_of_a_data_centre():
+    """A full backlog drops the SYN; its retransmission delays the fetch of a change by seconds."""
 
     async def connect_while_busy() -> int:
         with socket.create_server(("127.0.0.1", 0)) as probe:
@@ -143,7 +139,7 @@
         await node.start()
         opened = []
         try:
-            # The node's own loop stands still meanwhile.
+            # The node's event loop does not run meanwhile.
             for _ in range(NODES_AT_ONCE):
                 try:
                     opened.append(socket.create_connection(addresses.split(address), CONNECT_S))
--- a/plumarch/gateway/gossip/suspect_updates_test.py
+++ b/plumarch/gateway/gossip/suspect_updates_test.py
@@ -1,4 +1,4 @@
-"""How soon all nodes hear of a request that ends its endpoints, whatever fails meanwhile."""
+"""Tests how soon all nodes quarantine a request that crashes endpoints, under faults."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 REGIONS = gossip_fleet.Size(6, 12, regions=3)
 SETTLE_MS = 4_000
 AT_ONCE_MS = 150
-"""Two tellings on, each over a link between regions at most, and a heartbeat that comes first."""
+"""Two forwards over links between regions, and an earlier heartbeat."""
 
 WITH_LOSSES_MS = 1_500
 
@@ -26,14 +26,14 @@
 def observe_crashes(
     node: gossip_fleet.Node, fingerprint: str = "f", first: int = 0, count: int = 3
 ):
-    """Let a node see that endpoints ended under a request."""
+    """Let a node observe that endpoints crashed under a request."""
     for number in range(first, first + count):
         node.state.quarantine.ended(fingerprint, f"e{number}", quarantine.EARLY_POINTS)
         assert node.state.publish_suspect is not None
         node.state.publish_suspect(fingerprint)
 
 
-def without_hold(fleet: gossip_fleet.GossipFleet, fingerprint: str = "f") -> list[str]:
+def without_quarantine(fleet: gossip_fleet.GossipFleet, fingerprint: str = "f") -> list[str]:
     return [one.name for one in fleet.live() if one.state.quarantine.hold(fingerprint) is None]
 
 
@@ -50,34 +50,34 @@
         (REGIONS, tiers.Role.MEMBER),
     ],
 )
-def test_all_nodes_hold_a_request_back_as_soon_as_one_saw_it(size, role):
+def test_all_nodes_quarantine_a_request_at_once(size, role):
     fleet = settled(size)
     observe_crashes(some_node(fleet, role))
     fleet.run(AT_ONCE_MS)
-    assert without_hold(fleet) == []
+    assert without_quarantine(fleet) == []
 
 
-def test_ends_that_different_nodes_saw_add_up():
+def test_crashes_observed_by_different_nodes_add_up():
     fleet = settled(LARGE)
     members = sorted(fleet.with_role(tiers.Role.MEMBER), key=lambda node: node.name)
     for number, node in enumerate((members[0], members[-1], members[len(members) // 2])):
         observe_crashes(node, first=number, count=1)
-        assert len(without_hold(fleet)) == len(fleet.live())
+        assert len(without_quarantine(fleet)) == len(fleet.live())
     fleet.run(AT_ONCE_MS)
-    assert without_hold(fleet) == []
+    assert without_quarantine(fleet) == []
 
 
 @pytest.mark.parametrize("size", [SMALL, LARGE])
 @pytest.mark.parametrize("seed", range(4))
-def test_lost_late_and_doubled_datagrams_keep_it_from_nobody(size, seed):
+def test_all_nodes_learn_despite_lost_late_and_duplicate_datagrams(size, seed):
     fleet = settled(size, seed)
     fleet.lose, fleet.double, fleet.late_ms = 0.2, 0.1, 100
     observe_crashes(fleet.rng.choice(fleet.live()))
     fleet.run(WITH_LOSSES_MS)
-    assert without_hold(fleet) == []
+    assert without_quarantine(fleet) == []
 
 
-def test_a_coordinator_that_is_killed_as_it_hears_keeps_it_from_nobody():
+def test_all_nodes_learn_when_one_coordinator_is_killed():
     fleet = settled(LARGE)
     member = some_node(fleet, tiers.Role.MEMBER)
     coordinators = [
@@ -88,23 +88,23 @@
     coordinators[0].alive = False
     observe_crashes(member)
     fleet.run(AT_ONCE_MS)
-    assert without_hold(fleet) == []
+    assert without_quarantine(fleet) == []
 
 
 @pytest.mark.parametrize("size", [SMALL, LARGE])
-def test_nodes_that_were_cut_off_or_started_since_hear_of_it_later(size):
+def test_nodes_that_were_cut_off_or_started_later_learn(size):
     fleet = settled(size)
     fleet.cut = lambda one, other: (one.data_centre == "dc-c") != (other.data_centre == "dc-c")
     observe_crashes(next(node for node in fleet.live() if node.data_centre == "dc-a"))
     fleet.run(3_000)
-    assert {name.rpartition("-")[0] for name in without_hold(fleet)} == {"dc-c"}
+    assert {name.rpartition("-")[0] for name in without_quarantine(fleet)} == {"dc-c"}
     fleet.cut = lambda one, other: False
     fleet.start(1, "dc-b")
     fleet.run(9_000)
-    assert without_hold(fleet) == []
+    assert without_quarantine(fleet) == []
 
 
-def test_an_answer_after_all_clears_it_on_all_nodes():
+def test_successful_answer_clears_the_quarantine_on_all_nodes():
     fleet = settled(LARGE)
     observe_crashes(some_node(fleet, tiers.Role.MEMBER))
     fleet.run(1_000)
@@ -112,24 +112,24 @@
     assert other.state.quarantine.answered("f") and other.state.publish_suspect is not None
     other.state.publish_suspect("f")
     fleet.run(AT_ONCE_MS)
-    assert len(without_hold(fleet)) == len(fleet.live())
+    assert len(without_quarantine(fleet)) == len(fleet.live())
 
 
-def test_nothing_is_told_while_no_endpoint_ends_and_a_mass_of_ends_stays_within_bounds():
+def test_updates_are_sent_only_after_crashes_and_stay_within_bounds():
     fleet = settled(LARGE)
-    told: list[int] = []
+    sizes: list[int] = []
 
     def carry(sender: gossip_fleet.Node, datagram: bytes, address: str) -> None:
         if isinstance(gossip.datagram_decoder.decode(datagram), gossip.SuspectUpdate):
-            told.append(len(datagram))
+            sizes.append(len(datagram))
 
     fleet.carry = carry
     fleet.run(1_000)
-    assert told == []
+    assert sizes == []
     node = some_node(fleet, tiers.Role.MEMBER)
     for number in range(500):
         node.state.quarantine.ended(f"{number:016x}", f"i-{number // 50:010x}", 3)
         node.gossip.suspects.due[f"{number:016x}"] = 2
     fleet.run(250)
-    assert max(told) <= gossip.DATAGRAM_LIMIT
-    assert len(told) <= 2 * 3 * tiers.COORDINATORS
+    assert max(sizes) <= gossip.DATAGRAM_LIMIT
+    assert len(sizes) <= 2 * 3 * tiers.COORDINATORS
--- a/plumarch/gateway/gossip/unreadable_messages.py
+++ b/plumarch/gateway/gossip/unreadable_messages.py
@@ -18,7 +18,7 @@
 """Maximum length of a logged decoding error, in characters."""
 
 KINDS = 256
-"""Kinds that are told apart in the metric; bounds its labels."""
+"""Kinds that the metric distinguishes; limits its number of labels."""
 
 NO_KIND = "none"
 
