--- a/plumarch/gateway/gossip/bootstrap.py
+++ b/plumarch/gateway/gossip/bootstrap.py
@@ -15,7 +15,7 @@
 """Data centres in one datagram: about 105 bytes each, with two seniors."""
 
 UNREACHABLE_LOG_MS = 1_500
-"""Time after which an unreachable data centre is logged: covers a first contact or a failover."""
+"""Time until an unreachable data centre is logged; a failover takes less."""
 
 Send = Callable[[gossip.Datagram, Iterable[str]], None]
 
--- a/plumarch/gateway/gossip/gossiper.py
+++ b/plumarch/gateway/gossip/gossiper.py
@@ -147,7 +147,7 @@
             await asyncio.sleep(rounds.ROUND_INTERVAL_MS / 1000.0)
 
     def tick(self) -> None:
-        """Update what is known of peers, and send one heartbeat."""
+        """Update the role and what is known of peers, then send heartbeats."""
         self._decide_role()
         self.view.interval_ms = self.interval_ms()
         self.state.quota.update_age_ms = self._update_age_ms()
@@ -208,7 +208,7 @@
         return addresses
 
     def _update_addresses(self) -> Iterable[str]:
-        """Return where updates go that all nodes need at once."""
+        """Return the recipients of updates that all nodes need at once."""
         if self.view.role is not tiers.Role.COORDINATOR:
             return self._heartbeat_addresses()
         members = {peer.address for peer in self.view.neighbours()}
--- a/plumarch/gateway/gossip/permit_exchange.py
+++ b/plumarch/gateway/gossip/permit_exchange.py
@@ -1,9 +1,9 @@
 """Routes permit requests to the node that allocates an endpoint's permits.
 
 This is the senior node of the endpoint's data centre; in a large fleet members send to their own
-senior coordinator, which forwards. During a cut or a change two nodes may both allocate. Each
-scales by its reachable fraction of the fleet, so that together they stay near the rate; no
-agreement is reached, and a successor takes over no state.
+senior coordinator, which forwards. During a network partition or a change two nodes may both
+allocate. Each scales by its reachable fraction of the fleet, so that together they stay near the
+rate; no agreement is reached, and a successor takes over no state.
 """
 
 import dataclasses
--- a/plumarch/gateway/gossip/permit_exchange_test.py
+++ b/plumarch/gateway/gossip/permit_exchange_test.py
@@ -53,7 +53,7 @@
         self.nodes = 0
         self.arrivals: list[Arrival] = []
         self.received_ms: dict[tuple[str, int], int] = {}
-        self.harmed_ms: dict[str, int] = {}
+        self.fault_ms: dict[str, int] = {}
         self.fleet.run(3_000)
         for node in self.fleet.live():
             self.list_endpoint(node)
@@ -98,8 +98,8 @@
             announced_rates.ask(state, ENDPOINT, is_needed=False)
         now = self.fleet.time.now()
         known = self.received_ms.get((node.name, node.view.incarnation), now)
-        harmed = self.harmed_ms.get(node.name, now - EXEMPT_MS)
-        counts = now - known >= KNOWN_AFTER_MS and now - harmed >= EXEMPT_MS
+        fault = self.fault_ms.get(node.name, now - EXEMPT_MS)
+        counts = now - known >= KNOWN_AFTER_MS and now - fault >= EXEMPT_MS
         self.arrivals.append(Arrival(now, counts))
         announced = self.announced
         self.fleet.schedule(ANSWER_MS, lambda: self.answer(node, announced, now))
@@ -113,16 +113,16 @@
             now = self.fleet.time.now()
             self.received_ms.setdefault((node.name, node.view.incarnation), now)
 
-    def harm(self, nodes: list[gossip_fleet.Node]) -> None:
+    def mark_faulty(self, nodes: list[gossip_fleet.Node]) -> None:
         now = self.fleet.time.now()
-        self.harmed_ms |= {node.name: now for node in nodes}
+        self.fault_ms |= {node.name: now for node in nodes}
 
     def restart(self, node: gossip_fleet.Node) -> None:
-        self.harm([node])
+        self.mark_faulty([node])
         self.list_endpoint(self.fleet.start(node.number, node.data_centre))
 
     def cut(self, data_centre: str) -> None:
-        """Cut a data centre off from the others."""
+        """Partition a data centre from the others."""
         self.fleet.cut = lambda one, other: (
             (one.data_centre == data_centre) != (other.data_centre == data_centre)
         )
@@ -132,7 +132,7 @@
         self.fleet.lose, self.fleet.late_ms = 0.0, 0
         for node in self.fleet.live():
             if node.frozen:
-                self.harm([node])
+                self.mark_faulty([node])
                 self.fleet.thaw(node)
 
     def max_in_window(self) -> int:
@@ -253,7 +253,7 @@
 KINDS = ["cut", "cut node", "kill one", "kill some", "freeze", "lose", "heal", "calm", "announce"]
 
 
-def harm(session: Session, kind: str, pick: int) -> None:
+def inject(session: Session, kind: str, pick: int) -> None:
     """Inject one fault, heal, or change the announced rate."""
     fleet, nodes = session.fleet, session.fleet.live()
     node = nodes[pick % len(nodes)]
@@ -286,11 +286,11 @@
     session.serve(30.0, 2_000)
     for _ in range(rng.randint(3, 8)):
         kind = rng.choice(KINDS[:-1])
-        harm(session, kind, rng.randrange(1_000))
+        inject(session, kind, rng.randrange(1_000))
         cut = [one for one in session.fleet.live() if _is_cut(session, one)]
         for _ in range(rng.randint(2, 30)):
             session.serve(rng.choice([2.0, 30.0, 100.0]), 100)
-            session.harm(cut)
+            session.mark_faulty(cut)
     session.heal()
     session.serve(100.0, 4_000)
     return session.max_in_window() / allowed(rate)
--- a/plumarch/gateway/gossip/snapshots.py
+++ b/plumarch/gateway/gossip/snapshots.py
@@ -161,7 +161,7 @@
         request soon could not read the answer, and gets the other format. The IP identifies a peer.
         """
         if not self._is_configuration_newer(request) and not self._are_endpoints_newer(request):
-            # Without content both formats serve as well.
+            # Nothing is newer, so the answer is empty and either format can be read.
             return True
         now = self.state.clock.now()
         before = self.legacy_requests.pop(peer, None)
--- a/plumarch/gateway/gossip/suspect_updates.py
+++ b/plumarch/gateway/gossip/suspect_updates.py
@@ -24,7 +24,7 @@
 """Datagrams per heartbeat; the requests with most points go first."""
 
 QUARANTINED_INTERVAL = 16
-"""Heartbeats from one announcement of all quarantined requests to the next, for late joiners."""
+"""Heartbeats between announcements of the quarantined requests, for nodes that joined late."""
 
 Send = Callable[[gossip.Datagram, Iterable[str]], None]
 
--- a/plumarch/gateway/gossip/unreadable_messages.py
+++ b/plumarch/gateway/gossip/unreadable_messages.py
@@ -18,7 +18,7 @@
 """Maximum length of a logged decoding error, in characters."""
 
 KINDS = 256
-"""Kinds that the metric distinguishes; limits its number of labels."""
+"""Number of message kinds that the metric distinguishes."""
 
 NO_KIND = "none"
 
