--- a/plumarch/gateway/gossip/coordinators_test.py
+++ b/plumarch/gateway/gossip/coordinators_test.py
@@ -60,12 +60,12 @@
     followed = member.view.fleet_update
     assert followed is not None
     other = update_from("dc-a-99", 1, 0.5)
-    assert not member.gossip.member.take_in(other)
+    assert not member.gossip.member.apply_update(other)
     assert member.view.fleet_update == followed
     fleet.time.advance_to(fleet.time.now() + member_updates.FRESH_MS + 100)
-    assert member.gossip.member.take_in(other)
-    assert not member.gossip.member.take_in(update_from("dc-a-98", 2, 0.5))
-    assert member.gossip.member.take_in(update_from("dc-a-98", 2, 0.9))
+    assert member.gossip.member.apply_update(other)
+    assert not member.gossip.member.apply_update(update_from("dc-a-98", 2, 0.5))
+    assert member.gossip.member.apply_update(update_from("dc-a-98", 2, 0.9))
 
 
 def test_with_equal_fractions_a_member_follows_the_more_senior_coordinator():
@@ -73,8 +73,8 @@
     member = fleet.nodes["dc-a-5"]
     assert member.view.fleet_update is not None
     less_senior = update_from("dc-a-99", member.view.fleet_update.author.incarnation + 5, 1.0)
-    assert not member.gossip.member.take_in(less_senior)
-    assert member.gossip.member.take_in(msgspec.structs.replace(less_senior, incarnation=1))
+    assert not member.gossip.member.apply_update(less_senior)
+    assert member.gossip.member.apply_update(msgspec.structs.replace(less_senior, incarnation=1))
 
 
 SLOW = gossip_fleet.Size(3, 12, rate=1.0, burst=100_000.0)
--- a/plumarch/gateway/gossip/large_fleet_test.py
+++ b/plumarch/gateway/gossip/large_fleet_test.py
@@ -127,7 +127,7 @@
         fleet.run(100)
         for node in survivors:
             assert node.view.size() == 36
-            if at > fleet_view.ALIVE_TIMEOUT_MS + gossiper.BEAT_MS:
+            if at > fleet_view.ALIVE_TIMEOUT_MS + gossiper.HEARTBEAT_INTERVAL_MS:
                 assert node.state.quota.fraction <= 12 / 36
             assert node.view.role is not tiers.Role.FLAT or not node.view.is_most_senior_candidate()
 
@@ -305,7 +305,7 @@
         leaders = len({node.data_centre for node in fleet.live()})
         sent.append(fleet.datagrams[True] / 2.0 / leaders)
     standby = 1 + 1 / rounds.STANDBY_ROUNDS
-    contacts = 2 * gossiper.CONTACTED * 1000 / gossiper.BEAT_MS
+    contacts = 2 * gossiper.CONTACTS_PER_ROUND * 1000 / gossiper.HEARTBEAT_INTERVAL_MS
     assert sent[0] <= 4 * 10 * standby + contacts
     assert sent[1] <= tiers.COORDINATORS * rounds.SUMMARIES_PER_SECOND + contacts
     assert all(node.state.quota.fraction == 1.0 for node in many.live())
--- a/plumarch/gateway/gossip/member_updates.py
+++ b/plumarch/gateway/gossip/member_updates.py
@@ -1,4 +1,4 @@
-"""What a member of a large fleet makes of its coordinators' news."""
+"""Applies the fleet updates that a member of a large fleet receives."""
 
 import collections
 import dataclasses
@@ -11,23 +11,24 @@
 from plumarch.routing import endpoint_choice
 
 FLEET = "fleet"
-"""What the loads of all other nodes are kept under."""
+"""Source under which the loads of all other nodes are kept."""
 
-HEARTBEATS_KEPT = 64
-"""Heartbeats and notices whose figures are remembered, for news that answer them late: some six
-seconds of a node with ten long prompts a second."""
+MAX_SENT_FIGURES = 64
+"""Heartbeats and notices whose figures are kept for late acknowledgements."""
 
-LESS_HEARD = 0.05
-"""News of a coordinator that hears less of the fleet than another one by this part are passed over
-as long as the other one's are fresh: it froze, was cut off, or has just started."""
+FRACTION_MARGIN = 0.05
+"""A coordinator that reaches this much less of the fleet than the followed one is ignored.
+
+It was frozen or cut off, or it has just started; until the followed one's updates are stale.
+"""
 
 FRESH_MS = 350
-"""News of one coordinator are followed until they are older than this: three rounds and a half."""
+"""How long after its last update a coordinator is followed: three and a half rounds."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SentFigures:
-    """What this node had spent, and had at endpoints, when it sent a heartbeat."""
+    """This node's spending and endpoint loads when it sent a heartbeat or notice."""
 
     sequence: int
     spent: dict[str, float]
@@ -36,98 +37,100 @@
 
 @dataclasses.dataclass(slots=True)
 class MemberUpdates:
-    """Keeps what news tell, put together with what this node did since.
+    """Combines fleet updates with what this node did since.
 
     Attributes:
-      told: the figures of the last heartbeats, oldest first.
-      loads: the loads of all nodes, this one included, by who told them and endpoint.
-      ledger: how far its coordinators have counted what the nodes of the data centre admitted.
+      sent_figures: the figures of the last heartbeats and notices, earliest first.
+      loads: the loads of all nodes, this one included, by coordinator and endpoint.
+      ledger: what the coordinators counted as admitted in the data centre.
     """
 
     state: fleet_state.FleetState
     view: fleet_view.FleetView
-    told: collections.deque[SentFigures] = dataclasses.field(
-        default_factory=lambda: collections.deque(maxlen=HEARTBEATS_KEPT)
+    sent_figures: collections.deque[SentFigures] = dataclasses.field(
+        default_factory=lambda: collections.deque(maxlen=MAX_SENT_FIGURES)
     )
     loads: dict[str, dict[str, endpoint_choice.Load]] = dataclasses.field(default_factory=dict)
     ledger: spending_ledger.FollowedLedger = dataclasses.field(
         default_factory=spending_ledger.FollowedLedger
     )
 
-    def sent(self, beat: gossip.Heartbeat) -> None:
-        """Remember what a heartbeat told."""
+    def record_heartbeat(self, heartbeat: gossip.Heartbeat) -> None:
+        """Record the figures in a heartbeat."""
         spent = {name: bucket.spent for name, bucket in self.state.quota.buckets.items()}
-        loads = load_reports.from_messages(beat.loads, self.state.registry.by_name)
-        self.told.append(SentFigures(beat.sequence, spent, loads))
+        loads = load_reports.from_messages(heartbeat.loads, self.state.registry.by_name)
+        self.sent_figures.append(SentFigures(heartbeat.sequence, spent, loads))
 
-    def noticed(self, notice: gossip.LoadNotice) -> None:
-        """Remember what a notice told besides the heartbeats before it."""
-        before = self.told[-1] if self.told else SentFigures(0, {}, {})
+    def record_notice(self, notice: gossip.LoadNotice) -> None:
+        """Record the figures in a notice on top of those sent before."""
+        before = self.sent_figures[-1] if self.sent_figures else SentFigures(0, {}, {})
         spent = {**before.spent, notice.workspace: notice.spent}
         load = load_reports.from_message(notice.load)
         loads = {**before.loads, notice.load.endpoint: load}
-        self.told.append(SentFigures(notice.sequence, spent, loads))
+        self.sent_figures.append(SentFigures(notice.sequence, spent, loads))
 
-    def take_in(self, news: gossip.FleetUpdate) -> bool:
-        """Take news in.
+    def apply_update(self, update: gossip.FleetUpdate) -> bool:
+        """Apply a fleet update, if its author is the coordinator to follow.
 
         Returns:
-          Whether it counts: another coordinator may be followed, or hear more of the fleet.
+          Whether it was applied.
         """
-        author = tiers.Seniority(news.incarnation, news.node)
+        author = tiers.Seniority(update.incarnation, update.node)
         now = self.state.clock.now()
-        if not self._counts(author, news.fraction, now):
+        if not self._is_preferred(author, update.fraction, now):
             return False
         self.view.fleet_update = tiers.ReceivedFleetUpdate(
             author=author,
-            nodes=news.nodes,
-            centre_nodes=news.centre_nodes,
-            fraction=news.fraction,
-            seniors=seniors.from_messages(news.seniors),
-            followers=tuple(news.followers),
+            nodes=update.nodes,
+            centre_nodes=update.centre_nodes,
+            fraction=update.fraction,
+            seniors=seniors.from_messages(update.seniors),
+            followers=tuple(update.followers),
             received_ms=now,
         )
         return True
 
-    def _counts(self, author: tiers.Seniority, fraction: float, now: int) -> bool:
+    def _is_preferred(self, author: tiers.Seniority, fraction: float, now: int) -> bool:
         last = self.view.fleet_update
         if last is None or last.author == author or now - last.received_ms > FRESH_MS:
             return True
-        if abs(fraction - last.fraction) > LESS_HEARD:
+        if abs(fraction - last.fraction) > FRACTION_MARGIN:
             return fraction > last.fraction
         return author < last.author
 
-    def adopt_figures(self, news: gossip.FleetUpdate, taken_in: int) -> None:
-        """Take over the levels of allotments and the loads of endpoints.
+    def adopt_figures(self, update: gossip.FleetUpdate, acknowledged: int) -> None:
+        """Adopt the quota levels and endpoint loads of a fleet update.
 
         Args:
-          taken_in: sequence of the last heartbeat or notice of this node that they hold.
+          acknowledged: sequence of the last heartbeat or notice of this node that they include.
         """
-        known = next((one for one in self.told if one.sequence == taken_in), None)
+        known = next((one for one in self.sent_figures if one.sequence == acknowledged), None)
         quota = self.state.quota
-        self.ledger.take_in(news)
+        self.ledger.apply_update(update)
         if known is not None:
             self.ledger.counted |= known.spent
         buckets = {}
-        for one in news.levels:
+        for one in update.levels:
             bucket = quota.buckets.get(one.workspace)
-            untold = 0.0
+            unacknowledged = 0.0
             if bucket is not None and known is not None:
-                untold = bucket.spent - known.spent.get(one.workspace, 0.0)
+                unacknowledged = bucket.spent - known.spent.get(one.workspace, 0.0)
             buckets[one.workspace] = quota_records.ReportedBucket(
-                one.level - untold, one.part - untold, one.settled
+                one.level - unacknowledged, one.part - unacknowledged, one.settled
             )
-        quota.adopt(buckets, news.fraction)
-        self._adopt_loads(news, known.loads if known is not None else {})
-
-    def _adopt_loads(self, news: gossip.FleetUpdate, mine: dict[str, endpoint_choice.Load]) -> None:
-        """Keep the loads of the others: what is told less what of it is this node's own."""
-        told = load_reports.from_messages(news.loads, self.state.registry.by_name)
-        known = self.loads.get(news.node)
-        if known is None and not news.full:
+        quota.adopt(buckets, update.fraction)
+        self._adopt_loads(update, known.loads if known is not None else {})
+
+    def _adopt_loads(
+        self, update: gossip.FleetUpdate, mine: dict[str, endpoint_choice.Load]
+    ) -> None:
+        """Keep the loads of the other nodes: those reported less this node's own."""
+        reported = load_reports.from_messages(update.loads, self.state.registry.by_name)
+        known = self.loads.get(update.node)
+        if known is None and not update.full:
             return
-        loads = told if news.full else {**(known or {}), **told}
-        self.loads = {news.node: loads}
+        loads = reported if update.full else {**(known or {}), **reported}
+        self.loads = {update.node: loads}
         others = {}
         for endpoint, load in loads.items():
             own = mine.get(endpoint, endpoint_choice.NO_LOAD)
--- a/plumarch/gateway/gossip/region_gossip_test.py
+++ b/plumarch/gateway/gossip/region_gossip_test.py
@@ -73,7 +73,7 @@
 def test_in_one_region_summaries_go_to_all_coordinators_in_each_round():
     fleet = settled(gossip_fleet.Size(3, 12))
     node = fleet.with_role(tiers.Role.COORDINATOR)[0]
-    assert not node.gossip.rounds._far_seconds()
+    assert not node.gossip.rounds._remote_seconds()
 
 
 def test_the_first_coordinators_of_a_region_freeze_and_thaw():
