--- a/plumarch/daemon/gateway.py
+++ b/plumarch/daemon/gateway.py
@@ -149,7 +149,7 @@
             answers=version_tally.TallyBook(),
             answer_times=answer_times.AnswerTimes(),
             distances=distances,
-            memory=memory_account.of_limit(settings.memory.limit_mb),
+            memory=memory_account.from_limit(settings.memory.limit_mb),
             pressure=memory_admission.MemoryAdmission(now),
             limits=endpoint_limits.EndpointLimits(now),
             quarantine=quarantine.Quarantine(self.wall),
--- a/plumarch/daemon/status_pages.py
+++ b/plumarch/daemon/status_pages.py
@@ -49,7 +49,7 @@
     def _status(self) -> list[str]:
         """Return a line for each thing that an operator may want to look at."""
         held = [
-            f"quarantined {one.fingerprint}: ended {', '.join(end.endpoint for end in one.ends)}"
+            f"quarantined {one.fingerprint}: ended {', '.join(end.endpoint for end in one.crashes)}"
             for one in self.state.quarantine.held()[:HELD_NAMED]
         ]
         unreadable = [f"unreadable {line}" for line in self.state.unreadable.lines()]
--- a/plumarch/gateway/callers/admission.py
+++ b/plumarch/gateway/callers/admission.py
@@ -114,12 +114,12 @@
         return Refusal(503, "stopping", RETRY_ELSEWHERE_MS)
     workspace_name = workspace.name if workspace else ""
     fingerprint = request_identity.fingerprint(workspace_name, request)
-    hold = state.quarantine.hold(fingerprint)
+    hold = state.quarantine.find_quarantined(fingerprint)
     if hold is not None and hold.back_in_ms > 0:
         # Each further run would end one more endpoint, and all that runs beside it.
         return Refusal(503, "quarantined", float(hold.back_in_ms), workspace_name)
     rank = _rank(workspace, route)
-    held = memory_admission.Held(state.memory.total(), state.memory.budget)
+    held = memory_admission.MemoryUsage(state.memory.total(), state.memory.budget)
     back_in_ms = state.pressure.refuse(held, len(request.body), rank, state.memory.released)
     if back_in_ms is not None:
         back_in_ms = return_times.spread(back_in_ms, state.rng)
--- a/plumarch/gateway/callers/caller_connection.py
+++ b/plumarch/gateway/callers/caller_connection.py
@@ -55,7 +55,7 @@
     draining: bool = False
     connections: set["CallerConnection"] = dataclasses.field(default_factory=set)
     memory: memory_account.MemoryAccount = dataclasses.field(
-        default_factory=lambda: memory_account.of_limit(memory_account.DEFAULT_LIMIT_MB)
+        default_factory=lambda: memory_account.from_limit(memory_account.DEFAULT_LIMIT_MB)
     )
     time_allowed_ms: Callable[[caller_requests.Headers], float] = lambda _: BODY_TIME_MS
     cut: Callable[[str, int], None] = lambda _, __: None
--- a/plumarch/gateway/callers/incoming_body.py
+++ b/plumarch/gateway/callers/incoming_body.py
@@ -67,7 +67,7 @@
         """Return the body, which is counted until the end of its request."""
         found = bytes(self.data)
         self.data.clear()
-        self.memory.turn(self.reservation, memory_account.Purpose.KEPT_BODIES)
+        self.memory.change_purpose(self.reservation, memory_account.Purpose.KEPT_BODIES)
         return found
 
     def end(self) -> None:
@@ -75,4 +75,4 @@
         self.data.clear()
         self.memory.resize(self.reservation, 0)
         self.memory.assign(self.reservation, "")
-        self.memory.turn(self.reservation, memory_account.Purpose.REQUEST_BODIES)
+        self.memory.change_purpose(self.reservation, memory_account.Purpose.REQUEST_BODIES)
--- a/plumarch/gateway/connections/outgoing.py
+++ b/plumarch/gateway/connections/outgoing.py
@@ -129,7 +129,7 @@
             keepalive.allow_unread(self.transport, more_ms)
 
     def _check_later(self) -> None:
-        delay_s = self.progress.look_every_ms / 1000.0
+        delay_s = self.progress.check_interval_ms / 1000.0
         self.timer = asyncio.get_running_loop().call_later(delay_s, self._check)
 
     def _stop_timer(self) -> None:
--- a/plumarch/gateway/dispatch/announced_rates.py
+++ b/plumarch/gateway/dispatch/announced_rates.py
@@ -87,6 +87,6 @@
     Returns:
       Whether the endpoint may be sent to by now.
     """
-    if state.permits.is_asked(endpoint):
+    if state.permits.is_request_pending(endpoint):
         await state.permit_answers.wait(endpoint.id, max(0.0, min(ANSWER_MS, time_left_ms)))
     return state.permits.may_send(endpoint)
--- a/plumarch/gateway/dispatch/attempts.py
+++ b/plumarch/gateway/dispatch/attempts.py
@@ -275,7 +275,7 @@
         )
     except errors.ConnectFailed:
         if has_permit:
-            state.permits.give_back(endpoint)
+            state.permits.return_permit(endpoint)
         if not state.suspensions.since(began_ms):
             state.health.failure(endpoint.id)
             endpoint_outcomes.unreached(state, endpoint)
@@ -312,7 +312,7 @@
     progress.sends += 1
     progress.unresolved += 1
     if progress.sends == 1:
-        state.budget.first(admitted.service)
+        state.budget.record_first_send(admitted.service)
     state.chooser.remember(choice, admitted.parts)
     if admitted.prompt_tokens:
         state.work.sent(admitted.service, admitted.units, choice.unread_tokens)
--- a/plumarch/gateway/dispatch/lost_runs.py
+++ b/plumarch/gateway/dispatch/lost_runs.py
@@ -150,8 +150,8 @@
             runs=[[run.request, run.fingerprint, run.after_ms, run.points] for run in runs],
         )
         for run in runs:
-            was_quarantined = state.quarantine.hold(run.fingerprint) is not None
-            state.quarantine.ended(run.fingerprint, endpoint.id, run.points)
+            was_quarantined = state.quarantine.find_quarantined(run.fingerprint) is not None
+            state.quarantine.record_crash(run.fingerprint, endpoint.id, run.points)
             suspect_updates.log_change(state, run.fingerprint, was_quarantined, state.node)
             if state.publish_suspect is not None:
                 state.publish_suspect(run.fingerprint)
--- a/plumarch/gateway/dispatch/request_run.py
+++ b/plumarch/gateway/dispatch/request_run.py
@@ -164,11 +164,11 @@
     async def _may_begin(self) -> bool:
         """Return whether the request isn't held back, or is this node's to try once more."""
         state, fingerprint = self.state, self.admitted.fingerprint
-        if state.quarantine.hold(fingerprint) is None:
+        if state.quarantine.find_quarantined(fingerprint) is None:
             return True
         if state.claim_trial is not None and await state.claim_trial(fingerprint):
             return True
-        hold = state.quarantine.hold(fingerprint)
+        hold = state.quarantine.find_quarantined(fingerprint)
         self.back_in_ms = max(TRIAL_AGAIN_MS, float(hold.back_in_ms if hold is not None else 0))
         return False
 
@@ -285,8 +285,8 @@
     def _note_whole_answer(self) -> None:
         """Take in that an endpoint ran the request to its end, and lives."""
         state, fingerprint = self.state, self.admitted.fingerprint
-        was_quarantined = state.quarantine.hold(fingerprint) is not None
-        if state.quarantine.answered(fingerprint):
+        was_quarantined = state.quarantine.find_quarantined(fingerprint) is not None
+        if state.quarantine.record_answer(fingerprint):
             suspect_updates.log_change(state, fingerprint, was_quarantined, state.node)
             if state.publish_suspect is not None:
                 state.publish_suspect(fingerprint)
@@ -344,7 +344,7 @@
         known, fingerprint = self.state.quarantine, self.admitted.fingerprint
         if known.points(fingerprint) + quarantine.EARLY_POINTS >= quarantine.LIMIT:
             await self.lost.settled(last)
-        if known.hold(fingerprint) is None:
+        if known.find_quarantined(fingerprint) is None:
             return False
         self.progress.last_fault = "quarantined"
         return True
--- a/plumarch/gateway/dispatch/whole_answers.py
+++ b/plumarch/gateway/dispatch/whole_answers.py
@@ -103,4 +103,4 @@
 def _try(
     memory: memory_account.MemoryAccount, reservation: memory_account.Reservation, size: int
 ) -> bool:
-    return memory.may_hold_answer(reservation, size) and memory.resize(reservation, size)
+    return memory.answer_fits(reservation, size) and memory.resize(reservation, size)
--- a/plumarch/gateway/gossip/coordination.py
+++ b/plumarch/gateway/gossip/coordination.py
@@ -159,7 +159,7 @@
             self._ledger_of(told),
         )
         levels = {
-            one.workspace: quota_records.TakenOver(one.level, one.overdrawn)
+            one.workspace: quota_records.PeerLevel(one.level, one.overdrawn)
             for one in told.spending
             if one.settled
         }
@@ -344,7 +344,7 @@
             gossip.ReportedLevel(
                 name,
                 round(bucket.level),
-                round(bucket.part),
+                round(bucket.share),
                 bucket.settled,
                 round(self.spent[name]),
             )
--- a/plumarch/gateway/gossip/gossiper.py
+++ b/plumarch/gateway/gossip/gossiper.py
@@ -158,7 +158,7 @@
         self.state.quota.update_age_ms = self._update_age_ms()
         self.state.permits.nodes = self.view.size()
         is_flat = self.view.role is tiers.Role.FLAT
-        self.state.quota.sharers = 1 if is_flat else self.view.size()
+        self.state.quota.admitting_nodes = 1 if is_flat else self.view.size()
         for peer in self.view.tick():
             self._forget(peer)
         stale_figures.drop_old_loads(self.state, self.view)
@@ -453,7 +453,7 @@
         """
         role, near = self.view.role, data_centre == self.state.data_centre
         if role is tiers.Role.FLAT or (role is tiers.Role.COORDINATOR and near):
-            self.state.quota.lose_part(1.0 / self.view.size())
+            self.state.quota.deduct_lost_share(1.0 / self.view.size())
 
     def _meet(self, peer: peer_node.Peer) -> None:
         """Note a node that is heard for the first time, or again."""
--- a/plumarch/gateway/gossip/member_updates.py
+++ b/plumarch/gateway/gossip/member_updates.py
@@ -115,9 +115,9 @@
             if bucket is not None and known is not None:
                 untold = bucket.spent - known.spent.get(one.workspace, 0.0)
             buckets[one.workspace] = quota_records.ReportedBucket(
-                one.level - untold, one.part - untold, one.settled
+                one.level - untold, one.share - untold, one.settled
             )
-        quota.adopt(buckets, news.fraction)
+        quota.apply_fleet_levels(buckets, news.fraction)
         self._adopt_loads(news, known.loads if known is not None else {})
 
     def _adopt_loads(self, news: gossip.FleetUpdate, mine: dict[str, endpoint_choice.Load]) -> None:
--- a/plumarch/gateway/gossip/mixed_builds_test.py
+++ b/plumarch/gateway/gossip/mixed_builds_test.py
@@ -44,7 +44,7 @@
 def test_an_asker_that_takes_parts_gets_them_each_time():
     async def test() -> None:
         exchange = new_exchange()
-        asked = gossip.SnapshotRequest(-1, -1, takes_parts=True)
+        asked = gossip.SnapshotRequest(-1, -1, accepts_parts=True)
         for _ in range(3):
             told = gossip.snapshot_decoder.decode(await served(exchange, asked))
             assert len(told.endpoints) == 1
--- a/plumarch/gateway/gossip/permit_exchange_test.py
+++ b/plumarch/gateway/gossip/permit_exchange_test.py
@@ -79,7 +79,7 @@
         """Let one caller ask one node, which waits for permits since no other endpoint has room."""
         if announced_rates.may_send(node.state, ENDPOINT):
             self.send(node)
-        elif node.state.permits.is_asked(ENDPOINT):
+        elif node.state.permits.is_request_pending(ENDPOINT):
             self.wait(node, self.fleet.time.now() + round(announced_rates.ANSWER_MS))
 
     def wait(self, node: gossip_fleet.Node, until_ms: int) -> None:
@@ -89,7 +89,7 @@
             return
         if permits.may_send(ENDPOINT):
             self.send(node)
-        elif permits.is_asked(ENDPOINT):
+        elif permits.is_request_pending(ENDPOINT):
             self.fleet.schedule(1, lambda: self.wait(node, until_ms))
 
     def send(self, node: gossip_fleet.Node) -> None:
--- a/plumarch/gateway/gossip/snapshots.py
+++ b/plumarch/gateway/gossip/snapshots.py
@@ -94,8 +94,8 @@
         held = gossip.SnapshotRequest(
             self.state.configuration_version(),
             self.state.registry.revision,
-            takes_compressed=True,
-            takes_parts=True,
+            accepts_compressed=True,
+            accepts_parts=True,
         )
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_MS / 1000.0):
@@ -140,7 +140,7 @@
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_MS / 1000.0):
                 asked = gossip.request_decoder.decode(await frames.read(reader, gossip.FRAME_LIMIT))
-                in_parts = asked.takes_parts or self._guess(
+                in_parts = asked.accepts_parts or self._guess(
                     writer.get_extra_info("peername")[0], asked
                 )
                 writer.write(frames.pack(self._answer(asked, in_parts)))
@@ -177,7 +177,7 @@
 
     def _answer(self, asked: gossip.SnapshotRequest, in_parts: bool = True) -> bytes:
         """Return the answer to one peer; the same one is not put together twice."""
-        if not asked.takes_compressed:
+        if not asked.accepts_compressed:
             return gossip.encoder.encode(self._told(asked, in_parts))
         contents = Contents(
             self.state.configuration_version(),
--- a/plumarch/gateway/gossip/snapshots_test.py
+++ b/plumarch/gateway/gossip/snapshots_test.py
@@ -38,7 +38,7 @@
     return snapshots.SnapshotExchange(state)
 
 
-NOTHING_HELD = gossip.SnapshotRequest(-1, -1, takes_compressed=True)
+NOTHING_HELD = gossip.SnapshotRequest(-1, -1, accepts_compressed=True)
 
 
 def test_a_large_configuration_is_compressed_and_read_back():
@@ -59,7 +59,7 @@
 def test_an_answer_made_for_older_versions_is_not_given_again():
     one = exchange(2)
     first = one._answer(NOTHING_HELD)
-    held = one._answer(gossip.SnapshotRequest(5, -1, takes_compressed=True))
+    held = one._answer(gossip.SnapshotRequest(5, -1, accepts_compressed=True))
     assert snapshots._unpack(held).configuration == []
     one.state.registry.replace([], 9, "store")
     assert one._answer(NOTHING_HELD) != first
--- a/plumarch/gateway/gossip/suspect_updates.py
+++ b/plumarch/gateway/gossip/suspect_updates.py
@@ -112,7 +112,7 @@
     """
     known = state.quarantine
     told = list(suspects)
-    before = {one.fingerprint: known.hold(one.fingerprint) is not None for one in told}
+    before = {one.fingerprint: known.find_quarantined(one.fingerprint) is not None for one in told}
     news = known.merge(told)
     for name in news:
         log_change(state, name, before[name], source)
@@ -123,14 +123,14 @@
     state: fleet_state.FleetState, fingerprint: str, was_quarantined: bool, source: str
 ) -> None:
     """Log that a request is held back from now on, or no longer."""
-    hold = state.quarantine.hold(fingerprint)
+    hold = state.quarantine.find_quarantined(fingerprint)
     if hold is not None and not was_quarantined:
         state.measures.quarantined.add("held")
         state.log.write(
             "quarantined",
             urgent=True,
             fingerprint=fingerprint,
-            endpoints=[end.endpoint for end in hold.suspect.ends],
+            endpoints=[end.endpoint for end in hold.suspect.crashes],
             points=hold.suspect.points(),
             trials=hold.suspect.trials,
             trial_in_ms=hold.back_in_ms,
--- a/plumarch/gateway/gossip/suspect_updates_test.py
+++ b/plumarch/gateway/gossip/suspect_updates_test.py
@@ -28,13 +28,17 @@
 ):
     """Let a node see that endpoints ended under a request."""
     for number in range(first, first + count):
-        node.state.quarantine.ended(fingerprint, f"e{number}", quarantine.EARLY_POINTS)
+        node.state.quarantine.record_crash(fingerprint, f"e{number}", quarantine.EARLY_POINTS)
         assert node.state.publish_suspect is not None
         node.state.publish_suspect(fingerprint)
 
 
 def without_hold(fleet: gossip_fleet.GossipFleet, fingerprint: str = "f") -> list[str]:
-    return [one.name for one in fleet.live() if one.state.quarantine.hold(fingerprint) is None]
+    return [
+        one.name
+        for one in fleet.live()
+        if one.state.quarantine.find_quarantined(fingerprint) is None
+    ]
 
 
 def some_node(fleet: gossip_fleet.GossipFleet, role: tiers.Role) -> gossip_fleet.Node:
@@ -109,7 +113,7 @@
     observe_crashes(some_node(fleet, tiers.Role.MEMBER))
     fleet.run(1_000)
     other = some_node(fleet, tiers.Role.COORDINATOR)
-    assert other.state.quarantine.answered("f") and other.state.publish_suspect is not None
+    assert other.state.quarantine.record_answer("f") and other.state.publish_suspect is not None
     other.state.publish_suspect("f")
     fleet.run(AT_ONCE_MS)
     assert len(without_hold(fleet)) == len(fleet.live())
@@ -128,7 +132,7 @@
     assert told == []
     node = some_node(fleet, tiers.Role.MEMBER)
     for number in range(500):
-        node.state.quarantine.ended(f"{number:016x}", f"i-{number // 50:010x}", 3)
+        node.state.quarantine.record_crash(f"{number:016x}", f"i-{number // 50:010x}", 3)
         node.gossip.suspects.due[f"{number:016x}"] = 2
     fleet.run(250)
     assert max(told) <= gossip.DATAGRAM_LIMIT
--- a/plumarch/gateway/relay.py
+++ b/plumarch/gateway/relay.py
@@ -48,7 +48,7 @@
     def back_in_ms(self, size: int) -> float:
         """Return when a caller had better come back with a body that there was no room for."""
         pressure = self.state.pressure
-        pressure.learn(self.state.memory.released)
+        pressure.update_rate(self.state.memory.released)
         return return_times.spread(pressure.back_in_ms(size), self.state.rng)
 
     def caller_cut(self, reason: str, unread: int) -> None:
--- a/plumarch/gateway/store/quarantine_record.py
+++ b/plumarch/gateway/store/quarantine_record.py
@@ -138,7 +138,7 @@
         """Let all requests run again, since operators removed the record."""
         self.revision, self.recorded = 0, {}
         known = self.state.quarantine
-        lifted = [name for name in known.suspects if known.cleared(name)]
+        lifted = [name for name in known.suspects if known.clear_suspect(name)]
         self.state.log.write("quarantine_lifted", urgent=True, requests=len(lifted))
         for name in lifted:
             self._tell(name)
@@ -229,7 +229,7 @@
     async def claim(self, fingerprint: str) -> bool:
         """Return whether this node, and no other one, may try a request that is held back now."""
         await self._read()
-        hold = self.state.quarantine.hold(fingerprint)
+        hold = self.state.quarantine.find_quarantined(fingerprint)
         if hold is None:
             return True
         if hold.back_in_ms > 0:
@@ -243,7 +243,7 @@
                 "trial_not_granted", fingerprint=fingerprint, trials=trials, error=str(error)
             )
             return False
-        self.state.quarantine.tried(fingerprint, trials)
+        self.state.quarantine.record_trial(fingerprint, trials)
         self._tell(fingerprint)
         self.state.log.write(
             "quarantine_trial", urgent=True, fingerprint=fingerprint, trials=trials
@@ -260,7 +260,7 @@
 
 def encode(suspects: list[quarantine.Suspect]) -> str:
     """Return requests as the store keeps them."""
-    told = [suspect_entries.to_message(one, quarantine.ENDS_KEPT) for one in suspects]
+    told = [suspect_entries.to_message(one, quarantine.MAX_CRASHES) for one in suspects]
     return msgspec.json.encode(told).decode()
 
 
--- a/plumarch/gateway/store/quarantine_record_test.py
+++ b/plumarch/gateway/store/quarantine_record_test.py
@@ -34,14 +34,14 @@
     node: gossip_fleet.Node, first: int, count: int, fingerprint: str = "f"
 ) -> None:
     for number in range(first, first + count):
-        node.state.quarantine.ended(fingerprint, f"e{number}", quarantine.EARLY_POINTS)
+        node.state.quarantine.record_crash(fingerprint, f"e{number}", quarantine.EARLY_POINTS)
         assert node.state.publish_suspect is not None
         node.state.publish_suspect(fingerprint)
 
 
 def without_hold(replay: store_replay.StoreReplay) -> list[str]:
     live = replay.fleet.live()
-    return [node.name for node in live if node.state.quarantine.hold("f") is None]
+    return [node.name for node in live if node.state.quarantine.find_quarantined("f") is None]
 
 
 @pytest.mark.parametrize("size", [SMALL, LARGE])
@@ -175,7 +175,7 @@
     found = {
         f"{number:03}": quarantine.Suspect(
             f"{number:03}",
-            tuple(quarantine.End(f"e{end}", now - number, 3) for end in range(2 + number % 2)),
+            tuple(quarantine.Crash(f"e{end}", now - number, 3) for end in range(2 + number % 2)),
         )
         for number in range(200)
     }
--- a/plumarch/limits/attempt_budget.py
+++ b/plumarch/limits/attempt_budget.py
@@ -40,7 +40,7 @@
     nodes: int = 8
     services: dict[str, ServiceWindow] = dataclasses.field(default_factory=dict)
 
-    def first(self, service: str) -> None:
+    def record_first_send(self, service: str) -> None:
         """Count a first send."""
         self._window(service).firsts.append(self.clock.now())
 
--- a/plumarch/limits/attempt_budget_test.py
+++ b/plumarch/limits/attempt_budget_test.py
@@ -23,7 +23,7 @@
     time = clock.ManualClock()
     budget = budget_of(time)
     for _ in range(100):
-        budget.first("s")
+        budget.record_first_send("s")
     assert sum(budget.take("s") for _ in range(100)) == int(0.8 * (0.2 * 100 + 10))
     time.advance_to(WINDOW_MS + 1)
     assert sum(budget.take("s") for _ in range(100)) == int(0.8 * 10)
@@ -55,7 +55,7 @@
     repeats: list[int] = []
     for node, action in steps:
         if action == "first":
-            nodes[node].first("s")
+            nodes[node].record_first_send("s")
             firsts.append(time.now())
         elif action == "again":
             if nodes[node].take("s"):
--- a/plumarch/limits/memory_account.py
+++ b/plumarch/limits/memory_account.py
@@ -129,14 +129,14 @@
         self._add_up(reservation, reservation.size)
         return True
 
-    def turn(self, reservation: Reservation, purpose: Purpose) -> None:
+    def change_purpose(self, reservation: Reservation, purpose: Purpose) -> None:
         """Say that bytes are held for another purpose from now on."""
         if reservation.size:
             self._add_up(reservation, -reservation.size)
             self._add_up(dataclasses.replace(reservation, purpose=purpose), reservation.size)
         reservation.purpose = purpose
 
-    def may_hold_answer(self, reservation: Reservation, size: int) -> bool:
+    def answer_fits(self, reservation: Reservation, size: int) -> bool:
         """Return whether a whole answer fits into the room for answers.
 
         One that is larger than this room is let in when it is the only one.
@@ -196,7 +196,7 @@
         sizes.pop(key, None)
 
 
-def of_limit(limit_mb: float) -> MemoryAccount:
+def from_limit(limit_mb: float) -> MemoryAccount:
     """Return the account of a process.
 
     Args:
--- a/plumarch/limits/memory_account_test.py
+++ b/plumarch/limits/memory_account_test.py
@@ -19,7 +19,7 @@
 
 
 def test_the_budget_is_a_part_of_the_limit():
-    assert memory_account.of_limit(LIMIT_MB).budget <= 0.6 * LIMIT_MB * 2**20
+    assert memory_account.from_limit(LIMIT_MB).budget <= 0.6 * LIMIT_MB * 2**20
 
 
 steps = strategies.lists(
@@ -49,7 +49,7 @@
         before = reservation.size
         assert account.resize(reservation, size) or reservation.size == before < size
         if turns:
-            account.turn(reservation, rng.choice(list(Purpose)))
+            account.change_purpose(reservation, rng.choice(list(Purpose)))
             account.assign(reservation, rng.choice(["", "w1", "w2"]))
         check(account, list(open_ones.values()))
     for reservation in open_ones.values():
@@ -103,9 +103,9 @@
     account = memory_account.MemoryAccount(BUDGET)
     first = answers("a", 15_000_000, account)
     second = Reservation("b", "", Purpose.UNREAD_ANSWERS)
-    assert not account.may_hold_answer(second, 18_000_000)
+    assert not account.answer_fits(second, 18_000_000)
     woken: list[bool] = []
-    account.waiting.append(lambda: woken.append(account.may_hold_answer(second, 18_000_000)))
+    account.waiting.append(lambda: woken.append(account.answer_fits(second, 18_000_000)))
     account.resize(first, 0)
     assert woken == [True]
     assert account.waiting == []
@@ -127,6 +127,6 @@
             assert account.resize(stream, stream.size + 5_000)
     assert account.stream_bound("v") >= 500_000
     slow = Reservation("x", "w", Purpose.UNREAD_ANSWERS)
-    assert not account.may_hold_answer(slow, 4_000_000)
-    assert account.may_hold_answer(slow, memory_account.SMALL_ANSWER_BYTES)
-    assert account.may_hold_answer(Reservation("y", "v", Purpose.UNREAD_ANSWERS), 4_000_000)
+    assert not account.answer_fits(slow, 4_000_000)
+    assert account.answer_fits(slow, memory_account.SMALL_ANSWER_BYTES)
+    assert account.answer_fits(Reservation("y", "v", Purpose.UNREAD_ANSWERS), 4_000_000)
--- a/plumarch/limits/memory_admission.py
+++ b/plumarch/limits/memory_admission.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
+class MemoryUsage:
     """What a node holds.
 
     Attributes:
@@ -54,7 +54,7 @@
         return min(1.0, max(0.0, (share - START) / (FULL - START)))
 
 
-def is_refused(held: Held, size: int, rank: int) -> bool:
+def is_refused(held: MemoryUsage, size: int, rank: int) -> bool:
     """Return whether a request is turned away.
 
     Args:
@@ -85,13 +85,13 @@
     looked_ms: int = -1
     rate: float = 0.0
 
-    def refuse(self, held: Held, size: int, rank: int, released: int) -> float | None:
+    def refuse(self, held: MemoryUsage, size: int, rank: int, released: int) -> float | None:
         """Return in how many ms a request may come back, or None if it is taken on.
 
         Args:
           released: bytes that were given back since the start.
         """
-        self.learn(released)
+        self.update_rate(released)
         if not is_refused(held, size, rank):
             return None
         over = held.total + size - round(START * held.budget)
@@ -103,7 +103,7 @@
             return MAX_BACK_MS
         return min(MAX_BACK_MS, max(MIN_BACK_MS, over / self.rate))
 
-    def learn(self, released: int) -> None:
+    def update_rate(self, released: int) -> None:
         """Take in how many bytes were given back since the start."""
         now = self.clock.now()
         if self.looked_ms < 0:
--- a/plumarch/limits/memory_admission_test.py
+++ b/plumarch/limits/memory_admission_test.py
@@ -5,7 +5,7 @@
 
 from plumarch.core import clock
 from plumarch.limits import memory_account, memory_admission
-from plumarch.limits.memory_admission import Held
+from plumarch.limits.memory_admission import MemoryUsage
 
 BUDGET = 1_000_000
 shares = strategies.floats(0.0, 1.2)
@@ -13,8 +13,8 @@
 sizes = strategies.integers(0, BUDGET)
 
 
-def held(share: float) -> Held:
-    return Held(round(share * BUDGET), BUDGET)
+def held(share: float) -> MemoryUsage:
+    return MemoryUsage(round(share * BUDGET), BUDGET)
 
 
 @hypothesis.given(shares, sizes, ranks, shares, sizes, ranks)
--- a/plumarch/limits/quarantine.py
+++ b/plumarch/limits/quarantine.py
@@ -33,7 +33,7 @@
 """Ends of one endpoint that are told with times so near are one and the same, seen by two nodes. No
 process is back that soon."""
 
-ENDS_KEPT = 12
+MAX_CRASHES = 12
 """Ends that are kept of a request, the newest ones; nine late ones hold it back."""
 
 FIRST_TRIAL_MS = 60_000
@@ -69,7 +69,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class End:
+class Crash:
     """An endpoint that ended while it ran a request.
 
     Attributes:
@@ -95,14 +95,14 @@
     """
 
     fingerprint: str
-    ends: tuple[End, ...] = ()
+    crashes: tuple[Crash, ...] = ()
     trials: int = 0
     tried_ms: int = 0
     cleared_ms: int = 0
 
     def points(self) -> int:
         """Return how much speaks against it."""
-        return sum(end.points for end in self.ends)
+        return sum(end.points for end in self.crashes)
 
     def is_quarantined(self) -> bool:
         """Return whether it is held back."""
@@ -110,12 +110,12 @@
 
     def last_ms(self) -> int:
         """Return when something was learned of it last."""
-        newest = self.ends[-1].at_ms if self.ends else 0
+        newest = self.crashes[-1].at_ms if self.crashes else 0
         return max(newest, self.tried_ms, self.cleared_ms)
 
     def next_trial_ms(self) -> int:
         """Return when it may be tried again."""
-        newest = self.ends[-1].at_ms if self.ends else 0
+        newest = self.crashes[-1].at_ms if self.crashes else 0
         return max(newest, self.tried_ms) + pause_ms(self.trials)
 
     def is_over(self, now: int) -> bool:
@@ -154,7 +154,7 @@
     def __post_init__(self) -> None:
         self.answers = recent_answers.RecentAnswers(self.clock)
 
-    def hold(self, fingerprint: str) -> Hold | None:
+    def find_quarantined(self, fingerprint: str) -> Hold | None:
         """Return how long a request is held back, or None if it may run."""
         suspect = self.suspects.get(fingerprint)
         if suspect is None or not suspect.is_quarantined():
@@ -166,7 +166,7 @@
         suspect = self.suspects.get(fingerprint)
         return suspect.points() if suspect is not None else 0
 
-    def ended(self, fingerprint: str, endpoint: str, points: int) -> bool:
+    def record_crash(self, fingerprint: str, endpoint: str, points: int) -> bool:
         """Take in that an endpoint ended while it ran a request.
 
         One that was answered lately is as little to blame as one that had run for long.
@@ -174,23 +174,23 @@
         Returns:
           Whether it is held back by that from now on.
         """
-        was_quarantined = self.hold(fingerprint) is not None
+        was_quarantined = self.find_quarantined(fingerprint) is not None
         if self.answers.has(fingerprint):
             points = min(points, LATE_POINTS)
-        end = End(endpoint, self.clock.now(), points)
+        end = Crash(endpoint, self.clock.now(), points)
         self.merge([Suspect(fingerprint, (end,))])
-        return not was_quarantined and self.hold(fingerprint) is not None
+        return not was_quarantined and self.find_quarantined(fingerprint) is not None
 
-    def answered(self, fingerprint: str) -> bool:
+    def record_answer(self, fingerprint: str) -> bool:
         """Take in that an endpoint answered a request: what ended others was something else.
 
         Returns:
           Whether anything spoke against it.
         """
         self.answers.note(fingerprint)
-        return self.cleared(fingerprint)
+        return self.clear_suspect(fingerprint)
 
-    def cleared(self, fingerprint: str) -> bool:
+    def clear_suspect(self, fingerprint: str) -> bool:
         """Take in that what was known of a request is void.
 
         Returns:
@@ -200,7 +200,7 @@
             return False
         return bool(self.merge([Suspect(fingerprint, cleared_ms=self.clock.now())]))
 
-    def tried(self, fingerprint: str, trials: int) -> None:
+    def record_trial(self, fingerprint: str, trials: int) -> None:
         """Take in that a trial of a request begins now.
 
         Args:
@@ -254,22 +254,22 @@
 def merge(one: Suspect, other: Suspect) -> Suspect:
     """Put together what two nodes know of the same request."""
     cleared_ms = max(one.cleared_ms, other.cleared_ms)
-    ends = [end for end in {*one.ends, *other.ends} if end.at_ms > cleared_ms]
+    ends = [end for end in {*one.crashes, *other.crashes} if end.at_ms > cleared_ms]
     return Suspect(
         one.fingerprint,
-        tuple(_without_doubles(ends)[-ENDS_KEPT:]),
+        tuple(_without_doubles(ends)[-MAX_CRASHES:]),
         max(one.trials, other.trials),
         max(one.tried_ms, other.tried_ms),
         cleared_ms,
     )
 
 
-def _without_doubles(ends: Iterable[End]) -> list[End]:
+def _without_doubles(ends: Iterable[Crash]) -> list[Crash]:
     """Return each end once, in the order of time, as the node saw it that blames the request more.
 
     Each end is seen by a few nodes within some ms, and the same endpoint is back seconds later.
     """
-    found: list[End] = []
+    found: list[Crash] = []
     for end in sorted(ends, key=lambda end: (end.at_ms, end.endpoint, -end.points)):
         twin = next((one for one in reversed(found) if _are_same(one, end)), None)
         if twin is None:
@@ -279,12 +279,12 @@
     return found
 
 
-def _are_same(one: End, other: End) -> bool:
+def _are_same(one: Crash, other: Crash) -> bool:
     return one.endpoint == other.endpoint and other.at_ms - one.at_ms < SAME_END_MS
 
 
 def _not_later(one: Suspect, now: int) -> Suspect:
     """Return what was told with no time after now: a clock that is ahead must void no later end."""
-    ends = tuple(dataclasses.replace(end, at_ms=min(end.at_ms, now)) for end in one.ends)
+    ends = tuple(dataclasses.replace(end, at_ms=min(end.at_ms, now)) for end in one.crashes)
     tried_ms, cleared_ms = min(one.tried_ms, now), min(one.cleared_ms, now)
-    return dataclasses.replace(one, ends=ends, tried_ms=tried_ms, cleared_ms=cleared_ms)
+    return dataclasses.replace(one, crashes=ends, tried_ms=tried_ms, cleared_ms=cleared_ms)
--- a/plumarch/limits/quarantine_test.py
+++ b/plumarch/limits/quarantine_test.py
@@ -21,26 +21,26 @@
 
 def hold_back(known: quarantine.Quarantine, fingerprint: str = "f") -> None:
     for number in range(3):
-        known.ended(fingerprint, f"e{number}", EARLY)
+        known.record_crash(fingerprint, f"e{number}", EARLY)
 
 
 def test_a_request_is_held_back_once_three_endpoints_ended_as_it_began_there():
     known, _ = new()
-    assert [known.ended("f", f"e{number}", EARLY) for number in range(4)] == [
+    assert [known.record_crash("f", f"e{number}", EARLY) for number in range(4)] == [
         False,
         False,
         True,
         False,
     ]
-    held = known.hold("f")
+    held = known.find_quarantined("f")
     assert held is not None and held.back_in_ms == quarantine.FIRST_TRIAL_MS
-    assert known.hold("g") is None
+    assert known.find_quarantined("g") is None
 
 
 def test_the_end_of_an_endpoint_that_two_nodes_see_counts_once():
     known, wall = new()
     for _ in range(3):
-        known.ended("f", "e", EARLY)
+        known.record_crash("f", "e", EARLY)
         wall.time_ms += 20
     assert known.points("f") == EARLY
 
@@ -48,29 +48,29 @@
 def test_an_endpoint_that_is_back_under_its_name_and_ends_again_counts_again():
     known, wall = new()
     for _ in range(3):
-        known.ended("f", "e", EARLY)
+        known.record_crash("f", "e", EARLY)
         wall.time_ms += 4_000
-    assert known.hold("f") is not None
+    assert known.find_quarantined("f") is not None
 
 
 def test_a_long_stream_that_outlives_several_endpoints_is_not_held_back_for_it():
     known, _ = new()
     for number in range(8):
-        assert not known.ended("stream", f"e{number}", LATE)
-    assert known.ended("stream", "e9", LATE)
+        assert not known.record_crash("stream", f"e{number}", LATE)
+    assert known.record_crash("stream", "e9", LATE)
 
 
 def test_an_answer_clears_it_and_voids_only_what_was_before():
     known, wall = new()
     hold_back(known)
     wall.time_ms += 1_000
-    assert known.answered("f")
-    assert known.hold("f") is None and not known.answered("f")
+    assert known.record_answer("f")
+    assert known.find_quarantined("f") is None and not known.record_answer("f")
     wall.time_ms += 1_000
-    known.ended("f", "e7", EARLY)
+    known.record_crash("f", "e7", EARLY)
     assert known.points("f") == quarantine.LATE_POINTS
     wall.time_ms += recent_answers.RETENTION_MS
-    known.ended("f", "e8", EARLY)
+    known.record_crash("f", "e8", EARLY)
     assert known.points("f") == quarantine.LATE_POINTS + EARLY
 
 
@@ -78,9 +78,9 @@
     known, wall = new()
     hold_back(known)
     wall.time_ms += 1_000
-    assert known.cleared("f")
+    assert known.clear_suspect("f")
     wall.time_ms += 1_000
-    known.ended("f", "e7", EARLY)
+    known.record_crash("f", "e7", EARLY)
     assert known.points("f") == EARLY
 
 
@@ -89,27 +89,27 @@
     hold_back(known)
     pauses = []
     for trial in range(1, 7):
-        held = known.hold("f")
+        held = known.find_quarantined("f")
         assert held is not None
         pauses.append(held.back_in_ms)
         wall.time_ms += held.back_in_ms
-        again = known.hold("f")
+        again = known.find_quarantined("f")
         assert again is not None and again.back_in_ms == 0
-        known.tried("f", trial)
-        known.ended("f", f"t{trial}", EARLY)
+        known.record_trial("f", trial)
+        known.record_crash("f", f"t{trial}", EARLY)
     assert pauses[:3] == [60_000, 240_000, 960_000]
     assert pauses == sorted(pauses) and pauses[-1] == quarantine.MAX_PAUSE_MS
 
 
 def test_what_is_long_past_is_forgotten():
     known, wall = new()
-    known.ended("seldom", "e1", EARLY)
+    known.record_crash("seldom", "e1", EARLY)
     hold_back(known)
     wall.time_ms += quarantine.SUSPECT_RETENTION_MS + 1
-    known.ended("other", "e2", EARLY)
+    known.record_crash("other", "e2", EARLY)
     assert sorted(known.suspects) == ["f", "other"]
     wall.time_ms += quarantine.QUARANTINE_RETENTION_MS
-    known.ended("last", "e3", EARLY)
+    known.record_crash("last", "e3", EARLY)
     assert sorted(known.suspects) == ["last"]
 
 
@@ -118,9 +118,9 @@
     hold_back(known)
     for number in range(quarantine.MAX_SUSPECTS + 50):
         wall.time_ms += 1
-        known.ended(f"bystander-{number}", "e", EARLY)
+        known.record_crash(f"bystander-{number}", "e", EARLY)
     assert len(known.suspects) == quarantine.MAX_SUSPECTS
-    assert known.hold("f") is not None
+    assert known.find_quarantined("f") is not None
 
 
 def test_a_clock_that_is_ahead_voids_no_end_that_comes_later():
@@ -128,20 +128,20 @@
     known.merge([quarantine.Suspect("f", cleared_ms=START_MS + 3_600_000)])
     wall.time_ms += 1
     hold_back(known)
-    assert known.hold("f") is not None
+    assert known.find_quarantined("f") is not None
 
 
 def test_operators_lift_all():
     known, _ = new()
     hold_back(known)
     assert known.lift() == 1
-    assert known.hold("f") is None
+    assert known.find_quarantined("f") is None
 
 
 def facts() -> list[quarantine.Suspect]:
     """Return what several nodes saw of one request, one thing each."""
     ends = [
-        quarantine.End(f"e{number}", START_MS + 3_000 * number + 7 * seen_by, EARLY + seen_by - 1)
+        quarantine.Crash(f"e{number}", START_MS + 3_000 * number + 7 * seen_by, EARLY + seen_by - 1)
         for number in range(4)
         for seen_by in range(2)
     ]
--- a/plumarch/limits/quota_records.py
+++ b/plumarch/limits/quota_records.py
@@ -18,7 +18,7 @@
     """
 
     level: float
-    part: float
+    share: float
     updated_ms: int
     settled: bool
     spent: float = 0.0
@@ -45,12 +45,12 @@
     """
 
     level: float
-    part: float
+    share: float
     settled: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TakenOver:
+class PeerLevel:
     """What another node believes to be left of a workspace's allotment.
 
     Attributes:
--- a/plumarch/limits/rate_permits.py
+++ b/plumarch/limits/rate_permits.py
@@ -213,7 +213,7 @@
         one.demand.append(now)
         return True
 
-    def give_back(self, endpoint: traffic.Endpoint) -> None:
+    def return_permit(self, endpoint: traffic.Endpoint) -> None:
         """Return a permit whose request did not reach the endpoint."""
         one = self._limited(endpoint)
         if one is not None:
@@ -233,7 +233,7 @@
         now = self.clock.now()
         if is_needed:
             one.demand.append(now)
-        if self.is_asked(endpoint) or now < one.pause_until_ms:
+        if self.is_request_pending(endpoint) or now < one.pause_until_ms:
             return None
         self._has_permit(one)
         lately = sum(now - at < DEMAND_MS for at in one.demand)
@@ -258,7 +258,7 @@
         announcement = rate_allocator.Announcement(one.per_s, age_ms)
         return rate_allocator.PermitRequest(self.node, one.id, sequence, count, announcement)
 
-    def is_asked(self, endpoint: traffic.Endpoint) -> bool:
+    def is_request_pending(self, endpoint: traffic.Endpoint) -> bool:
         """Return whether an answer to a request for permits is to be expected."""
         one = self._limited(endpoint)
         if one is None or one.last_request_ms is None:
@@ -273,7 +273,7 @@
         """
         changed = self.learn(endpoint, answer.announcement)
         one = self._limited(endpoint)
-        if one is None or answer.sequence != one.sequence or not self.is_asked(endpoint):
+        if one is None or answer.sequence != one.sequence or not self.is_request_pending(endpoint):
             return changed
         now = self.clock.now()
         one.last_request_ms = one.silent_since_ms = one.turn_ms = None
--- a/plumarch/limits/rate_permits_test.py
+++ b/plumarch/limits/rate_permits_test.py
@@ -82,7 +82,7 @@
     node.announced(1.0)
     node.grant(1)
     node.permits.use(ENDPOINT)
-    node.permits.give_back(ENDPOINT)
+    node.permits.return_permit(ENDPOINT)
     assert node.permits.may_send(ENDPOINT)
 
 
--- a/plumarch/limits/read_progress.py
+++ b/plumarch/limits/read_progress.py
@@ -14,13 +14,13 @@
 
     Attributes:
       limit_ms: how long it may read nothing.
-      look_every_ms: the time between two looks.
+      check_interval_ms: the time between two looks.
       taken: bytes that it took since the start.
       since_ms: when it took the last of them, or when there was first something to read.
     """
 
     limit_ms: float
-    look_every_ms: float = math.inf
+    check_interval_ms: float = math.inf
     taken: int = 0
     since_ms: float = 0.0
     looked_ms: float = 0.0
@@ -36,7 +36,7 @@
         Returns:
           Whether nothing was taken for longer than the limit.
         """
-        is_late = now_ms - self.looked_ms >= LATE * self.look_every_ms
+        is_late = now_ms - self.looked_ms >= LATE * self.check_interval_ms
         if taken > self.taken or is_late:
             self.begin(taken, now_ms)
         self.looked_ms = now_ms
--- a/plumarch/limits/workspace_quota.py
+++ b/plumarch/limits/workspace_quota.py
@@ -77,7 +77,7 @@
         default_factory=quota_tolerance.Tolerance
     )
     fraction: float = 1.0
-    sharers: int = 1
+    admitting_nodes: int = 1
     update_age_ms: float = quota_tolerance.FRESH_NEWS_MS
     workspaces: Mapping[str, traffic.Workspace] = dataclasses.field(default_factory=dict)
     buckets: dict[str, quota_records.Bucket] = dataclasses.field(default_factory=dict)
@@ -105,14 +105,14 @@
         if workspace.rate <= 0:
             return 0.0
         bucket = self._refill(workspace)
-        available = bucket.level if self.fraction >= 1.0 else bucket.part
+        available = bucket.level if self.fraction >= 1.0 else bucket.share
         if bucket.settled:
             available -= self._left_to_others(workspace, rank)
         needed = min(units, self._least(workspace, units))
         if available < needed:
             refill = self.tolerance.refill(workspace, self.update_age_ms) * self.fraction
             return max(1.0, (needed - available) / max(refill, 1e-9) * 1000.0)
-        ample = self.sharers == 1 or self._is_ample(workspace, available)
+        ample = self.admitting_nodes == 1 or self._is_ample(workspace, available)
         if bucket.own < 0 and not ample:
             return max(1.0, -bucket.own / max(self._own_refill(workspace), 1e-9) * 1000.0)
         self._charge(bucket, units)
@@ -130,7 +130,7 @@
 
     def _own_refill(self, workspace: traffic.Workspace) -> float:
         """Return the units a second that are this node's share of the refill."""
-        return self.tolerance.refill(workspace, self.update_age_ms) / self.sharers
+        return self.tolerance.refill(workspace, self.update_age_ms) / self.admitting_nodes
 
     def _own_most(self, workspace: traffic.Workspace) -> float:
         """Return the units that this node may save of its share, or be behind."""
@@ -156,7 +156,7 @@
     @staticmethod
     def _charge(bucket: quota_records.Bucket, units: float) -> None:
         bucket.level -= units
-        bucket.part -= units
+        bucket.share -= units
         bucket.charged += units
 
     def _charge_others(self, source: str, name: str, units: float) -> None:
@@ -187,15 +187,15 @@
         self.refill_all()
         for name, bucket in self.buckets.items():
             if self.fraction >= 1.0:
-                bucket.part = bucket.level
+                bucket.share = bucket.level
             left = max(0.0, bucket.level)
             if fraction < self.fraction:
                 left = max(0.0, bucket.level + self._charged_unheard(name))
-            bucket.part += (fraction - self.fraction) * left
+            bucket.share += (fraction - self.fraction) * left
         self.fraction = fraction
         self._remember_charges(now)
 
-    def lose_part(self, share: float) -> None:
+    def deduct_lost_share(self, share: float) -> None:
         """Count the part of a node as used up whose process ended while it was not heard.
 
         Nobody reports what it had admitted: all that was left to it may be gone. While
@@ -209,7 +209,7 @@
         for bucket in self.buckets.values():
             used = share * max(0.0, bucket.level)
             if unheard > 0:
-                used = max(used, (bucket.level - bucket.part) * min(1.0, share / unheard))
+                used = max(used, (bucket.level - bucket.share) * min(1.0, share / unheard))
             bucket.level -= used
 
     def _remember_charges(self, now: int) -> None:
@@ -246,7 +246,7 @@
             return None
         return {
             "level": round(bucket.level),
-            "part": round(bucket.part),
+            "part": round(bucket.share),
             "fraction": round(self.fraction, 3),
         }
 
@@ -294,7 +294,7 @@
             self.spared_before[(node, name)] = quota_records.Spared(bucket.spared, self.clock.now())
             if told.settled and (not bucket.settled or self.clock.now() < self.resync_until_ms):
                 self._refill(self.workspaces[name])
-                self._take_over(bucket, quota_records.TakenOver(told.level, told.overdrawn))
+                self._take_over(bucket, quota_records.PeerLevel(told.level, told.overdrawn))
         return charged
 
     def _heard_first(
@@ -342,7 +342,7 @@
         self,
         group: str,
         charged: Mapping[str, float],
-        levels: Mapping[str, quota_records.TakenOver],
+        levels: Mapping[str, quota_records.PeerLevel],
         anew: bool = False,
         share: float = 1.0,
     ) -> None:
@@ -394,7 +394,9 @@
         bucket.spared -= used
         return units - used
 
-    def adopt(self, told: Mapping[str, quota_records.ReportedBucket], fraction: float) -> None:
+    def apply_fleet_levels(
+        self, told: Mapping[str, quota_records.ReportedBucket], fraction: float
+    ) -> None:
         """Take over the buckets of a coordinator; those that it does not tell go on as they are.
 
         Args:
@@ -410,23 +412,23 @@
                 # A coordinator that just started tells what it earned since; this node knows more.
                 continue
             bucket.level = one.level
-            bucket.part = one.part
+            bucket.share = one.share
             bucket.settled = one.settled
 
-    def _take_over(self, bucket: quota_records.Bucket, told: quota_records.TakenOver) -> None:
+    def _take_over(self, bucket: quota_records.Bucket, told: quota_records.PeerLevel) -> None:
         """Take over what is left by a peer that knows more, or that is heard since just now."""
         if bucket.settled:
             bucket.level = min(told.level, bucket.level)
-            bucket.part = min(bucket.part, bucket.level)
+            bucket.share = min(bucket.share, bucket.level)
             return
         bucket.level = told.level
         # A process that starts amid a cut has no more left than those that it hears.
-        bucket.part = told.level * self.fraction - told.overdrawn
+        bucket.share = told.level * self.fraction - told.overdrawn
         bucket.settled = True
 
     def _overdrawn(self, bucket: quota_records.Bucket) -> float:
         """Return the units by which the nodes that are heard have less left than their share."""
-        return max(0.0, max(0.0, bucket.level) * self.fraction - bucket.part)
+        return max(0.0, max(0.0, bucket.level) * self.fraction - bucket.share)
 
     def forget(self, node: str) -> None:
         """Drop what is known of an incarnation that is gone."""
@@ -450,7 +452,7 @@
         bucket.spared += max(0.0, bucket.level + gained - capacity)
         bucket.level = min(capacity, bucket.level + gained)
         most = capacity * self.fraction
-        bucket.part = min(most, bucket.part + gained * self.fraction)
+        bucket.share = min(most, bucket.share + gained * self.fraction)
         own = bucket.own + self._own_refill(workspace) * (now - bucket.updated_ms) / 1000.0
         bucket.own = min(self._own_most(workspace), own)
         bucket.updated_ms = now
--- a/plumarch/limits/workspace_quota_test.py
+++ b/plumarch/limits/workspace_quota_test.py
@@ -102,7 +102,7 @@
 def test_where_little_is_left_a_node_of_a_large_fleet_goes_by_its_share_of_the_refill():
     time = clock.ManualClock()
     quota = quota_of(time)
-    quota.sharers = 10
+    quota.admitting_nodes = 10
     assert quota.admit(SPACE, 1_600) == 0
     assert quota.admit(SPACE, 150) == 0
     assert quota.report()["w"].level == 250
@@ -113,7 +113,7 @@
 
 def test_a_refund_gives_a_nodes_share_back_as_well():
     quota = quota_of(clock.ManualClock())
-    quota.sharers = 10
+    quota.admitting_nodes = 10
     quota.admit(SPACE, 1_750)
     quota.admit(SPACE, 50)
     assert quota.admit(SPACE, 50) > 0
@@ -225,12 +225,12 @@
     quota.admit(SPACE, 500)
     time.advance_to(8_000)
     quota.retain(TABLE)
-    assert quota.buckets["w"].part == 500 + 0.25 * HELD
+    assert quota.buckets["w"].share == 500 + 0.25 * HELD
     for _ in range(13):
         assert quota.admit(SPACE, 50) == 0
     time.advance_to(8_100)
     quota.retain(TABLE)
-    assert abs(quota.buckets["w"].part - 0.25 * (8_000 + EXCESS) / 80) < 1e-6
+    assert abs(quota.buckets["w"].share - 0.25 * (8_000 + EXCESS) / 80) < 1e-6
 
 
 def test_a_large_prompt_that_follows_others_finds_room():
--- a/plumarch/peers/gossip.py
+++ b/plumarch/peers/gossip.py
@@ -259,7 +259,7 @@
 
     workspace: str
     level: float
-    part: float
+    share: float
     settled: bool
     spent: float = 0.0
 
@@ -398,18 +398,18 @@
 
 
 class SnapshotRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Asks for what is newer than what the asking node holds.
+    """Asks for what is newer than what the requesting node holds.
 
     Attributes:
-      takes_compressed: whether the answer may be compressed.
-      takes_parts: whether the answer may be a Snapshot. A node that doesn't tell takes either that
-        or a FullSnapshot, by its build.
+      accepts_compressed: whether the answer may be compressed.
+      accepts_parts: whether the answer may be a Snapshot. Builds that omit the field accept a
+        Snapshot or a FullSnapshot, depending on the build.
     """
 
     configuration: int
     registry_revision: int
-    takes_compressed: bool = False
-    takes_parts: bool = False
+    accepts_compressed: bool = False
+    accepts_parts: bool = False
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
--- a/plumarch/peers/suspect_entries.py
+++ b/plumarch/peers/suspect_entries.py
@@ -21,7 +21,7 @@
     """What the teller knows of a request; as in quarantine.Suspect."""
 
     fingerprint: str
-    ends: list[ReportedCrash]
+    crashes: list[ReportedCrash]
     trials: int = 0
     tried_ms: int = 0
     cleared_ms: int = 0
@@ -33,7 +33,7 @@
     Args:
       ends: how many of its ends are told, the newest ones.
     """
-    chosen = [ReportedCrash(end.endpoint, end.at_ms, end.points) for end in suspect.ends[-ends:]]
+    chosen = [ReportedCrash(end.endpoint, end.at_ms, end.points) for end in suspect.crashes[-ends:]]
     return ReportedSuspect(
         suspect.fingerprint, chosen, suspect.trials, suspect.tried_ms, suspect.cleared_ms
     )
@@ -42,8 +42,8 @@
 def from_message(one: ReportedSuspect) -> quarantine.Suspect:
     """Return a suspect as it is kept; an end counts for no more than an early one does."""
     ends = tuple(
-        quarantine.End(end.endpoint, end.at_ms, min(end.points, quarantine.EARLY_POINTS))
-        for end in one.ends
+        quarantine.Crash(end.endpoint, end.at_ms, min(end.points, quarantine.EARLY_POINTS))
+        for end in one.crashes
     )
     return quarantine.Suspect(
         one.fingerprint, ends, max(0, one.trials), one.tried_ms, one.cleared_ms
--- a/plumarch/standins/gateway_parts.py
+++ b/plumarch/standins/gateway_parts.py
@@ -59,7 +59,7 @@
         answers=version_tally.TallyBook(),
         answer_times=answer_times.AnswerTimes(),
         distances=distances,
-        memory=memory_account.of_limit(MEMORY_MB),
+        memory=memory_account.from_limit(MEMORY_MB),
         pressure=memory_admission.MemoryAdmission(steady),
         limits=endpoint_limits.EndpointLimits(steady),
         quarantine=quarantine.Quarantine(wall or steady),
