--- a/plumarch/gateway/dispatch/request_run.py
+++ b/plumarch/gateway/dispatch/request_run.py
@@ -342,7 +342,7 @@
         Only where the last one's end would decide it is it waited for, a connect's time.
         """
         known, fingerprint = self.state.quarantine, self.admitted.fingerprint
-        if known.points(fingerprint) + quarantine.EARLY_POINTS >= quarantine.LIMIT:
+        if known.points(fingerprint) + quarantine.EARLY_POINTS >= quarantine.QUARANTINE_POINTS:
             await self.lost.settled(last)
         if known.find_quarantined(fingerprint) is None:
             return False
--- a/plumarch/gateway/gossip/permit_exchange.py
+++ b/plumarch/gateway/gossip/permit_exchange.py
@@ -136,7 +136,7 @@
         if endpoint is None or not self._is_sound(message):
             return
         observed = announcement(message.per_s, message.age_ms)
-        if not self.state.permits.learn(endpoint, observed):
+        if not self.state.permits.merge_announcement(endpoint, observed):
             return
         self.state.rate_changed(endpoint, message.node)
         if self.view.role is tiers.Role.COORDINATOR:
--- a/plumarch/limits/quarantine.py
+++ b/plumarch/limits/quarantine.py
@@ -25,7 +25,7 @@
 EARLY_MS = 1_000
 """Time from a request's first event within which it is still beginning."""
 
-LIMIT = 3 * EARLY_POINTS
+QUARANTINE_POINTS = 3 * EARLY_POINTS
 """Points from which on a request is held back. One that only stood beside another's end is lost
 once, with its repeat perhaps twice; the end of a third endpoint as it begins there is no chance."""
 
@@ -106,7 +106,7 @@
 
     def is_quarantined(self) -> bool:
         """Return whether it is held back."""
-        return self.points() >= LIMIT
+        return self.points() >= QUARANTINE_POINTS
 
     def last_ms(self) -> int:
         """Return when something was learned of it last."""
--- a/plumarch/limits/rate_permits.py
+++ b/plumarch/limits/rate_permits.py
@@ -147,7 +147,9 @@
             return False
         return self._set_rate(one, None, self.clock.now())
 
-    def learn(self, endpoint: traffic.Endpoint, announcement: rate_allocator.Announcement) -> bool:
+    def merge_announcement(
+        self, endpoint: traffic.Endpoint, announcement: rate_allocator.Announcement
+    ) -> bool:
         """Note what an answer to another node announced.
 
         Returns:
@@ -271,7 +273,7 @@
         Returns:
           As `learn`.
         """
-        changed = self.learn(endpoint, answer.announcement)
+        changed = self.merge_announcement(endpoint, answer.announcement)
         one = self._limited(endpoint)
         if one is None or answer.sequence != one.sequence or not self.is_request_pending(endpoint):
             return changed
--- a/plumarch/limits/rate_permits_test.py
+++ b/plumarch/limits/rate_permits_test.py
@@ -157,11 +157,11 @@
 
 def test_news_of_other_nodes_count_if_they_are_newer():
     node = Node()
-    assert node.permits.learn(ENDPOINT, rate_allocator.Announcement(3.0, 0))
+    assert node.permits.merge_announcement(ENDPOINT, rate_allocator.Announcement(3.0, 0))
     assert node.permits.rate(ENDPOINT) == 3.0
     node.after(100)
-    assert not node.permits.learn(ENDPOINT, rate_allocator.Announcement(None, 100))
-    assert node.permits.learn(ENDPOINT, rate_allocator.Announcement(None, 50))
+    assert not node.permits.merge_announcement(ENDPOINT, rate_allocator.Announcement(None, 100))
+    assert node.permits.merge_announcement(ENDPOINT, rate_allocator.Announcement(None, 50))
     assert node.permits.may_send(ENDPOINT)
 
 
--- a/plumarch/node/dispatch.py
+++ b/plumarch/node/dispatch.py
@@ -83,7 +83,7 @@
         request = run.request
         run.phase = runs.Phase.QUEUED
         run.queued_ms = self.ctx.now()
-        if run.points >= quarantine.LIMIT and not run.not_before_ms:
+        if run.points >= quarantine.QUARANTINE_POINTS and not run.not_before_ms:
             # It was held back at its home before, and waits here as long again.
             self._hold_back(run)
             return True
@@ -306,7 +306,7 @@
             run.points += quarantine.LATE_POINTS if made_tokens else quarantine.EARLY_POINTS
         if delivered and not request.repeatable:
             self.on_end(run, data.Outcome.UNKNOWN, data.Reason.INTERRUPTED, None)
-        elif event.broken and run.points >= quarantine.LIMIT:
+        elif event.broken and run.points >= quarantine.QUARANTINE_POINTS:
             self._hold_back(run)
         elif run.waits() or self.budget.take(request.workspace):
             self._retry_later(run)
@@ -319,7 +319,7 @@
         Too many endpoints ended as they began to run it: each further try would cost one more, and
         all that runs there.
         """
-        trials = (run.points - quarantine.LIMIT) // quarantine.EARLY_POINTS
+        trials = (run.points - quarantine.QUARANTINE_POINTS) // quarantine.EARLY_POINTS
         pause_ms = quarantine.pause_ms(trials)
         self.ctx.count("held_back", run.request.workspace)
         self.ctx.note(run.request, "hold", f"{pause_ms} ms", "its endpoints ended under it")
