--- a/plumarch/limits/centre_spending.py
+++ b/plumarch/limits/centre_spending.py
@@ -1,14 +1,9 @@
-"""What the nodes of other data centres spend of allotments, as their coordinators sum it up.
+"""Charges the quota spending of other data centres as reported by their coordinators.
 
-Each data centre has two coordinators or more that tell the same sum, each as it counted since its
-own start. One of them is charged by; what another one told meanwhile is kept, and charged if the
-first falls silent, so that a coordinator's death loses nothing and counts nothing twice.
-
-A data centre that was silent as a whole, and is heard again, tells by the same coordinators what it
-spent meanwhile: these are kept for a while.
-
-Coordinators that come after one another count on in the same ledger, so that what was spent while
-nobody told it isn't lost: a new one's first sum is compared with the last one that was charged.
+All coordinators of a data centre report the same spending, each as counted by itself. Only one
+reporter is charged by; the increases of the others are kept and charged if it stops responding.
+Successive coordinators continue the same ledger: the first sum of a new one is compared with the
+last sum that was charged.
 """
 
 import dataclasses
@@ -17,168 +12,167 @@
 from plumarch.core import clock
 
 RETENTION_MS = 30_000
-"""How long the coordinators of a data centre are kept that fell silent as a whole; nodes are
-forgotten after the same time."""
+"""How long the coordinators of an unresponsive data centre are kept, as long as its nodes."""
 
-LEDGERS_KEPT = 4
-"""Ledgers of a data centre that are remembered. It has one, and for some rounds after all its
-coordinators died at once two or three until these have heard each other."""
+MAX_LEDGERS = 4
+"""Ledgers remembered for a data centre. It has one, and up to three for some rounds after all its
+coordinators crashed at once."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ledger:
-    """Who began to count what a coordinator tells.
+    """The count that a coordinator's sums belong to.
 
     Attributes:
-      name: of the coordinator that began it and its incarnation; "" where none is told.
-      begun_since: whether that was after this node's own start.
+      name: name and incarnation of the coordinator that began it; "" if not reported.
+      began_after_start: whether it began after this node's start.
     """
 
     name: str = ""
-    begun_since: bool = False
+    began_after_start: bool = False
 
 
 UNNAMED = Ledger()
 
 
 @dataclasses.dataclass(slots=True)
-class Author:
+class Reporter:
     """One coordinator of another data centre.
 
     Attributes:
       name: its name and incarnation.
-      ledger: the one in which it counts.
-      told: its sums, by workspace.
-      uncharged: what it told of since the one charged by told last, by workspace.
-      base: what its first sums are compared with. One that isn't there is where counting begins,
-        unless the ledger began while this node counted.
+      ledger: the ledger of its sums.
+      reported: its sums, by workspace.
+      uncharged: increases since the last report that was charged, by workspace.
+      base: sums that its first ones are compared with. A workspace that is missing there is charged
+        from its first sum on, or completely if the ledger began after this node's start.
     """
 
     name: str
     last_seen_ms: int
     ledger: Ledger = UNNAMED
-    told: dict[str, float] = dataclasses.field(default_factory=dict)
+    reported: dict[str, float] = dataclasses.field(default_factory=dict)
     uncharged: dict[str, float] = dataclasses.field(default_factory=dict)
     base: Mapping[str, float] = dataclasses.field(default_factory=dict)
 
-    def take_in(self, sums: Mapping[str, float], now: int) -> None:
-        """Take in its sums."""
+    def apply_sums(self, sums: Mapping[str, float], now: int) -> None:
+        """Record its sums and the increases since its last ones."""
         self.last_seen_ms = now
         for workspace, spent in sums.items():
-            if workspace in self.told:
-                more = spent - self.told[workspace]
+            if workspace in self.reported:
+                more = spent - self.reported[workspace]
             else:
-                more = self._first(workspace, spent)
-            self.told[workspace] = spent
+                more = self._first_increase(workspace, spent)
+            self.reported[workspace] = spent
             if more:
                 self.uncharged[workspace] = self.uncharged.get(workspace, 0.0) + more
 
-    def _first(self, workspace: str, spent: float) -> float:
-        """Return what a workspace's first sum tells that is not charged yet.
+    def _first_increase(self, workspace: str, spent: float) -> float:
+        """Return the uncharged units of a workspace's first sum.
 
-        Two coordinators differ by a little: one that counted less has nothing to give back.
+        Counts of two coordinators differ slightly; a lower one is no refund.
         """
         if workspace in self.base:
             return max(0.0, spent - self.base[workspace])
-        return spent if self.ledger.begun_since else 0.0
+        return spent if self.ledger.began_after_start else 0.0
 
-    def take_uncharged(self) -> dict[str, float]:
-        """Return what is not charged yet, which from now on is."""
+    def pop_uncharged(self) -> dict[str, float]:
+        """Return the uncharged units and mark them as charged."""
         found, self.uncharged = self.uncharged, {}
         return found
 
 
 @dataclasses.dataclass(slots=True)
 class CentreSpending:
-    """The coordinators that told sums, by data centre; the first one is charged by.
+    """Coordinators that reported sums, by data centre; the first one is charged by.
 
     Attributes:
-      silent: those that were heard last before a data centre fell silent as a whole.
-      last: the ones that were charged by last, by data centre and ledger, whether they live or not.
+      unresponsive: the last live coordinators of data centres that stopped responding.
+      last_charged: reporters that were charged by last, alive or not, by data centre and ledger.
     """
 
     clock: clock.Clock
-    authors: dict[str, list[Author]] = dataclasses.field(default_factory=dict)
-    silent: dict[str, list[Author]] = dataclasses.field(default_factory=dict)
-    last: dict[str, dict[str, Author]] = dataclasses.field(default_factory=dict)
+    reporters: dict[str, list[Reporter]] = dataclasses.field(default_factory=dict)
+    unresponsive: dict[str, list[Reporter]] = dataclasses.field(default_factory=dict)
+    last_charged: dict[str, dict[str, Reporter]] = dataclasses.field(default_factory=dict)
 
     def charge(
         self,
         data_centre: str,
-        author: str,
+        reporter_id: str,
         sums: Mapping[str, float],
         alive_timeout_ms: float,
-        leads: bool = False,
+        is_most_senior: bool = False,
         ledger: Ledger = UNNAMED,
     ) -> dict[str, float]:
-        """Take in one coordinator's sums.
+        """Apply one coordinator's sums.
 
         Args:
-          author: its name and incarnation.
+          reporter_id: its name and incarnation.
           sums: units spent since it began to count, by workspace.
-          alive_timeout_ms: from this silence on another one is charged by.
-          leads: whether it is the oldest one as it believes, which tells most often.
-          ledger: in which it counts.
+          alive_timeout_ms: time without a report after which a reporter is replaced.
+          is_most_senior: whether it considers itself the most senior one, which reports most often.
+          ledger: the ledger of its sums.
         Returns:
-          What is to be charged now, by workspace.
+          Units to charge now, by workspace.
         """
         now = self.clock.now()
-        known = self.authors.setdefault(data_centre, [])
-        self._drop_silent(data_centre, known, now, alive_timeout_ms)
-        teller = next((one for one in known if one.name == author), None)
-        if teller is not None and teller.ledger.name != ledger.name:
-            # It counts on in another one's ledger: what it told before is not to be compared.
-            known.remove(teller)
-            teller = None
-        if teller is None:
-            teller = self._back(data_centre, author, now) if not known else None
-            if teller is None or teller.ledger.name != ledger.name:
-                teller = Author(author, now, ledger, base=self._base(data_centre, ledger))
-            known.append(teller)
-        teller.take_in(sums, now)
-        if leads:
-            known.remove(teller)
-            known.insert(0, teller)
-        if teller is not known[0]:
+        known = self.reporters.setdefault(data_centre, [])
+        self._drop_unresponsive(data_centre, known, now, alive_timeout_ms)
+        reporter = next((one for one in known if one.name == reporter_id), None)
+        if reporter is not None and reporter.ledger.name != ledger.name:
+            # Sums of different ledgers can't be compared.
+            known.remove(reporter)
+            reporter = None
+        if reporter is None:
+            reporter = self._returning(data_centre, reporter_id, now) if not known else None
+            if reporter is None or reporter.ledger.name != ledger.name:
+                reporter = Reporter(reporter_id, now, ledger, base=self._base(data_centre, ledger))
+            known.append(reporter)
+        reporter.apply_sums(sums, now)
+        if is_most_senior:
+            known.remove(reporter)
+            known.insert(0, reporter)
+        if reporter is not known[0]:
             return {}
         for other in known[1:]:
             other.uncharged.clear()
-        self._remember(data_centre, teller)
-        return teller.take_uncharged()
+        self._record_charged(data_centre, reporter)
+        return reporter.pop_uncharged()
 
     def forget(self) -> None:
-        """Forget all sums: others charge this node's buckets from now on."""
-        self.authors.clear()
-        self.silent.clear()
-        self.last.clear()
-
-    def _remember(self, data_centre: str, teller: Author) -> None:
-        """Keep the one that is charged by, for those that count on in its ledger."""
-        last = self.last.setdefault(data_centre, {})
-        last.pop(teller.ledger.name, None)
-        last[teller.ledger.name] = teller
-        while len(last) > LEDGERS_KEPT:
+        """Drop all sums when this node no longer coordinates."""
+        self.reporters.clear()
+        self.unresponsive.clear()
+        self.last_charged.clear()
+
+    def _record_charged(self, data_centre: str, reporter: Reporter) -> None:
+        """Remember the reporter that is charged by, for its successors in the ledger."""
+        last = self.last_charged.setdefault(data_centre, {})
+        last.pop(reporter.ledger.name, None)
+        last[reporter.ledger.name] = reporter
+        while len(last) > MAX_LEDGERS:
             del last[next(iter(last))]
 
     def _base(self, data_centre: str, ledger: Ledger) -> Mapping[str, float]:
-        """Return what is charged already of what a new coordinator's first sums tell."""
-        last = self.last.get(data_centre, {}).get(ledger.name)
-        return last.told if last is not None and ledger.name else {}
+        """Return the charged sums of a ledger, to compare a new coordinator's first sums with."""
+        last = self.last_charged.get(data_centre, {}).get(ledger.name)
+        return last.reported if last is not None and ledger.name else {}
 
-    def _drop_silent(
-        self, data_centre: str, known: list[Author], now: int, alive_timeout_ms: float
+    def _drop_unresponsive(
+        self, data_centre: str, known: list[Reporter], now: int, alive_timeout_ms: float
     ) -> None:
-        """Drop those that fell silent; all at once are kept aside, since they may come back."""
+        """Drop unresponsive reporters; if all are, set them aside for their return."""
         live = [one for one in known if now - one.last_seen_ms <= alive_timeout_ms]
         if known and not live:
-            self.silent[data_centre] = list(known)
+            self.unresponsive[data_centre] = list(known)
         known[:] = live
 
-    def _back(self, data_centre: str, name: str, now: int) -> Author | None:
-        """Return a coordinator whose data centre is heard again, as it was known before.
+    def _returning(self, data_centre: str, name: str, now: int) -> Reporter | None:
+        """Return the earlier record of a coordinator whose data centre responds again.
 
-        The others begin anew: what they told until now is in its sums.
+        The other records are dropped, since its sums include what they reported.
         """
-        before = self.silent.pop(data_centre, [])
+        before = self.unresponsive.pop(data_centre, [])
         found = next((one for one in before if one.name == name), None)
         return found if found is not None and now - found.last_seen_ms <= RETENTION_MS else None
--- a/plumarch/limits/centre_spending_test.py
+++ b/plumarch/limits/centre_spending_test.py
@@ -1,4 +1,4 @@
-"""Sums of other data centres: charged once, whoever of their coordinators tells them."""
+"""Spending of other data centres is charged once, whichever coordinator reports it."""
 
 import hypothesis
 from hypothesis import strategies
@@ -9,7 +9,7 @@
 SILENCE_MS = 1_000
 
 
-def test_one_of_two_coordinators_is_charged_by():
+def test_only_one_of_two_coordinators_is_charged_by():
     time = clock.ManualClock()
     found = centre_spending.CentreSpending(time)
     assert found.charge("b", "x", {"w": 100.0}, SILENCE_MS) == {}
@@ -19,7 +19,7 @@
     assert found.charge("b", "x", {"w": 130.0}, SILENCE_MS) == {}
 
 
-def test_what_the_second_told_is_charged_once_the_first_is_silent():
+def test_reports_of_the_second_are_charged_once_the_first_is_unresponsive():
     time = clock.ManualClock()
     found = centre_spending.CentreSpending(time)
     found.charge("b", "x", {"w": 100.0}, SILENCE_MS)
@@ -75,18 +75,18 @@
     assert charged <= spent + 1e-6
 
 
-def test_the_one_that_leads_is_charged_by_and_takes_over_what_is_not_charged_yet():
+def test_the_most_senior_is_charged_by_and_inherits_what_is_uncharged():
     found = centre_spending.CentreSpending(clock.ManualClock())
     found.charge("b", "x", {"w": 0.0}, SILENCE_MS)
-    found.charge("b", "y", {"w": 0.0}, SILENCE_MS, leads=True)
+    found.charge("b", "y", {"w": 0.0}, SILENCE_MS, is_most_senior=True)
     assert found.charge("b", "x", {"w": 30.0}, SILENCE_MS) == {}
-    assert found.charge("b", "y", {"w": 30.0}, SILENCE_MS, leads=True) == {"w": 30.0}
-    assert found.charge("b", "y", {"w": 50.0}, SILENCE_MS, leads=True) == {"w": 20.0}
-    # What the other one told beyond it is charged again: a round's spending, on the safe side.
-    assert found.charge("b", "x", {"w": 60.0}, SILENCE_MS, leads=True) == {"w": 30.0}
+    assert found.charge("b", "y", {"w": 30.0}, SILENCE_MS, is_most_senior=True) == {"w": 30.0}
+    assert found.charge("b", "y", {"w": 50.0}, SILENCE_MS, is_most_senior=True) == {"w": 20.0}
+    # The other one's excess is charged again: at most a round's spending, on the safe side.
+    assert found.charge("b", "x", {"w": 60.0}, SILENCE_MS, is_most_senior=True) == {"w": 30.0}
 
 
-def test_what_a_data_centre_spent_while_it_was_not_heard_is_charged_when_it_is_back():
+def test_spending_of_an_unreachable_data_centre_is_charged_when_it_is_back():
     time = clock.ManualClock()
     found = centre_spending.CentreSpending(time)
     found.charge("b", "x", {"w": 100.0}, SILENCE_MS)
@@ -94,10 +94,10 @@
     time.advance_to(5 * SILENCE_MS)
     assert found.charge("b", "y", {"w": 90.0}, SILENCE_MS) == {"w": 50.0}
     assert found.charge("b", "x", {"w": 150.0}, SILENCE_MS) == {}
-    assert found.charge("b", "x", {"w": 160.0}, SILENCE_MS, leads=True) == {"w": 10.0}
+    assert found.charge("b", "x", {"w": 160.0}, SILENCE_MS, is_most_senior=True) == {"w": 10.0}
 
 
-def test_a_coordinator_that_is_back_after_another_one_was_charged_by_begins_anew():
+def test_a_coordinator_that_returns_after_another_was_charged_by_starts_again():
     time = clock.ManualClock()
     found = centre_spending.CentreSpending(time)
     found.charge("b", "x", {"w": 100.0}, SILENCE_MS)
@@ -105,14 +105,14 @@
     found.charge("b", "y", {"w": 40.0}, SILENCE_MS)
     assert found.charge("b", "y", {"w": 70.0}, SILENCE_MS) == {"w": 30.0}
     assert found.charge("b", "x", {"w": 130.0}, SILENCE_MS) == {}
-    assert found.charge("b", "x", {"w": 130.0}, SILENCE_MS, leads=True) == {}
+    assert found.charge("b", "x", {"w": 130.0}, SILENCE_MS, is_most_senior=True) == {}
 
 
-BEGUN_SINCE = centre_spending.Ledger("x#1", begun_since=True)
-BEGUN_BEFORE = centre_spending.Ledger("x#1", begun_since=False)
+BEGUN_SINCE = centre_spending.Ledger("x#1", began_after_start=True)
+BEGUN_BEFORE = centre_spending.Ledger("x#1", began_after_start=False)
 
 
-def test_a_coordinator_that_counts_on_is_charged_from_where_the_last_one_was():
+def test_a_successor_in_a_ledger_is_charged_from_the_last_charged_sum():
     time = clock.ManualClock()
     found = centre_spending.CentreSpending(time)
     found.charge("b", "x", {"w": 100.0}, SILENCE_MS, ledger=BEGUN_BEFORE)
@@ -121,7 +121,7 @@
     assert found.charge("b", "z", {"w": 190.0}, SILENCE_MS, ledger=BEGUN_BEFORE) == {"w": 60.0}
 
 
-def test_one_that_counted_less_gives_nothing_back():
+def test_a_lower_sum_of_a_successor_refunds_nothing():
     time = clock.ManualClock()
     found = centre_spending.CentreSpending(time)
     found.charge("b", "x", {"w": 100.0}, SILENCE_MS, ledger=BEGUN_BEFORE)
@@ -130,24 +130,24 @@
     assert found.charge("b", "z", {"w": 95.0}, SILENCE_MS, ledger=BEGUN_BEFORE) == {"w": 5.0}
 
 
-def test_a_ledger_that_began_while_this_node_counted_is_charged_whole():
+def test_a_ledger_that_began_after_this_nodes_start_is_charged_completely():
     found = centre_spending.CentreSpending(clock.ManualClock())
     assert found.charge("b", "x", {"w": 40.0}, SILENCE_MS, ledger=BEGUN_SINCE) == {"w": 40.0}
     assert found.charge("c", "y", {"w": 40.0}, SILENCE_MS, ledger=BEGUN_BEFORE) == {}
 
 
-def test_changing_to_and_fro_between_two_ledgers_charges_nothing_twice():
+def test_alternating_between_two_ledgers_charges_nothing_twice():
     found = centre_spending.CentreSpending(clock.ManualClock())
-    other = centre_spending.Ledger("y#1", begun_since=True)
+    other = centre_spending.Ledger("y#1", began_after_start=True)
     charged = 0.0
     for step in range(6):
         ledger = (BEGUN_SINCE, other)[step % 2]
-        more = found.charge("b", "x", {"w": 100.0}, SILENCE_MS, leads=True, ledger=ledger)
+        more = found.charge("b", "x", {"w": 100.0}, SILENCE_MS, is_most_senior=True, ledger=ledger)
         charged += more.get("w", 0.0)
     assert charged == 200.0
 
 
-def test_whoever_coordinates_no_more_forgets_all_sums():
+def test_a_node_that_no_longer_coordinates_drops_all_sums():
     found = centre_spending.CentreSpending(clock.ManualClock())
     found.charge("b", "x", {"w": 100.0}, SILENCE_MS, ledger=BEGUN_BEFORE)
     found.forget()
