--- a/plumarch/limits/__init__.py
+++ b/plumarch/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Queues, fair shares and retry budgets."""
+"""Quotas, admission control, queues, quarantine and retry budgets."""
--- a/plumarch/limits/attempt_budget.py
+++ b/plumarch/limits/attempt_budget.py
@@ -1,9 +1,7 @@
-"""How many requests may be sent to a further endpoint, as one node's part of the fleet's budget.
+"""Limits requests that are sent to a further endpoint: this node's share of the fleet's budget.
 
-The fleet's budget in a window is a ratio of the first sends, plus a fixed extra. Ratios of
-each node's own first sends add up by themselves; the extra is parted by a number of nodes
-that is never less than those that may exist. A node starts with no history, so that what its
-predecessor spent is not spent twice.
+The fixed part is divided by an upper bound on the number of nodes, so that shares never add up to
+more than the budget. A restarted node has no history and cannot spend its predecessor's again.
 """
 
 import collections
@@ -11,26 +9,26 @@
 
 from plumarch.core import clock
 
-SAFETY = 0.8
-"""The part of the budget that is used; the rest covers differences in when a send is counted."""
+USED_FRACTION = 0.8
+"""Fraction of the budget that is used; the rest covers differences in when a send is counted."""
 
 
 @dataclasses.dataclass(slots=True)
 class ServiceWindow:
-    """Times of first sends and of repeats at one service, oldest first."""
+    """Times of first sends and repeats at one service, in order of time."""
 
-    firsts: collections.deque[int] = dataclasses.field(default_factory=collections.deque)
+    first_sends: collections.deque[int] = dataclasses.field(default_factory=collections.deque)
     repeats: collections.deque[int] = dataclasses.field(default_factory=collections.deque)
 
 
 @dataclasses.dataclass(slots=True)
 class AttemptBudget:
-    """Repeats that this node may make at each service.
+    """Repeats that this node may send to each service.
 
     Attributes:
       ratio: repeats allowed for each first send.
-      extra: repeats allowed besides, for the whole fleet in a window.
-      nodes: among how many nodes the extra is parted.
+      extra: additional repeats for the whole fleet in a window.
+      nodes: number of nodes that the extra is divided by.
     """
 
     clock: clock.Clock
@@ -42,12 +40,12 @@
 
     def record_first_send(self, service: str) -> None:
         """Count a first send."""
-        self._window(service).firsts.append(self.clock.now())
+        self._window(service).first_sends.append(self.clock.now())
 
     def take(self, service: str) -> bool:
-        """Spend a repeat, if there is one left."""
+        """Spend a repeat if one is left."""
         window = self._window(service)
-        allowed = SAFETY * (self.ratio * len(window.firsts) + self.extra / self.nodes)
+        allowed = USED_FRACTION * (self.ratio * len(window.first_sends) + self.extra / self.nodes)
         if len(window.repeats) + 1 > allowed:
             return False
         window.repeats.append(self.clock.now())
@@ -56,7 +54,7 @@
     def _window(self, service: str) -> ServiceWindow:
         window = self.services.setdefault(service, ServiceWindow())
         oldest = self.clock.now() - self.window_ms
-        for times in (window.firsts, window.repeats):
+        for times in (window.first_sends, window.repeats):
             while times and times[0] < oldest:
                 times.popleft()
         return window
--- a/plumarch/limits/attempt_budget_test.py
+++ b/plumarch/limits/attempt_budget_test.py
@@ -1,4 +1,4 @@
-"""The budget of repeats over all nodes: never over, whatever the order of sends."""
+"""The fleet never exceeds its budget of repeats, in any order of sends."""
 
 import hypothesis
 from hypothesis import strategies
@@ -13,7 +13,7 @@
     return attempt_budget.AttemptBudget(time, WINDOW_MS, RATIO, EXTRA, nodes=NODES)
 
 
-def test_a_node_may_spend_its_part_of_the_extra_and_no_more():
+def test_a_node_may_spend_its_share_of_the_extra_and_no_more():
     budget = budget_of(clock.ManualClock())
     taken = [budget.take("s") for _ in range(20)]
     assert taken.count(True) == int(0.8 * EXTRA / NODES)
--- a/plumarch/limits/fair_queue.py
+++ b/plumarch/limits/fair_queue.py
@@ -1,9 +1,8 @@
-"""The queue of requests that wait for an endpoint.
+"""Queue of requests that wait for an endpoint.
 
-One bounded line for each workspace, class and target, so that a flood in one
-fills only its own. Classes go in order of urgency; inside a class, workspaces
-share by weight. Waiting work that has grown old goes before chat, so that it
-does not starve.
+One bounded line for each workspace, class and target, so that a flood fills only its own. Classes
+are served in order of urgency, workspaces within a class by weighted fair share. Requests past an
+age limit go before chat, so that they do not starve.
 """
 
 import collections
@@ -13,10 +12,10 @@
 from plumarch.core import data
 
 LINE_LIMIT = 200
-"""Requests that one workspace's class may have waiting for one target."""
+"""Maximum requests in a line."""
 
 AGE_LIMIT_MS = 20_000
-"""Past this age a waiting request goes before chat."""
+"""Age past which a waiting request goes before chat."""
 
 CLASS_ORDER = tuple(data.RequestClass)
 
@@ -35,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Line:
-    """The requests of one workspace, class and target, oldest first."""
+    """Requests of one workspace, class and target, in order of arrival."""
 
     workspace: str
     request_class: data.RequestClass
@@ -47,7 +46,7 @@
 
 
 class FairQueue:
-    """Lines of waiting requests, served by class and by weighted fair share."""
+    """Lines of waiting requests, served by class and weighted fair share."""
 
     def __init__(self) -> None:
         self.lines: dict[tuple[str, data.RequestClass, str], Line] = {}
@@ -68,25 +67,25 @@
             self.lines[name] = line
         if len(line.entries) >= LINE_LIMIT:
             return False
-        if not self._waits(entry.workspace):
-            # A workspace that was idle saves up no share for later.
+        if not self._has_waiting(entry.workspace):
+            # An idle workspace accumulates no credit.
             self.served[entry.workspace] = max(
                 self.served.get(entry.workspace, 0.0), self.virtual_time
             )
         line.entries.append(entry)
         return True
 
-    def _waits(self, workspace: str) -> bool:
+    def _has_waiting(self, workspace: str) -> bool:
         return any(line.entries for line in self.lines.values() if line.workspace == workspace)
 
     def pop(self, now: int, fits: Fits) -> Entry | None:
-        """Take the request that goes next.
+        """Remove and return the next request.
 
         Args:
           now: the time in milliseconds.
-          fits: says whether a request could run at once.
+          fits: returns whether a request can run at once.
         Returns:
-          The entry, or None if none that waits could run.
+          The entry, or None if no waiting request can run.
         """
         ranked = sorted(
             (line for line in self.lines.values() if line.entries),
@@ -95,7 +94,7 @@
         for line in ranked:
             entry = line.entries[0]
             if fits(entry):
-                self._take(line, entry)
+                self._dequeue(line, entry)
                 return entry
         return None
 
@@ -106,7 +105,7 @@
             order = min(order, CLASS_ORDER.index(data.RequestClass.CHAT))
         return (order, self.served.get(line.workspace, 0.0), line.workspace, line.target)
 
-    def _take(self, line: Line, entry: Entry) -> None:
+    def _dequeue(self, line: Line, entry: Entry) -> None:
         line.entries.popleft()
         weight = self.weights.get(entry.workspace, 1.0)
         served = self.served.get(entry.workspace, 0.0)
@@ -116,7 +115,7 @@
             del self.lines[(line.workspace, line.request_class, line.target)]
 
     def remove(self, request_id: str) -> bool:
-        """Take a request out of the queue, wherever it stands."""
+        """Remove a request from its line."""
         for name, line in self.lines.items():
             for entry in line.entries:
                 if entry.request_id == request_id:
@@ -127,5 +126,5 @@
         return False
 
     def length(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return sum(len(line.entries) for line in self.lines.values())
--- a/plumarch/limits/fair_queue_test.py
+++ b/plumarch/limits/fair_queue_test.py
@@ -31,7 +31,7 @@
     assert sum(1 for name in first if name[0] == "a") == 10
 
 
-def test_an_idle_workspace_saves_up_nothing() -> None:
+def test_an_idle_workspace_accumulates_no_credit() -> None:
     queue = fair_queue.FairQueue()
     for number in range(20):
         queue.push(entry(number, "a"))
@@ -42,7 +42,7 @@
     assert sum(1 for name in drain(queue)[:4] if name[0] == "b") == 2
 
 
-def test_old_waiting_work_goes_before_chat() -> None:
+def test_requests_past_the_age_limit_go_before_chat() -> None:
     queue = fair_queue.FairQueue()
     queue.push(entry(0, "a", "review"))
     queue.push(entry(1, "b", "chat", fair_queue.AGE_LIMIT_MS + 1))
@@ -50,7 +50,7 @@
     assert drain(queue, fair_queue.AGE_LIMIT_MS + 1) == ["a0", "b1"]
 
 
-def test_what_does_not_fit_holds_up_nothing_else() -> None:
+def test_a_request_that_does_not_fit_blocks_no_other() -> None:
     queue = fair_queue.FairQueue()
     queue.push(entry(0, "a"))
     queue.push(entry(1, "b"))
