--- a/plumarch/limits/memory_account_test.py
+++ b/plumarch/limits/memory_account_test.py
@@ -1,4 +1,4 @@
-"""Whatever comes, no more is held than may be."""
+"""Reservations never exceed the limits."""
 
 import random
 
@@ -18,7 +18,7 @@
     return reservation
 
 
-def test_the_budget_is_a_part_of_the_limit():
+def test_the_budget_is_a_fraction_of_the_limit():
     assert memory_account.from_limit(LIMIT_MB).budget <= 0.6 * LIMIT_MB * 2**20
 
 
@@ -66,17 +66,18 @@
             one.size for one in reservations if one.purpose is purpose
         )
     assert all(
-        size <= memory_account.CONNECTION_SHARE * BUDGET for size in account.by_connection.values()
+        size <= memory_account.CONNECTION_FRACTION * BUDGET
+        for size in account.by_connection.values()
     )
     unread = [one for one in reservations if one.purpose is Purpose.UNREAD_ANSWERS]
     for workspace in {one.workspace for one in reservations}:
         wanted = sum(one.size for one in unread if one.workspace == workspace)
         assert account.answers_by_workspace.get(workspace, 0) == wanted
     for workspace, size in account.by_workspace.items():
-        assert not workspace or size <= memory_account.WORKSPACE_SHARE * BUDGET
+        assert not workspace or size <= memory_account.WORKSPACE_FRACTION * BUDGET
 
 
-def test_streams_alone_never_fill_the_room_for_answers():
+def test_streams_alone_never_fill_the_memory_for_answers():
     rng = random.Random(7)
     account = memory_account.MemoryAccount(BUDGET)
     streams = [Reservation(number, "", Purpose.UNREAD_ANSWERS) for number in range(500)]
@@ -87,10 +88,10 @@
             assert account.resize(stream, wanted)
         elif rng.random() < 0.1:
             account.resize(stream, 0)
-        assert account.total() <= memory_account.ANSWERS_SHARE * BUDGET
+        assert account.total() <= memory_account.ANSWERS_FRACTION * BUDGET
 
 
-def test_a_stream_may_hold_less_the_more_others_hold():
+def test_the_bound_of_a_stream_falls_with_the_bytes_of_others():
     account = memory_account.MemoryAccount(BUDGET)
     alone = account.stream_bound("")
     answers("a", 10_000_000, account)
@@ -99,7 +100,7 @@
     assert alone > beside > account.stream_bound("") > 0
 
 
-def test_a_large_answer_waits_for_others_and_is_let_in_alone():
+def test_a_large_answer_waits_for_others_and_is_accepted_alone():
     account = memory_account.MemoryAccount(BUDGET)
     first = answers("a", 15_000_000, account)
     second = Reservation("b", "", Purpose.UNREAD_ANSWERS)
@@ -111,7 +112,7 @@
     assert account.waiting == []
 
 
-def test_bytes_given_back_are_counted_for_the_rate():
+def test_released_bytes_are_counted():
     account = memory_account.MemoryAccount(BUDGET)
     reservation = answers("a", 900, account)
     account.resize(reservation, 400)
@@ -119,7 +120,7 @@
     assert account.released == 900
 
 
-def test_a_workspaces_slow_readers_leave_room_to_others_and_small_answers_wait_for_none():
+def test_a_workspaces_slow_readers_leave_memory_to_others_and_block_no_small_answer():
     account = memory_account.MemoryAccount(BUDGET)
     for number in range(500):
         stream = Reservation(number, "w", Purpose.UNREAD_ANSWERS)
--- a/plumarch/limits/memory_admission_test.py
+++ b/plumarch/limits/memory_admission_test.py
@@ -1,4 +1,4 @@
-"""Near the budget the least urgent and the largest go first; one slow reader turns nobody away."""
+"""Near the budget the least urgent and the largest requests are rejected first."""
 
 import hypothesis
 from hypothesis import strategies
@@ -32,33 +32,33 @@
 @hypothesis.given(sizes, ranks)
 @hypothesis.settings(derandomize=True, deadline=None)
 def test_one_workspace_and_one_connection_beside_it_turn_nobody_away(size: int, rank: int):
-    share = memory_account.WORKSPACE_SHARE + memory_account.CONNECTION_SHARE
+    share = memory_account.WORKSPACE_FRACTION + memory_account.CONNECTION_FRACTION
     assert not memory_admission.is_refused(held(share), size, rank)
 
 
 def test_all_are_refused_when_the_budget_is_nearly_full():
-    assert memory_admission.is_refused(held(memory_admission.FULL), 0, 0)
+    assert memory_admission.is_refused(held(memory_admission.REFUSE_ALL), 0, 0)
 
 
 def test_in_between_the_least_urgent_and_the_largest_are_refused():
-    half = held((memory_admission.START + memory_admission.FULL) / 2)
+    half = held((memory_admission.REFUSAL_START + memory_admission.REFUSE_ALL) / 2)
     assert not memory_admission.is_refused(half, 1_000, 0)
     assert memory_admission.is_refused(half, 1_000, 9)
     assert memory_admission.is_refused(half, BUDGET // 16, 0)
 
 
-def test_the_return_time_follows_the_rate_at_which_bytes_are_given_back():
+def test_the_return_time_follows_the_rate_at_which_bytes_are_released():
     steady = clock.ManualClock()
     admission = memory_admission.MemoryAdmission(steady)
     full = held(0.9)
-    assert admission.refuse(full, 0, 0, 0) == memory_admission.MAX_BACK_MS
+    assert admission.refuse(full, 0, 0, 0) == memory_admission.MAX_RETRY_AFTER_MS
     steady.advance_to(2_000)
-    # 0.2 of the budget is over START, and 200 bytes are given back each ms.
+    # 0.2 of the budget is above REFUSAL_START, and 200 bytes are released per ms.
     assert admission.refuse(full, 0, 0, 400_000) == 1_000.0
     steady.advance_to(4_000)
-    assert admission.refuse(full, 0, 0, 400_000) == memory_admission.MAX_BACK_MS
+    assert admission.refuse(full, 0, 0, 400_000) == memory_admission.MAX_RETRY_AFTER_MS
 
 
-def test_below_the_start_all_are_taken_on():
+def test_below_the_start_all_are_accepted():
     admission = memory_admission.MemoryAdmission(clock.ManualClock())
     assert admission.refuse(held(0.69), BUDGET, 9, 0) is None
