--- a/plumarch/limits/quarantine.py
+++ b/plumarch/limits/quarantine.py
@@ -29,7 +29,7 @@
 """Points from which on a request is held back. One that only stood beside another's end is lost
 once, with its repeat perhaps twice; the end of a third endpoint as it begins there is no chance."""
 
-SAME_END_MS = 1_000
+SAME_CRASH_MS = 1_000
 """Ends of one endpoint that are told with times so near are one and the same, seen by two nodes. No
 process is back that soon."""
 
@@ -102,7 +102,7 @@
 
     def points(self) -> int:
         """Return how much speaks against it."""
-        return sum(end.points for end in self.crashes)
+        return sum(crash.points for crash in self.crashes)
 
     def is_quarantined(self) -> bool:
         """Return whether it is held back."""
@@ -126,7 +126,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Hold:
+class QuarantinedRequest:
     """A request is held back.
 
     Attributes:
@@ -154,12 +154,12 @@
     def __post_init__(self) -> None:
         self.answers = recent_answers.RecentAnswers(self.clock)
 
-    def find_quarantined(self, fingerprint: str) -> Hold | None:
+    def find_quarantined(self, fingerprint: str) -> QuarantinedRequest | None:
         """Return how long a request is held back, or None if it may run."""
         suspect = self.suspects.get(fingerprint)
         if suspect is None or not suspect.is_quarantined():
             return None
-        return Hold(suspect, max(0, suspect.next_trial_ms() - self.clock.now()))
+        return QuarantinedRequest(suspect, max(0, suspect.next_trial_ms() - self.clock.now()))
 
     def points(self, fingerprint: str) -> int:
         """Return how much speaks against a request; 0 for one that is not known."""
@@ -177,8 +177,8 @@
         was_quarantined = self.find_quarantined(fingerprint) is not None
         if self.answers.has(fingerprint):
             points = min(points, LATE_POINTS)
-        end = Crash(endpoint, self.clock.now(), points)
-        self.merge([Suspect(fingerprint, (end,))])
+        crash = Crash(endpoint, self.clock.now(), points)
+        self.merge([Suspect(fingerprint, (crash,))])
         return not was_quarantined and self.find_quarantined(fingerprint) is not None
 
     def record_answer(self, fingerprint: str) -> bool:
@@ -208,25 +208,25 @@
         """
         self.merge([Suspect(fingerprint, trials=trials, tried_ms=self.clock.now())])
 
-    def merge(self, told: Iterable[Suspect]) -> list[str]:
+    def merge(self, reported: Iterable[Suspect]) -> list[str]:
         """Take in what other nodes, or the store, know.
 
         Returns:
           The fingerprints of which something was news.
         """
         now = self.clock.now()
-        news = []
-        for one in told:
+        changed = []
+        for one in reported:
             known = self.suspects.get(one.fingerprint, Suspect(one.fingerprint))
-            merged = merge(known, _not_later(one, now))
+            merged = merge(known, _cap_times(one, now))
             if merged != known and not merged.is_over(now):
                 self.suspects[one.fingerprint] = merged
-                news.append(one.fingerprint)
-        if news:
-            self._forget(now)
-        return [name for name in news if name in self.suspects]
+                changed.append(one.fingerprint)
+        if changed:
+            self._prune(now)
+        return [name for name in changed if name in self.suspects]
 
-    def _forget(self, now: int) -> None:
+    def _prune(self, now: int) -> None:
         for name in [name for name, one in self.suspects.items() if one.is_over(now)]:
             del self.suspects[name]
         if len(self.suspects) > MAX_SUSPECTS:
@@ -254,37 +254,39 @@
 def merge(one: Suspect, other: Suspect) -> Suspect:
     """Put together what two nodes know of the same request."""
     cleared_ms = max(one.cleared_ms, other.cleared_ms)
-    ends = [end for end in {*one.crashes, *other.crashes} if end.at_ms > cleared_ms]
+    crashes = [crash for crash in {*one.crashes, *other.crashes} if crash.at_ms > cleared_ms]
     return Suspect(
         one.fingerprint,
-        tuple(_without_doubles(ends)[-MAX_CRASHES:]),
+        tuple(_deduplicate(crashes)[-MAX_CRASHES:]),
         max(one.trials, other.trials),
         max(one.tried_ms, other.tried_ms),
         cleared_ms,
     )
 
 
-def _without_doubles(ends: Iterable[Crash]) -> list[Crash]:
+def _deduplicate(crashes: Iterable[Crash]) -> list[Crash]:
     """Return each end once, in the order of time, as the node saw it that blames the request more.
 
     Each end is seen by a few nodes within some ms, and the same endpoint is back seconds later.
     """
     found: list[Crash] = []
-    for end in sorted(ends, key=lambda end: (end.at_ms, end.endpoint, -end.points)):
-        twin = next((one for one in reversed(found) if _are_same(one, end)), None)
-        if twin is None:
-            found.append(end)
-        elif twin.points < end.points:
-            found[found.index(twin)] = dataclasses.replace(twin, points=end.points)
+    for crash in sorted(crashes, key=lambda crash: (crash.at_ms, crash.endpoint, -crash.points)):
+        duplicate = next((one for one in reversed(found) if _are_same(one, crash)), None)
+        if duplicate is None:
+            found.append(crash)
+        elif duplicate.points < crash.points:
+            found[found.index(duplicate)] = dataclasses.replace(duplicate, points=crash.points)
     return found
 
 
 def _are_same(one: Crash, other: Crash) -> bool:
-    return one.endpoint == other.endpoint and other.at_ms - one.at_ms < SAME_END_MS
+    return one.endpoint == other.endpoint and other.at_ms - one.at_ms < SAME_CRASH_MS
 
 
-def _not_later(one: Suspect, now: int) -> Suspect:
+def _cap_times(one: Suspect, now: int) -> Suspect:
     """Return what was told with no time after now: a clock that is ahead must void no later end."""
-    ends = tuple(dataclasses.replace(end, at_ms=min(end.at_ms, now)) for end in one.crashes)
+    crashes = tuple(
+        dataclasses.replace(crash, at_ms=min(crash.at_ms, now)) for crash in one.crashes
+    )
     tried_ms, cleared_ms = min(one.tried_ms, now), min(one.cleared_ms, now)
-    return dataclasses.replace(one, crashes=ends, tried_ms=tried_ms, cleared_ms=cleared_ms)
+    return dataclasses.replace(one, crashes=crashes, tried_ms=tried_ms, cleared_ms=cleared_ms)
--- a/plumarch/limits/quarantine_test.py
+++ b/plumarch/limits/quarantine_test.py
@@ -140,16 +140,16 @@
 
 def facts() -> list[quarantine.Suspect]:
     """Return what several nodes saw of one request, one thing each."""
-    ends = [
+    crashes = [
         quarantine.Crash(f"e{number}", START_MS + 3_000 * number + 7 * seen_by, EARLY + seen_by - 1)
         for number in range(4)
         for seen_by in range(2)
     ]
-    told = [quarantine.Suspect("f", (end,)) for end in ends]
-    told.append(quarantine.Suspect("f", trials=1, tried_ms=START_MS + 80_000))
-    told.append(quarantine.Suspect("f", trials=2, tried_ms=START_MS + 400_000))
-    told.append(quarantine.Suspect("f", cleared_ms=START_MS + 1_500))
-    return told
+    reported = [quarantine.Suspect("f", (crash,)) for crash in crashes]
+    reported.append(quarantine.Suspect("f", trials=1, tried_ms=START_MS + 80_000))
+    reported.append(quarantine.Suspect("f", trials=2, tried_ms=START_MS + 400_000))
+    reported.append(quarantine.Suspect("f", cleared_ms=START_MS + 1_500))
+    return reported
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -157,11 +157,11 @@
     rng = random.Random(seed)
     expected, _ = new(START_MS + 500_000)
     expected.merge(facts())
-    told = facts() + rng.sample(facts(), 5)
-    rng.shuffle(told)
+    reported = facts() + rng.sample(facts(), 5)
+    rng.shuffle(reported)
     known, _ = new(START_MS + 500_000)
-    for first in range(0, len(told), 3):
-        known.merge(told[first : first + 3])
+    for first in range(0, len(reported), 3):
+        known.merge(reported[first : first + 3])
     assert known.suspects == expected.suspects
 
 
--- a/plumarch/limits/quota_records.py
+++ b/plumarch/limits/quota_records.py
@@ -23,12 +23,12 @@
     settled: bool
     spent: float = 0.0
     charged: float = 0.0
-    spared: float = 0.0
-    own: float = 0.0
+    overflow: float = 0.0
+    own_share: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Spared:
+class Overflow:
     """What a bucket had spared at a time."""
 
     units: float
--- a/plumarch/limits/quota_tolerance.py
+++ b/plumarch/limits/quota_tolerance.py
@@ -4,21 +4,21 @@
 
 from plumarch.core import traffic
 
-EXCESS_REFILLED = 0.35
+REFILL_FRACTION = 0.35
 """The part of the tolerated excess by which buckets refill faster, where news is as young as
-FRESH_NEWS_MS."""
+FRESH_INTERVAL_MS."""
 
-EXCESS_HELD = 0.3
+CAPACITY_FRACTION = 0.3
 """The part of it by which buckets hold more than the burst: a large prompt that follows others
 finds room for it. What is left covers nodes that admit at the same moment."""
 
-EXCESS_OVERDRAWN = 0.2
+OVERDRAFT_FRACTION = 0.2
 """The part of it by which all groups of nodes that don't hear each other may overdraw their parts
 together with one large request each. Without this limit 24 nodes that were each cut off alone
 admitted twice their parts, a request of 9,000 units where 435 were left, and the fleet 1.02 of what
 is tolerated."""
 
-FRESH_NEWS_MS = 250.0
+FRESH_INTERVAL_MS = 250.0
 """Where heartbeats are rarer than this, less of the excess is used."""
 
 
@@ -47,19 +47,19 @@
         Args:
           update_age_ms: time between heartbeats.
         """
-        used = EXCESS_REFILLED * self._freshness(update_age_ms)
+        used = REFILL_FRACTION * self._freshness(update_age_ms)
         return workspace.rate + used * self.excess(workspace) * 1000.0 / self.window_ms
 
     def overdraft(self, workspace: traffic.Workspace) -> float:
         """Return the units by which one request on each side of a cut may overdraw, together."""
-        return EXCESS_OVERDRAWN * self.excess(workspace)
+        return OVERDRAFT_FRACTION * self.excess(workspace)
 
     def capacity(self, workspace: traffic.Workspace, update_age_ms: float) -> float:
         """Return the most units that a workspace's bucket holds over all nodes."""
-        used = EXCESS_HELD * self._freshness(update_age_ms)
+        used = CAPACITY_FRACTION * self._freshness(update_age_ms)
         return workspace.burst + used * self.excess(workspace)
 
     @staticmethod
     def _freshness(update_age_ms: float) -> float:
         """Return the part of the excess that may be used by the age of news."""
-        return min(1.0, FRESH_NEWS_MS / max(1.0, update_age_ms))
+        return min(1.0, FRESH_INTERVAL_MS / max(1.0, update_age_ms))
--- a/plumarch/limits/rate_allocator_test.py
+++ b/plumarch/limits/rate_allocator_test.py
@@ -4,7 +4,7 @@
 from plumarch.limits import rate_allocator
 
 
-def ask(
+def request_permits(
     allocator: rate_allocator.RateAllocator,
     count: int = 1,
     per_s: float | None = 2.0,
@@ -23,64 +23,64 @@
 
 def test_it_begins_without_permits_since_another_node_may_have_allocated_some():
     time, allocator = started()
-    assert ask(allocator, 5).permits == 0
+    assert request_permits(allocator, 5).permits == 0
     time.advance_to(time.now() + 500)
-    assert ask(allocator, 5).permits == 1
+    assert request_permits(allocator, 5).permits == 1
 
 
 def test_what_nobody_asked_for_is_saved_up_to_a_bound():
     time, allocator = started()
-    ask(allocator, 0, per_s=4.0)
+    request_permits(allocator, 0, per_s=4.0)
     time.advance_to(time.now() + 3_600_000)
-    assert ask(allocator, 64, per_s=4.0).permits == 3
+    assert request_permits(allocator, 64, per_s=4.0).permits == 3
 
 
 def test_a_node_that_hears_half_of_the_fleet_allocates_half_of_the_rate():
     time, allocator = started()
-    ask(allocator, 0, per_s=8.0, fraction=0.5)
+    request_permits(allocator, 0, per_s=8.0, fraction=0.5)
     time.advance_to(time.now() + 500)
-    assert ask(allocator, 64, per_s=8.0, fraction=0.5).permits == 2
+    assert request_permits(allocator, 64, per_s=8.0, fraction=0.5).permits == 2
 
 
 def test_an_endpoint_that_takes_nothing_is_asked_now_and_then():
     time, allocator = started()
-    ask(allocator, 0, per_s=0.0)
+    request_permits(allocator, 0, per_s=0.0)
     time.advance_to(time.now() + 9_900)
-    assert ask(allocator, 1, per_s=0.0).permits == 0
+    assert request_permits(allocator, 1, per_s=0.0).permits == 0
     time.advance_to(time.now() + 200)
-    assert ask(allocator, 1, per_s=0.0).permits == 1
+    assert request_permits(allocator, 1, per_s=0.0).permits == 1
 
 
 def test_the_newest_announcement_counts_whoever_reports_it():
     time, allocator = started()
-    ask(allocator, 0, per_s=2.0)
+    request_permits(allocator, 0, per_s=2.0)
     time.advance_to(time.now() + 100)
-    ended = ask(allocator, 0, per_s=None, node="m")
+    ended = request_permits(allocator, 0, per_s=None, node="m")
     assert ended.announcement == rate_allocator.Announcement(None, 0)
-    assert ask(allocator, 1, per_s=2.0, age_ms=100).announcement.per_s is None
+    assert request_permits(allocator, 1, per_s=2.0, age_ms=100).announcement.per_s is None
     time.advance_to(time.now() + 100)
-    assert ask(allocator, 1, per_s=3.0).announcement.per_s == 3.0
+    assert request_permits(allocator, 1, per_s=3.0).announcement.per_s == 3.0
 
 
 def test_a_limit_that_comes_back_begins_without_permits():
     time, allocator = started()
-    ask(allocator, 0, per_s=None)
+    request_permits(allocator, 0, per_s=None)
     time.advance_to(time.now() + 10_000)
-    assert ask(allocator, 64, per_s=50.0).permits == 0
+    assert request_permits(allocator, 64, per_s=50.0).permits == 0
 
 
 def test_callers_may_expect_a_permit_behind_those_of_other_nodes():
     time, allocator = started()
     for node in ("a", "b", "c"):
-        found = ask(allocator, per_s=1.0, node=node)
+        found = request_permits(allocator, per_s=1.0, node=node)
     assert (found.next_ms, found.wait_ms, found.contenders) == (1_000, 3_000, 3)
     time.advance_to(time.now() + 1_000)
-    assert ask(allocator, per_s=1.0, node="d").permits == 1
+    assert request_permits(allocator, per_s=1.0, node="d").permits == 1
 
 
 def test_endpoints_that_nobody_asks_for_are_forgotten():
     time, allocator = started()
-    ask(allocator)
+    request_permits(allocator)
     time.advance_to(time.now() + rate_allocator.IDLE_MS + 1)
     observed = rate_allocator.Announcement(1.0, 0)
     allocator.allocate(rate_allocator.PermitRequest("n", "other", 1, 0, observed), 1.0)
--- a/plumarch/limits/rate_permits.py
+++ b/plumarch/limits/rate_permits.py
@@ -35,17 +35,17 @@
 ANSWER_MS = 500
 """An answer that takes longer counts as lost: it may come from a process that was stopped."""
 
-SILENT_MS = 1_000
+UNRESPONSIVE_MS = 1_000
 """After so long without an answer the node uses its fixed share."""
 
-FIXED_PART = 0.5
+FIXED_SHARE_FRACTION = 0.5
 """The part of a rate that is divided into fixed shares."""
 
 FIXED_GRACE_MS = 2_000
 """A fixed share's turn that was not used within this time is drawn again. Otherwise all nodes would
 have one saved up when demand begins."""
 
-NOTICEABLE = 0.1
+MIN_RATE_CHANGE = 0.1
 """The part by which a rate has to change so that it is reported. An endpoint may work out its rate
 anew for each answer."""
 
@@ -58,7 +58,7 @@
 MAX_PAUSE_MS = 5_000
 """A node that was denied a permit asks again after this at the latest."""
 
-ASKS_PER_PERMIT = 4
+REQUESTS_PER_PERMIT = 4
 """How often nodes that compete for a permit ask for it, all together."""
 
 
@@ -71,13 +71,13 @@
       alive_ms: time of day at which the process that announced it was alive for certain.
       per_s: the announced rate, or None if there is no limit any more.
       observed_ms: when the answer came that this rests on, to whichever node.
-      noted_per_s: the rate when it changed noticeably last.
+      last_noted_per_s: the rate when it changed noticeably last.
       permits: when each permit expires.
       demand: when requests came lately that would go there.
       sequence: of the last request for permits.
       count: permits that it asked for.
       last_request_ms: when that one was sent, or None if it was answered.
-      silent_since_ms: when the first request was sent that has no answer since; or None.
+      unanswered_since_ms: when the first request was sent that has no answer since; or None.
       pause_until_ms: no permits are asked for before.
       wait_until_ms: when a caller may expect a permit, by the last answer of the allocator.
       turn_ms: when the fixed share allows a request, or None if it was not needed yet.
@@ -87,7 +87,7 @@
     alive_ms: int
     per_s: float | None
     observed_ms: int
-    noted_per_s: float | None = None
+    last_noted_per_s: float | None = None
     permits: collections.deque[int] = dataclasses.field(default_factory=collections.deque)
     demand: collections.deque[int] = dataclasses.field(
         default_factory=lambda: collections.deque(maxlen=MAX_DEMAND)
@@ -95,7 +95,7 @@
     sequence: int = 0
     count: int = 0
     last_request_ms: int | None = None
-    silent_since_ms: int | None = None
+    unanswered_since_ms: int | None = None
     pause_until_ms: int = 0
     wait_until_ms: int = 0
     turn_ms: float | None = None
@@ -171,9 +171,9 @@
     def _set_rate(self, one: LimitedEndpoint, per_s: float | None, observed_ms: int) -> bool:
         """Set an announced rate, and return whether it changed noticeably."""
         one.per_s, one.observed_ms = per_s, observed_ms
-        if not _differs(per_s, one.noted_per_s):
+        if not _differs(per_s, one.last_noted_per_s):
             return False
-        one.noted_per_s = per_s
+        one.last_noted_per_s = per_s
         # Permits under a higher rate are too many for a lower one.
         one.permits.clear()
         return True
@@ -243,8 +243,8 @@
         if count <= 0 or 2 * len(one.permits) > lately:
             return None
         one.last_request_ms, one.count = now, count
-        if one.silent_since_ms is None:
-            one.silent_since_ms = now
+        if one.unanswered_since_ms is None:
+            one.unanswered_since_ms = now
         one.sequence += 1
         return self._message(one, one.sequence, count)
 
@@ -278,7 +278,7 @@
         if one is None or answer.sequence != one.sequence or not self.is_request_pending(endpoint):
             return changed
         now = self.clock.now()
-        one.last_request_ms = one.silent_since_ms = one.turn_ms = None
+        one.last_request_ms = one.unanswered_since_ms = one.turn_ms = None
         one.permits.extend([now + round(PERMIT_MS + PERMIT_GAPS * _gap_ms(one))] * answer.permits)
         one.wait_until_ms = now + answer.wait_ms
         if answer.permits < one.count:
@@ -288,7 +288,7 @@
     def _pause_ms(self, one: LimitedEndpoint, answer: rate_allocator.PermitAnswer) -> float:
         """Return when to ask for what is missing, the later the more nodes compete."""
         others = max(0, answer.contenders - 1)
-        spread_ms = 2.0 * others * _gap_ms(one) / ASKS_PER_PERMIT
+        spread_ms = 2.0 * others * _gap_ms(one) / REQUESTS_PER_PERMIT
         pause_ms = answer.next_ms + self.rng.uniform(0.0, spread_ms)
         return max(MIN_PAUSE_MS, min(MAX_PAUSE_MS, pause_ms))
 
@@ -301,14 +301,14 @@
     def _has_turn(self, one: LimitedEndpoint) -> bool:
         """Return whether the fixed share allows a request, if the allocator is silent."""
         now = self.clock.now()
-        if one.silent_since_ms is None or now - one.silent_since_ms < SILENT_MS:
+        if one.unanswered_since_ms is None or now - one.unanswered_since_ms < UNRESPONSIVE_MS:
             return False
         if one.turn_ms is None or now - one.turn_ms > FIXED_GRACE_MS:
             one.turn_ms = now + self.rng.uniform(0.0, self._fixed_interval_ms(one))
         return now >= one.turn_ms
 
     def _fixed_interval_ms(self, one: LimitedEndpoint) -> float:
-        return self.nodes * _gap_ms(one) / FIXED_PART
+        return self.nodes * _gap_ms(one) / FIXED_SHARE_FRACTION
 
     def wait_ms(self, endpoints: Iterable[traffic.Endpoint]) -> int:
         """Return when a caller may expect a permit for one of endpoints; 0 if one needs none."""
@@ -346,7 +346,7 @@
     """Return whether a limit began or ended, or its rate changed noticeably."""
     if per_s is None or noted is None:
         return per_s is not noted
-    return abs(per_s - noted) > NOTICEABLE * noted
+    return abs(per_s - noted) > MIN_RATE_CHANGE * noted
 
 
 def _gap_ms(one: LimitedEndpoint) -> float:
--- a/plumarch/limits/rate_permits_test.py
+++ b/plumarch/limits/rate_permits_test.py
@@ -182,7 +182,7 @@
         node.permits.rng.seed(number)
         node.announced(4.0)
         node.permits.request(ENDPOINT)
-        node.after(rate_permits.SILENT_MS)
+        node.after(rate_permits.UNRESPONSIVE_MS)
         for _ in range(2_000):
             node.after(10)
             sent += node.permits.use(ENDPOINT)
@@ -197,7 +197,7 @@
         node.permits.rng.seed(number)
         node.announced(1.0)
         node.permits.request(ENDPOINT)
-        node.after(rate_permits.SILENT_MS)
+        node.after(rate_permits.UNRESPONSIVE_MS)
         node.permits.may_send(ENDPOINT)
         node.after(3_600_000)
         sent += node.permits.use(ENDPOINT)
--- a/plumarch/limits/read_progress.py
+++ b/plumarch/limits/read_progress.py
@@ -3,7 +3,7 @@
 import dataclasses
 import math
 
-LATE = 3.0
+LATE_FACTOR = 3.0
 """A look that comes this many times later than the one after the last finds that this process did
 not run meanwhile: the peer had nothing on its way to it, and is given its time anew."""
 
@@ -21,23 +21,23 @@
 
     limit_ms: float
     check_interval_ms: float = math.inf
-    taken: int = 0
+    bytes_read: int = 0
     since_ms: float = 0.0
-    looked_ms: float = 0.0
+    checked_ms: float = 0.0
 
-    def begin(self, taken: int, now_ms: float) -> None:
+    def begin(self, bytes_read: int, now_ms: float) -> None:
         """Note that there is something to read from now on."""
-        self.taken = taken
-        self.since_ms = self.looked_ms = now_ms
+        self.bytes_read = bytes_read
+        self.since_ms = self.checked_ms = now_ms
 
-    def stalled(self, taken: int, now_ms: float) -> bool:
+    def stalled(self, bytes_read: int, now_ms: float) -> bool:
         """Note how much was taken so far.
 
         Returns:
           Whether nothing was taken for longer than the limit.
         """
-        is_late = now_ms - self.looked_ms >= LATE * self.check_interval_ms
-        if taken > self.taken or is_late:
-            self.begin(taken, now_ms)
-        self.looked_ms = now_ms
+        is_late = now_ms - self.checked_ms >= LATE_FACTOR * self.check_interval_ms
+        if bytes_read > self.bytes_read or is_late:
+            self.begin(bytes_read, now_ms)
+        self.checked_ms = now_ms
         return now_ms - self.since_ms >= self.limit_ms
--- a/plumarch/limits/recent_answers.py
+++ b/plumarch/limits/recent_answers.py
@@ -11,7 +11,7 @@
 RETENTION_MS = 60_000
 """How long an answer speaks for a request; as long as one is first held back."""
 
-MAX_KEPT = 4_096
+MAX_ENTRIES = 4_096
 """Requests that are remembered, some 150 bytes each; at 36 requests a second on each node of the
 largest fleet those of two minutes."""
 
@@ -27,7 +27,7 @@
         """Take in an answer."""
         self.times.pop(fingerprint, None)
         self.times[fingerprint] = self.clock.now()
-        while len(self.times) > MAX_KEPT:
+        while len(self.times) > MAX_ENTRIES:
             del self.times[next(iter(self.times))]
 
     def has(self, fingerprint: str) -> bool:
--- a/plumarch/limits/recent_answers_test.py
+++ b/plumarch/limits/recent_answers_test.py
@@ -16,9 +16,9 @@
 
 def test_the_oldest_go_first():
     known = recent_answers.RecentAnswers(clock.ManualClock())
-    for number in range(recent_answers.MAX_KEPT):
+    for number in range(recent_answers.MAX_ENTRIES):
         known.note(f"f{number}")
     known.note("f0")
     known.note("one more")
     assert known.has("f0") and not known.has("f1") and known.has("f2")
-    assert len(known.times) == recent_answers.MAX_KEPT
+    assert len(known.times) == recent_answers.MAX_ENTRIES
--- a/plumarch/limits/retry_budget.py
+++ b/plumarch/limits/retry_budget.py
@@ -2,13 +2,13 @@
 
 import dataclasses
 
-SHARE = 0.1
+RETRIES_PER_REQUEST = 0.1
 """Retries allowed for each first try."""
 
-SAVED_LIMIT = 20.0
+MAX_SAVED = 20.0
 """Retries that a workspace can save up."""
 
-START = 5.0
+INITIAL_RETRIES = 5.0
 """Retries that a workspace starts with."""
 
 
@@ -20,8 +20,8 @@
 
     def first_try(self, workspace: str) -> None:
         """Earn a share of a retry."""
-        saved = self.saved.get(workspace, START)
-        self.saved[workspace] = min(SAVED_LIMIT, saved + SHARE)
+        saved = self.saved.get(workspace, INITIAL_RETRIES)
+        self.saved[workspace] = min(MAX_SAVED, saved + RETRIES_PER_REQUEST)
 
     def take(self, workspace: str) -> bool:
         """Spend a retry.
@@ -29,7 +29,7 @@
         Returns:
           False if the workspace has none left.
         """
-        saved = self.saved.get(workspace, START)
+        saved = self.saved.get(workspace, INITIAL_RETRIES)
         if saved < 1.0:
             return False
         self.saved[workspace] = saved - 1.0
--- a/plumarch/limits/retry_budget_test.py
+++ b/plumarch/limits/retry_budget_test.py
@@ -8,7 +8,7 @@
         budget.first_try("w")
         while budget.take("w"):
             retries += 1
-    assert retries <= 1_000 * retry_budget.SHARE + retry_budget.START
+    assert retries <= 1_000 * retry_budget.RETRIES_PER_REQUEST + retry_budget.INITIAL_RETRIES
 
 
 def test_one_workspace_spends_nothing_of_another() -> None:
--- a/plumarch/limits/workspace_quota.py
+++ b/plumarch/limits/workspace_quota.py
@@ -24,7 +24,7 @@
 SETTLED_MS = 8_000
 """From this age of the process on, a workspace that is new starts with a full bucket."""
 
-AMPLE = 0.15
+AMPLE_FRACTION = 0.15
 """Part of what a bucket holds at most from which on each node admits what the bucket holds; below
 it, from its share of the refill besides. Else all nodes give the same few units to a request each,
 before they hear of one another: a workspace that asked 72 nodes for ten times its rate got nothing
@@ -32,14 +32,14 @@
 tolerated; with it 0.97 at most. From 0.25 on callers are refused after cuts who are owed (0.046 in
 place of 0.026)."""
 
-OWN_MS = 500
+OWN_SHARE_MS = 500
 """For how long a node saves its share of the refill, and for how long it may be behind while there
 is ample: the time that news take over two tiers of a fleet, and some more for large requests."""
 
 LEAST_URGENT_RANK = 2
 """Ranks from this one on leave what a bucket holds beyond the burst to more urgent requests."""
 
-HELD_OF_BURST = 0.35
+RESERVED_BURST_FRACTION = 0.35
 """What they leave is at most this part of the burst, so that it suffices where the tolerated
 excess is far larger than the allotment. A judgement."""
 
@@ -49,7 +49,7 @@
 hears nothing else of what the other side admitted; without this fleets of eight nodes admitted 1.11
 of what is tolerated."""
 
-UNHEARD_MS = 900
+LAST_SEEN_WINDOW_MS = 900
 """How long ago a node that is not heard any more was heard last at most: a time after which news
 are no longer fresh, and an interval between heartbeats."""
 
@@ -64,11 +64,11 @@
         node tells each other one at once.
       update_age_ms: time between heartbeats of a node.
       workspaces: those of the configuration in force, by name.
-      spared_before: what was spared when a group was heard last, by group and workspace.
+      overflow_before: what was spared when a group was heard last, by group and workspace.
       charged_by: units charged since this process started, over all workspaces, by who admitted
         them: "" for this node, a node's name, or a group of nodes.
       resync_until_ms: until when lower levels are taken over from peers.
-      charged_before: what was charged by when, over the last moments, by workspace.
+      charge_history: what was charged by when, over the last moments, by workspace.
     """
 
     clock: clock.Clock
@@ -78,18 +78,18 @@
     )
     fraction: float = 1.0
     admitting_nodes: int = 1
-    update_age_ms: float = quota_tolerance.FRESH_NEWS_MS
+    update_age_ms: float = quota_tolerance.FRESH_INTERVAL_MS
     workspaces: Mapping[str, traffic.Workspace] = dataclasses.field(default_factory=dict)
     buckets: dict[str, quota_records.Bucket] = dataclasses.field(default_factory=dict)
     heard: dict[tuple[str, str], float] = dataclasses.field(default_factory=dict)
-    spared_before: dict[tuple[str, str], quota_records.Spared] = dataclasses.field(
+    overflow_before: dict[tuple[str, str], quota_records.Overflow] = dataclasses.field(
         default_factory=dict
     )
     charged_by: collections.defaultdict[str, float] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(float)
     )
     resync_until_ms: int = 0
-    charged_before: collections.deque[tuple[int, dict[str, float]]] = dataclasses.field(
+    charge_history: collections.deque[tuple[int, dict[str, float]]] = dataclasses.field(
         default_factory=collections.deque
     )
 
@@ -107,36 +107,38 @@
         bucket = self._refill(workspace)
         available = bucket.level if self.fraction >= 1.0 else bucket.share
         if bucket.settled:
-            available -= self._left_to_others(workspace, rank)
-        needed = min(units, self._least(workspace, units))
+            available -= self._reserved_for_urgent(workspace, rank)
+        needed = min(units, self._min_level(workspace, units))
         if available < needed:
             refill = self.tolerance.refill(workspace, self.update_age_ms) * self.fraction
             return max(1.0, (needed - available) / max(refill, 1e-9) * 1000.0)
         ample = self.admitting_nodes == 1 or self._is_ample(workspace, available)
-        if bucket.own < 0 and not ample:
-            return max(1.0, -bucket.own / max(self._own_refill(workspace), 1e-9) * 1000.0)
+        if bucket.own_share < 0 and not ample:
+            return max(
+                1.0, -bucket.own_share / max(self._own_share_refill(workspace), 1e-9) * 1000.0
+            )
         self._charge(bucket, units)
         bucket.spent += units
-        bucket.own -= units
+        bucket.own_share -= units
         if ample:
-            bucket.own = max(bucket.own, -self._own_most(workspace))
+            bucket.own_share = max(bucket.own_share, -self._max_own_share(workspace))
         self.charged_by[""] += units
         return 0.0
 
     def _is_ample(self, workspace: traffic.Workspace, available: float) -> bool:
         """Return whether so much is left that this node need not look at its share."""
         capacity = self.tolerance.capacity(workspace, self.update_age_ms)
-        return available >= AMPLE * capacity * self.fraction
+        return available >= AMPLE_FRACTION * capacity * self.fraction
 
-    def _own_refill(self, workspace: traffic.Workspace) -> float:
+    def _own_share_refill(self, workspace: traffic.Workspace) -> float:
         """Return the units a second that are this node's share of the refill."""
         return self.tolerance.refill(workspace, self.update_age_ms) / self.admitting_nodes
 
-    def _own_most(self, workspace: traffic.Workspace) -> float:
+    def _max_own_share(self, workspace: traffic.Workspace) -> float:
         """Return the units that this node may save of its share, or be behind."""
-        return self._own_refill(workspace) * OWN_MS / 1000.0
+        return self._own_share_refill(workspace) * OWN_SHARE_MS / 1000.0
 
-    def _least(self, workspace: traffic.Workspace, units: float) -> float:
+    def _min_level(self, workspace: traffic.Workspace, units: float) -> float:
         """Return the level from which on a request larger than a part holds is admitted.
 
         A whole fleet admits what is larger than the burst once that is full. A small group
@@ -146,12 +148,12 @@
         burst = workspace.burst * self.fraction
         return burst if self.fraction >= 1.0 else max(burst, units - overdraft)
 
-    def _left_to_others(self, workspace: traffic.Workspace, rank: int) -> float:
+    def _reserved_for_urgent(self, workspace: traffic.Workspace, rank: int) -> float:
         """Return the units that requests of a rank leave in the bucket."""
         if rank < LEAST_URGENT_RANK:
             return 0.0
         held = self.tolerance.capacity(workspace, self.update_age_ms) - workspace.burst
-        return min(held, HELD_OF_BURST * workspace.burst) * self.fraction
+        return min(held, RESERVED_BURST_FRACTION * workspace.burst) * self.fraction
 
     @staticmethod
     def _charge(bucket: quota_records.Bucket, units: float) -> None:
@@ -175,14 +177,14 @@
         if bucket is not None and workspace.rate > 0:
             self._charge(bucket, -units)
             bucket.spent -= units
-            bucket.own += units
+            bucket.own_share += units
             self.charged_by[""] -= units
 
     def set_reachable_fraction(self, fraction: float) -> None:
         """Take in which part of all nodes is heard from now on."""
         now = self.clock.now()
         if fraction == self.fraction:
-            self._remember_charges(now)
+            self._record_charges(now)
             return
         self.refill_all()
         for name, bucket in self.buckets.items():
@@ -190,10 +192,10 @@
                 bucket.share = bucket.level
             left = max(0.0, bucket.level)
             if fraction < self.fraction:
-                left = max(0.0, bucket.level + self._charged_unheard(name))
+                left = max(0.0, bucket.level + self._charged_since_last_seen(name))
             bucket.share += (fraction - self.fraction) * left
         self.fraction = fraction
-        self._remember_charges(now)
+        self._record_charges(now)
 
     def deduct_lost_share(self, share: float) -> None:
         """Count the part of a node as used up whose process ended while it was not heard.
@@ -212,19 +214,19 @@
                 used = max(used, (bucket.level - bucket.share) * min(1.0, share / unheard))
             bucket.level -= used
 
-    def _remember_charges(self, now: int) -> None:
+    def _record_charges(self, now: int) -> None:
         """Note what was charged until now, and drop what was noted long ago."""
         charged = {name: bucket.charged for name, bucket in self.buckets.items()}
-        self.charged_before.append((now, charged))
-        while now - self.charged_before[0][0] > UNHEARD_MS:
-            self.charged_before.popleft()
+        self.charge_history.append((now, charged))
+        while now - self.charge_history[0][0] > LAST_SEEN_WINDOW_MS:
+            self.charge_history.popleft()
 
-    def _charged_unheard(self, name: str) -> float:
+    def _charged_since_last_seen(self, name: str) -> float:
         """Return what was charged since nodes that are not heard any more were heard last.
 
         They have a part of that as well: until now both sides admitted as if each were the whole.
         """
-        before = self.charged_before[0][1] if self.charged_before else {}
+        before = self.charge_history[0][1] if self.charge_history else {}
         if name not in before:
             return 0.0
         return max(0.0, self.buckets[name].charged - before[name])
@@ -262,7 +264,7 @@
         self,
         node: str,
         spending: Mapping[str, quota_records.PeerSpending],
-        again: bool = False,
+        after_gap: bool = False,
         share: float = 1.0,
     ) -> dict[str, float]:
         """Charge what a peer admitted since it was heard last.
@@ -275,30 +277,34 @@
         Returns:
           What was charged, by workspace.
         """
-        if again or any(
-            told.settled and name in self.buckets and (node, name) not in self.heard
-            for name, told in spending.items()
+        if after_gap or any(
+            reported.settled and name in self.buckets and (node, name) not in self.heard
+            for name, reported in spending.items()
         ):
             self.resync_until_ms = self.clock.now() + RESYNC_MS
         charged: dict[str, float] = {}
-        for name, told in spending.items():
+        for name, reported in spending.items():
             bucket = self.buckets.get(name)
             if bucket is None:
                 continue
             if (node, name) not in self.heard:
-                charged |= self._heard_first(node, name, told)
-            elif again:
-                charged |= self._heard_again((node, name), told.spent, share)
+                charged |= self._apply_first_report(node, name, reported)
+            elif after_gap:
+                charged |= self._apply_report_after_gap((node, name), reported.spent, share)
             else:
-                charged |= self.noticed(node, name, told.spent)
-            self.spared_before[(node, name)] = quota_records.Spared(bucket.spared, self.clock.now())
-            if told.settled and (not bucket.settled or self.clock.now() < self.resync_until_ms):
+                charged |= self.noticed(node, name, reported.spent)
+            self.overflow_before[(node, name)] = quota_records.Overflow(
+                bucket.overflow, self.clock.now()
+            )
+            if reported.settled and (not bucket.settled or self.clock.now() < self.resync_until_ms):
                 self._refill(self.workspaces[name])
-                self._take_over(bucket, quota_records.PeerLevel(told.level, told.overdrawn))
+                self._apply_level(
+                    bucket, quota_records.PeerLevel(reported.level, reported.overdrawn)
+                )
         return charged
 
-    def _heard_first(
-        self, node: str, name: str, told: quota_records.PeerSpending
+    def _apply_first_report(
+        self, node: str, name: str, reported: quota_records.PeerSpending
     ) -> dict[str, float]:
         """Take in a peer that is heard for the first time.
 
@@ -307,14 +313,16 @@
         most that it can have had of them.
         """
         workspace = self.workspaces[name]
-        self.heard[(node, name)] = told.spent
-        uncounted = told.spent - told.counted if told.counted is not None else 0.0
+        self.heard[(node, name)] = reported.spent
+        uncounted = reported.spent - reported.counted if reported.counted is not None else 0.0
         uncounted = min(max(0.0, uncounted), self.tolerance.capacity(workspace, self.update_age_ms))
         if uncounted:
             self._charge_others(node, name, uncounted)
         return {name: uncounted} if uncounted else {}
 
-    def _heard_again(self, key: tuple[str, str], spent: float, share: float) -> dict[str, float]:
+    def _apply_report_after_gap(
+        self, key: tuple[str, str], spent: float, share: float
+    ) -> dict[str, float]:
         """Charge what a peer admitted in a silence, as far as that is still owed."""
         node, name = key
         self._refill(self.workspaces[name])
@@ -343,7 +351,7 @@
         group: str,
         charged: Mapping[str, float],
         levels: Mapping[str, quota_records.PeerLevel],
-        anew: bool = False,
+        resync: bool = False,
         share: float = 1.0,
     ) -> None:
         """Charge what a group of nodes admitted, as one of them sums it up.
@@ -361,14 +369,16 @@
             if name in self.buckets:
                 key = (group, name)
                 self.heard[key] = self.heard.get(key, 0.0) + units
-                self._charge_others(group, name, self._due(key, units, share) if anew else units)
+                self._charge_others(group, name, self._due(key, units, share) if resync else units)
         for name, known in self.buckets.items():
-            self.spared_before[(group, name)] = quota_records.Spared(known.spared, self.clock.now())
+            self.overflow_before[(group, name)] = quota_records.Overflow(
+                known.overflow, self.clock.now()
+            )
         for name, level in levels.items():
             bucket = self.buckets.get(name)
-            if bucket is not None and (anew or not bucket.settled):
+            if bucket is not None and (resync or not bucket.settled):
                 self._refill(self.workspaces[name])
-                self._take_over(bucket, level)
+                self._apply_level(bucket, level)
 
     def _due(self, key: tuple[str, str], units: float, share: float) -> float:
         """Return what is to be charged of what a group admitted while it was not heard.
@@ -383,19 +393,19 @@
           key: the group and the workspace.
         """
         bucket, workspace = self.buckets[key[1]], self.workspaces[key[1]]
-        before = self.spared_before.get(key)
+        before = self.overflow_before.get(key)
         if before is None:
             return units
         silent_s = (self.clock.now() - before.at_ms) / 1000.0
         refilled = share * self.tolerance.refill(workspace, self.update_age_ms) * silent_s
         at_once = share * self.tolerance.capacity(workspace, self.update_age_ms)
-        spared = min(bucket.spared - before.units, refilled)
-        used = max(0.0, min(units - at_once, spared))
-        bucket.spared -= used
+        overflow = min(bucket.overflow - before.units, refilled)
+        used = max(0.0, min(units - at_once, overflow))
+        bucket.overflow -= used
         return units - used
 
     def apply_fleet_levels(
-        self, told: Mapping[str, quota_records.ReportedBucket], fraction: float
+        self, reported: Mapping[str, quota_records.ReportedBucket], fraction: float
     ) -> None:
         """Take over the buckets of a coordinator; those that it does not tell go on as they are.
 
@@ -403,7 +413,7 @@
           fraction: the part of all nodes that it hears.
         """
         self.set_reachable_fraction(fraction)
-        for name, one in told.items():
+        for name, one in reported.items():
             workspace = self.workspaces.get(name)
             if workspace is None or workspace.rate <= 0:
                 continue
@@ -415,15 +425,15 @@
             bucket.share = one.share
             bucket.settled = one.settled
 
-    def _take_over(self, bucket: quota_records.Bucket, told: quota_records.PeerLevel) -> None:
+    def _apply_level(self, bucket: quota_records.Bucket, reported: quota_records.PeerLevel) -> None:
         """Take over what is left by a peer that knows more, or that is heard since just now."""
         if bucket.settled:
-            bucket.level = min(told.level, bucket.level)
+            bucket.level = min(reported.level, bucket.level)
             bucket.share = min(bucket.share, bucket.level)
             return
-        bucket.level = told.level
+        bucket.level = reported.level
         # A process that starts amid a cut has no more left than those that it hears.
-        bucket.share = told.level * self.fraction - told.overdrawn
+        bucket.share = reported.level * self.fraction - reported.overdrawn
         bucket.settled = True
 
     def _overdrawn(self, bucket: quota_records.Bucket) -> float:
@@ -432,7 +442,7 @@
 
     def forget(self, node: str) -> None:
         """Drop what is known of an incarnation that is gone."""
-        for known in (self.heard, self.spared_before):
+        for known in (self.heard, self.overflow_before):
             for key in [key for key in known if key[0] == node]:
                 del known[key]
         self.charged_by.pop(node.partition("#")[0], None)
@@ -449,12 +459,15 @@
         refill = self.tolerance.refill(workspace, self.update_age_ms)
         gained = refill * (now - bucket.updated_ms) / 1000.0
         capacity = self.tolerance.capacity(workspace, self.update_age_ms)
-        bucket.spared += max(0.0, bucket.level + gained - capacity)
+        bucket.overflow += max(0.0, bucket.level + gained - capacity)
         bucket.level = min(capacity, bucket.level + gained)
         most = capacity * self.fraction
         bucket.share = min(most, bucket.share + gained * self.fraction)
-        own = bucket.own + self._own_refill(workspace) * (now - bucket.updated_ms) / 1000.0
-        bucket.own = min(self._own_most(workspace), own)
+        own = (
+            bucket.own_share
+            + self._own_share_refill(workspace) * (now - bucket.updated_ms) / 1000.0
+        )
+        bucket.own_share = min(self._max_own_share(workspace), own)
         bucket.updated_ms = now
         return bucket
 
--- a/plumarch/limits/workspace_quota_test.py
+++ b/plumarch/limits/workspace_quota_test.py
@@ -95,8 +95,8 @@
     quota = quota_of(time)
     quota.apply_node_report("b#1", {"w": quota_records.PeerSpending(0, 2_000)})
     time.advance_to(6_000)
-    told = {"w": quota_records.PeerSpending(3_000, 2_000)}
-    assert quota.apply_node_report("b#1", told, again=True, share=0.5) == {"w": 1_000.0}
+    reported = {"w": quota_records.PeerSpending(3_000, 2_000)}
+    assert quota.apply_node_report("b#1", reported, after_gap=True, share=0.5) == {"w": 1_000.0}
 
 
 def test_where_little_is_left_a_node_of_a_large_fleet_goes_by_its_share_of_the_refill():
@@ -194,10 +194,10 @@
     return quota
 
 
-EXCESS = quota_tolerance.EXCESS_REFILLED * 2_000.0
+EXCESS = quota_tolerance.REFILL_FRACTION * 2_000.0
 """Of what SPACE may spend beyond its allotment in a window of 8 s, what buckets refill by."""
 
-HELD = quota_tolerance.EXCESS_HELD * 2_000.0
+HELD = quota_tolerance.CAPACITY_FRACTION * 2_000.0
 """Of the same, what a bucket holds beyond the burst."""
 
 
@@ -272,7 +272,7 @@
 
 def test_all_that_a_window_can_get_stays_within_what_is_tolerated():
     quota = tolerant(clock.ManualClock())
-    used = quota_tolerance.EXCESS_HELD + quota_tolerance.EXCESS_REFILLED
+    used = quota_tolerance.CAPACITY_FRACTION + quota_tolerance.REFILL_FRACTION
     assert used <= 0.7
     most = quota.tolerance.capacity(SPACE, 250.0) + 8 * quota.tolerance.refill(SPACE, 250.0)
     assert most <= (SPACE.rate * 8 + SPACE.burst) * 1.1 + 1_000.0
--- a/plumarch/peers/suspect_entries.py
+++ b/plumarch/peers/suspect_entries.py
@@ -4,7 +4,7 @@
 
 from plumarch.limits import quarantine
 
-ENDS_TOLD = 4
+MAX_SENT_CRASHES = 4
 """Ends of a request that a datagram tells, the newest ones; three early ones hold it back. Some 30
 bytes each."""
 
@@ -27,13 +27,16 @@
     cleared_ms: int = 0
 
 
-def to_message(suspect: quarantine.Suspect, ends: int = ENDS_TOLD) -> ReportedSuspect:
+def to_message(suspect: quarantine.Suspect, crashes: int = MAX_SENT_CRASHES) -> ReportedSuspect:
     """Return a suspect as it is told.
 
     Args:
       ends: how many of its ends are told, the newest ones.
     """
-    chosen = [ReportedCrash(end.endpoint, end.at_ms, end.points) for end in suspect.crashes[-ends:]]
+    chosen = [
+        ReportedCrash(crash.endpoint, crash.at_ms, crash.points)
+        for crash in suspect.crashes[-crashes:]
+    ]
     return ReportedSuspect(
         suspect.fingerprint, chosen, suspect.trials, suspect.tried_ms, suspect.cleared_ms
     )
@@ -41,10 +44,10 @@
 
 def from_message(one: ReportedSuspect) -> quarantine.Suspect:
     """Return a suspect as it is kept; an end counts for no more than an early one does."""
-    ends = tuple(
-        quarantine.Crash(end.endpoint, end.at_ms, min(end.points, quarantine.EARLY_POINTS))
-        for end in one.crashes
+    crashes = tuple(
+        quarantine.Crash(crash.endpoint, crash.at_ms, min(crash.points, quarantine.EARLY_POINTS))
+        for crash in one.crashes
     )
     return quarantine.Suspect(
-        one.fingerprint, ends, max(0, one.trials), one.tried_ms, one.cleared_ms
+        one.fingerprint, crashes, max(0, one.trials), one.tried_ms, one.cleared_ms
     )
--- a/plumarch/peers/tolerant.py
+++ b/plumarch/peers/tolerant.py
@@ -30,18 +30,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadInPart:
+class PartialDatagram:
     """A datagram without what can't be read of it.
 
     Attributes:
-      left_out: names of the fields that lack something.
+      unreadable: names of the fields that lack something.
     """
 
     datagram: Any
-    left_out: tuple[str, ...]
+    unreadable: tuple[str, ...]
 
 
-def read(data: bytes) -> ReadInPart:
+def read(data: bytes) -> PartialDatagram:
     """Return what can be read of a datagram.
 
     A part of a list is left out by itself; a field with a default is taken as not told.
@@ -55,19 +55,19 @@
     if kind is None:
         raise msgspec.ValidationError("no kind of message that this build knows")
     found: dict[str, object] = {}
-    left_out = []
+    unreadable = []
     for field, part in zip(msgspec.structs.fields(kind), parts[1:], strict=False):
         try:
             found[field.name] = msgspec.convert(part, field.type)
             continue
         except msgspec.ValidationError:
-            left_out.append(field.name)
+            unreadable.append(field.name)
             if isinstance(part, list) and typing.get_origin(field.type) is list:
                 found[field.name] = _readable(part, field.type)
             elif field.required:
                 raise
     try:
-        return ReadInPart(kind(**found), tuple(left_out))
+        return PartialDatagram(kind(**found), tuple(unreadable))
     except TypeError as error:
         raise msgspec.ValidationError(str(error)) from error
 
--- a/plumarch/peers/tolerant_test.py
+++ b/plumarch/peers/tolerant_test.py
@@ -30,7 +30,7 @@
     beat = [*BEAT]
     beat[SPENDING] = [["short"], *BEAT[SPENDING], "no list", [7, 7, 7, 7, 7, 7]]
     found = tolerant.read(msgspec.msgpack.encode(beat))
-    assert found.left_out == ("spending",)
+    assert found.unreadable == ("spending",)
     assert found.datagram == gossip.datagram_decoder.decode(SAMPLES["Heartbeat"])
 
 
@@ -39,7 +39,7 @@
     beat = [*BEAT]
     beat[sequence + 1] = "seven"
     found = tolerant.read(msgspec.msgpack.encode(beat))
-    assert found.left_out == ("sequence",) and found.datagram.sequence == 0
+    assert found.unreadable == ("sequence",) and found.datagram.sequence == 0
     assert found.datagram.node == "node-1"
 
 
