--- a/plumarch/limits/rate_allocator.py
+++ b/plumarch/limits/rate_allocator.py
@@ -1,11 +1,8 @@
-"""Divides the request rate that an endpoint announces among the nodes that ask for permits.
+"""Divides the request rate that an endpoint announces among the nodes that request permits.
 
-Load pattern: an endpoint in need takes a few requests a second from hundreds of nodes, so that one
-request of each node exceeds its rate. A fixed share for each node would be one request in minutes,
-and would be lost at nodes without demand. One node therefore allocates permits, one a request, to
-whichever nodes have demand.
-
-It starts with an empty bucket: what was allocated by another node just before is not known to it.
+Load pattern: an endpoint accepts a few requests a second from hundreds of nodes. Fixed shares would
+be lost at nodes without demand, so one node allocates permits, one per request, to nodes with
+demand. It starts with an empty bucket, since its predecessor's allocations are unknown.
 """
 
 import dataclasses
@@ -14,28 +11,28 @@
 
 BURST_PERMITS = 2.0
 BURST_S = 0.25
-"""Permits that are saved up while nobody asks: some, and those of a short time at high rates."""
+"""Permits that accumulate without demand: a fixed number, plus those of a short time at high
+rates."""
 
 CONTENDER_MS = 1_000
-"""For how long after a denial a node counts as one that competes for permits."""
+"""Time after a denial for which a node counts as competing for permits."""
 
 IDLE_MS = 60_000
-"""An endpoint that nobody asked for so long is forgotten."""
+"""Time without requests after which an endpoint is dropped."""
 
 MAX_ENDPOINTS = 8_192
-"""More than twice the endpoints of the largest fleet, some 500 bytes each."""
+"""Maximum number of endpoints remembered, above the size of the largest fleet."""
 
 MIN_PER_S = 0.1
-"""An endpoint that takes nothing still gets a request now and then: only its answer can tell that
-its limit is over."""
+"""Minimum rate: a probe now and then finds out that an endpoint's limit is over."""
 
 
 def new_bucket(per_s: float, now_ms: int, fraction: float = 1.0) -> token_bucket.TokenBucket:
-    """Return an empty bucket of the requests that an endpoint takes.
+    """Return an empty bucket of permits.
 
     Args:
-      per_s: the rate that it announces.
-      fraction: the part of it that is allocated here.
+      per_s: the announced rate.
+      fraction: the fraction of it that is allocated here.
     """
     most = BURST_PERMITS + BURST_S * per_s
     return token_bucket.TokenBucket(max(MIN_PER_S, per_s) * fraction, most, now_ms)
@@ -43,11 +40,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Announcement:
-    """The rate that an endpoint takes from all nodes together, by one of its answers.
+    """The rate that an endpoint accepts from all nodes together, announced in an answer.
 
     Attributes:
-      per_s: requests a second, or None if it takes any.
-      age_ms: how long ago the answer came.
+      per_s: requests a second, or None without a limit.
+      age_ms: age of the answer.
     """
 
     per_s: float | None
@@ -61,7 +58,7 @@
     Attributes:
       endpoint: the incarnation that they are for.
       sequence: distinguishes the requests of a node for an endpoint.
-      count: how many it has use for; 0 if it only reports an announcement.
+      count: permits wanted; 0 if it only reports an announcement.
     """
 
     node: str
@@ -76,11 +73,11 @@
     """The answer to a request for permits.
 
     Attributes:
-      permits: how many the node may use.
+      permits: number of permits granted.
       announcement: the newest one that is known.
-      next_ms: when the next permit will be there.
-      wait_ms: when a caller may expect one, behind those who were denied one lately.
-      contenders: nodes that were denied one lately, the asking one included.
+      next_ms: time until the next permit is available.
+      wait_ms: time after which a caller may expect one, behind the nodes denied recently.
+      contenders: nodes denied recently, including the requesting one.
     """
 
     endpoint: str
@@ -97,11 +94,11 @@
     """The permits of one endpoint.
 
     Attributes:
-      per_s: the announced rate, or None if there is no limit.
+      per_s: the announced rate, or None without a limit.
       observed_ms: when the answer that announced it came.
-      last_request_ms: when a node asked last.
-      bucket: permits that are there; None if there is no limit.
-      denied: when each node was denied a permit last.
+      last_request_ms: time of the last request by any node.
+      bucket: available permits; None without a limit.
+      denied: time of each node's last denial.
     """
 
     per_s: float | None
@@ -113,7 +110,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RateAllocator:
-    """The endpoints for which this node allocates permits."""
+    """The endpoints that this node allocates permits for."""
 
     clock: clock.Clock
     known: dict[str, EndpointPermits] = dataclasses.field(default_factory=dict)
@@ -122,8 +119,8 @@
         """Answer a node's request.
 
         Args:
-          fraction: the part of the fleet that this node is in contact with. The other side of a cut
-            has an allocator of its own, with the rest of the rate.
+          fraction: the fraction of the fleet that is reachable. The other side of a partition has
+            its own allocator, with the rest of the rate.
         """
         now = self.clock.now()
         one = self._updated(request, now)
@@ -148,7 +145,7 @@
         )
 
     def _updated(self, request: PermitRequest, now: int) -> EndpointPermits:
-        """Return what is known of an endpoint, with the newest announcement."""
+        """Return an endpoint's record, updated by the newest announcement."""
         observed_ms = now - request.announcement.age_ms
         one = self.known.get(request.endpoint)
         if one is None:
@@ -172,7 +169,7 @@
 def _bucket_of(
     one: EndpointPermits, per_s: float, fraction: float, now: int
 ) -> token_bucket.TokenBucket:
-    """Return an endpoint's bucket, which from now on fills at the given rate."""
+    """Return an endpoint's bucket, refilled up to now and set to the given rate."""
     fresh = new_bucket(per_s, now, fraction)
     if one.bucket is None:
         one.bucket = fresh
--- a/plumarch/limits/rate_allocator_test.py
+++ b/plumarch/limits/rate_allocator_test.py
@@ -1,4 +1,4 @@
-"""Permits of an endpoint: at the announced rate, to those who ask, by the newest announcement."""
+"""Permits are allocated at the newest announced rate, to nodes with demand."""
 
 from plumarch.core import clock
 from plumarch.limits import rate_allocator
@@ -21,28 +21,28 @@
     return time, rate_allocator.RateAllocator(time)
 
 
-def test_it_begins_without_permits_since_another_node_may_have_allocated_some():
+def test_it_starts_without_permits_since_another_node_may_have_allocated_some():
     time, allocator = started()
     assert request_permits(allocator, 5).permits == 0
     time.advance_to(time.now() + 500)
     assert request_permits(allocator, 5).permits == 1
 
 
-def test_what_nobody_asked_for_is_saved_up_to_a_bound():
+def test_unrequested_permits_accumulate_up_to_a_bound():
     time, allocator = started()
     request_permits(allocator, 0, per_s=4.0)
     time.advance_to(time.now() + 3_600_000)
     assert request_permits(allocator, 64, per_s=4.0).permits == 3
 
 
-def test_a_node_that_hears_half_of_the_fleet_allocates_half_of_the_rate():
+def test_a_node_that_reaches_half_of_the_fleet_allocates_half_of_the_rate():
     time, allocator = started()
     request_permits(allocator, 0, per_s=8.0, fraction=0.5)
     time.advance_to(time.now() + 500)
     assert request_permits(allocator, 64, per_s=8.0, fraction=0.5).permits == 2
 
 
-def test_an_endpoint_that_takes_nothing_is_asked_now_and_then():
+def test_an_endpoint_that_accepts_nothing_is_probed_now_and_then():
     time, allocator = started()
     request_permits(allocator, 0, per_s=0.0)
     time.advance_to(time.now() + 9_900)
@@ -62,14 +62,14 @@
     assert request_permits(allocator, 1, per_s=3.0).announcement.per_s == 3.0
 
 
-def test_a_limit_that_comes_back_begins_without_permits():
+def test_a_limit_that_returns_starts_without_permits():
     time, allocator = started()
     request_permits(allocator, 0, per_s=None)
     time.advance_to(time.now() + 10_000)
     assert request_permits(allocator, 64, per_s=50.0).permits == 0
 
 
-def test_callers_may_expect_a_permit_behind_those_of_other_nodes():
+def test_the_wait_includes_nodes_that_were_denied_before():
     time, allocator = started()
     for node in ("a", "b", "c"):
         found = request_permits(allocator, per_s=1.0, node=node)
@@ -78,7 +78,7 @@
     assert request_permits(allocator, per_s=1.0, node="d").permits == 1
 
 
-def test_endpoints_that_nobody_asks_for_are_forgotten():
+def test_idle_endpoints_are_dropped():
     time, allocator = started()
     request_permits(allocator)
     time.advance_to(time.now() + rate_allocator.IDLE_MS + 1)
--- a/plumarch/limits/rate_permits.py
+++ b/plumarch/limits/rate_permits.py
@@ -1,12 +1,9 @@
-"""The request rates that endpoints announced to this node, and its permits to send under them.
+"""Request rates that endpoints announced to this node, and its permits to send under them.
 
-An endpoint announces the requests a second that it takes from all nodes together. A node sends it
-nothing without a permit, which one node of the fleet allocates (`rate_allocator`). Permits are
-asked for ahead of their use, for as many requests as came lately, so that no request waits for one
-while another endpoint has room.
-
-Where the allocator does not answer, each node uses an equal share of half of the rate. With what
-others are allocated meanwhile that makes one and a half times the rate at most.
+An announced rate holds for all nodes together; each request needs a permit from the fleet's
+allocator (`rate_allocator`). Permits are requested ahead, by recent demand, so that requests don't
+wait for them. Without an answer of the allocator each node uses an equal share of half the rate, so
+that one and a half times the rate is the maximum.
 """
 
 import collections
@@ -19,47 +16,47 @@
 
 PERMIT_MS = 1_000
 PERMIT_GAPS = 1.5
-"""For how long a permit may be used: this time, and so many gaps between two requests at the rate.
-Permits that nodes save up may all be used at once; at low rates these are few, and a node that got
-one may have no request for it soon."""
+"""Lifetime of a permit: PERMIT_MS plus PERMIT_GAPS times the gap between requests at the rate.
+Unused permits may all be used at once, so they are few at low rates."""
 
 DEMAND_MS = 500
-"""Permits are held for the requests of so long."""
+"""Time over which recent requests count as demand."""
 
 MAX_DEMAND = 64
 
 REPORT = 0
-"""Sequence of a message that only reports an announcement, so that its answer is not taken for that
-to a request under way."""
+"""Sequence of a message that only reports an announcement; its answer is not mistaken for the
+answer to a pending request."""
 
 ANSWER_MS = 500
-"""An answer that takes longer counts as lost: it may come from a process that was stopped."""
+"""Time after which an answer counts as lost; a later one may come from a process that was
+suspended."""
 
 UNRESPONSIVE_MS = 1_000
-"""After so long without an answer the node uses its fixed share."""
+"""Time without an answer after which the node uses its fixed share."""
 
 FIXED_SHARE_FRACTION = 0.5
-"""The part of a rate that is divided into fixed shares."""
+"""Fraction of a rate that is divided into fixed shares."""
 
 FIXED_GRACE_MS = 2_000
-"""A fixed share's turn that was not used within this time is drawn again. Otherwise all nodes would
-have one saved up when demand begins."""
+"""A turn of the fixed share that is unused for this time is drawn again; otherwise all nodes would
+have one saved when demand begins."""
 
 MIN_RATE_CHANGE = 0.1
-"""The part by which a rate has to change so that it is reported. An endpoint may work out its rate
-anew for each answer."""
+"""Relative change of a rate from which it is reported; an endpoint may compute its rate for each
+answer."""
 
 RETENTION_MS = 600_000
 
 MIN_PAUSE_MS = 250
-"""A node that got fewer permits than it has use for asks again after this at the earliest. At high
-rates it gets several at a time then, which the allocator saves up meanwhile."""
+"""Minimum pause before missing permits are requested again; at high rates the allocator accumulates
+several meanwhile."""
 
 MAX_PAUSE_MS = 5_000
-"""A node that was denied a permit asks again after this at the latest."""
+"""Maximum pause before a denied permit is requested again."""
 
 REQUESTS_PER_PERMIT = 4
-"""How often nodes that compete for a permit ask for it, all together."""
+"""Requests for each permit from all competing nodes together."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -67,20 +64,20 @@
     """An endpoint that announces a rate, or did.
 
     Attributes:
-      id: the incarnation that was asked.
-      alive_ms: time of day at which the process that announced it was alive for certain.
-      per_s: the announced rate, or None if there is no limit any more.
-      observed_ms: when the answer came that this rests on, to whichever node.
-      last_noted_per_s: the rate when it changed noticeably last.
-      permits: when each permit expires.
-      demand: when requests came lately that would go there.
+      id: the incarnation that announced it.
+      alive_ms: time of day at which that process was certainly alive.
+      per_s: the announced rate, or None if the limit is over.
+      observed_ms: when the announcing answer came, to whichever node.
+      last_noted_per_s: the rate at its last noticeable change.
+      permits: expiry of each permit.
+      demand: times of recent requests for the endpoint.
       sequence: of the last request for permits.
       count: permits that it asked for.
-      last_request_ms: when that one was sent, or None if it was answered.
-      unanswered_since_ms: when the first request was sent that has no answer since; or None.
-      pause_until_ms: no permits are asked for before.
-      wait_until_ms: when a caller may expect a permit, by the last answer of the allocator.
-      turn_ms: when the fixed share allows a request, or None if it was not needed yet.
+      last_request_ms: when it was sent, or None if it was answered.
+      unanswered_since_ms: when the first request without an answer since was sent, or None.
+      pause_until_ms: no permits are requested before.
+      wait_until_ms: when a caller may expect a permit, by the allocator's last answer.
+      turn_ms: when the fixed share allows a request, or None while it is unused.
     """
 
     id: str
@@ -103,7 +100,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RatePermits:
-    """The endpoints with an announced rate, by what they call themselves.
+    """The endpoints with an announced rate, by name.
 
     Attributes:
       nodes: how many nodes share a rate.
@@ -116,10 +113,10 @@
     known: dict[str, LimitedEndpoint] = dataclasses.field(default_factory=dict)
 
     def announced(self, endpoint: traffic.Endpoint, alive_ms: int, per_s: float) -> bool:
-        """Note that an answer announced a rate.
+        """Record that an answer announced a rate.
 
         Args:
-          alive_ms: time of day at which the connection to the process that answered came up.
+          alive_ms: time of day at which the connection to the answering process came up.
         Returns:
           Whether the limit is new, or its rate changed noticeably.
         """
@@ -135,9 +132,9 @@
         return changed
 
     def not_announced(self, endpoint: traffic.Endpoint, sent_ms: int) -> bool:
-        """Note that an answer to a request that ran announced no rate.
+        """Record that an answer to a request that ran announced no rate.
 
-        One that was sent before the rate was announced last may have been answered before that.
+        A request sent before the last announcement may have been answered before it.
 
         Returns:
           Whether this ends a limit.
@@ -150,7 +147,7 @@
     def merge_announcement(
         self, endpoint: traffic.Endpoint, announcement: rate_allocator.Announcement
     ) -> bool:
-        """Note what an answer to another node announced.
+        """Merge what an answer to another node announced.
 
         Returns:
           Whether a limit began or ended by that, or its rate changed noticeably.
@@ -187,7 +184,7 @@
         return one
 
     def rate(self, endpoint: traffic.Endpoint) -> float | None:
-        """Return the rate in requests a second that an endpoint announces, or None."""
+        """Return an endpoint's announced rate in requests a second, or None."""
         one = self._limited(endpoint)
         return one.per_s if one is not None else None
 
@@ -224,10 +221,10 @@
     def request(
         self, endpoint: traffic.Endpoint, is_needed: bool = True
     ) -> rate_allocator.PermitRequest | None:
-        """Return the request for permits that is to be sent now, or None.
+        """Return the request for permits to send now, or None.
 
         Args:
-          is_needed: whether a request had no permit; otherwise permits are only held ahead.
+          is_needed: whether a request had no permit; otherwise permits are requested ahead.
         """
         one = self._limited(endpoint)
         if one is None:
@@ -261,7 +258,7 @@
         return rate_allocator.PermitRequest(self.node, one.id, sequence, count, announcement)
 
     def is_request_pending(self, endpoint: traffic.Endpoint) -> bool:
-        """Return whether an answer to a request for permits is to be expected."""
+        """Return whether the answer to a request for permits is outstanding."""
         one = self._limited(endpoint)
         if one is None or one.last_request_ms is None:
             return False
@@ -271,7 +268,7 @@
         """Apply the allocator's answer.
 
         Returns:
-          As `learn`.
+          As `merge_announcement`.
         """
         changed = self.merge_announcement(endpoint, answer.announcement)
         one = self._limited(endpoint)
@@ -286,7 +283,7 @@
         return changed
 
     def _pause_ms(self, one: LimitedEndpoint, answer: rate_allocator.PermitAnswer) -> float:
-        """Return when to ask for what is missing, the later the more nodes compete."""
+        """Return the pause before missing permits are requested, longer with more contenders."""
         others = max(0, answer.contenders - 1)
         spread_ms = 2.0 * others * _gap_ms(one) / REQUESTS_PER_PERMIT
         pause_ms = answer.next_ms + self.rng.uniform(0.0, spread_ms)
@@ -299,7 +296,7 @@
         return bool(one.permits)
 
     def _has_turn(self, one: LimitedEndpoint) -> bool:
-        """Return whether the fixed share allows a request, if the allocator is silent."""
+        """Return whether the fixed share allows a request, if the allocator is unresponsive."""
         now = self.clock.now()
         if one.unanswered_since_ms is None or now - one.unanswered_since_ms < UNRESPONSIVE_MS:
             return False
@@ -311,7 +308,7 @@
         return self.nodes * _gap_ms(one) / FIXED_SHARE_FRACTION
 
     def wait_ms(self, endpoints: Iterable[traffic.Endpoint]) -> int:
-        """Return when a caller may expect a permit for one of endpoints; 0 if one needs none."""
+        """Return the time until a permit for one of the endpoints; 0 if one needs none."""
         now = self.clock.now()
         waits = []
         for endpoint in endpoints:
@@ -327,12 +324,12 @@
         return {name: rate for name, rate in found.items() if rate is not None}
 
     def prune(self, listed: set[str]) -> None:
-        """Forget limits of endpoints that are not listed and announced nothing for long.
+        """Drop limits of unlisted endpoints after the retention time.
 
         An entry may vanish while its endpoint lives, and come back.
 
         Args:
-          listed: identifiers of the endpoints that there are.
+          listed: identifiers of the listed endpoints.
         """
         oldest_ms = self.clock.now() - RETENTION_MS
         self.known = {
--- a/plumarch/limits/rate_permits_test.py
+++ b/plumarch/limits/rate_permits_test.py
@@ -1,4 +1,4 @@
-"""A node's permits: asked for ahead, used once, by what the newest answers announced."""
+"""Permits are requested ahead, used once, and follow the newest announcement."""
 
 import random
 
@@ -58,7 +58,7 @@
         assert not node.permits.may_send(ENDPOINT)
 
 
-def test_permits_under_a_rate_that_changed_are_gone():
+def test_permits_under_a_changed_rate_are_dropped():
     node = Node()
     node.announced(10.0)
     node.grant(5)
@@ -66,7 +66,7 @@
     assert not node.permits.may_send(ENDPOINT)
 
 
-def test_a_rate_that_hardly_changes_is_no_news():
+def test_a_small_change_of_a_rate_is_not_reported():
     node = Node()
     assert node.announced(10.0)
     node.grant(1)
@@ -77,7 +77,7 @@
     assert node.announced(0.0)
 
 
-def test_a_permit_whose_request_was_not_sent_comes_back():
+def test_a_permit_whose_request_was_not_sent_is_returned():
     node = Node()
     node.announced(1.0)
     node.grant(1)
@@ -86,7 +86,7 @@
     assert node.permits.may_send(ENDPOINT)
 
 
-def test_permits_are_asked_for_the_requests_that_came_lately():
+def test_permits_are_requested_by_recent_demand():
     node = Node()
     node.announced(10.0)
     first = node.permits.request(ENDPOINT)
@@ -107,8 +107,8 @@
     assert more is not None and more.count == 5
 
 
-def test_an_answer_that_took_too_long_gives_nothing():
-    """The allocator may have been stopped meanwhile, and another one taken its place."""
+def test_a_late_answer_grants_nothing():
+    """The allocator may have been suspended meanwhile, and replaced."""
     node = Node()
     node.announced(1.0)
     request = node.permits.request(ENDPOINT)
@@ -119,7 +119,7 @@
     assert not node.permits.may_send(ENDPOINT)
 
 
-def test_a_report_meanwhile_does_not_cost_the_permits_that_were_asked_for():
+def test_a_report_does_not_void_a_pending_request():
     node = Node()
     node.announced(1.0)
     request = node.permits.request(ENDPOINT)
@@ -133,7 +133,7 @@
     assert node.permits.may_send(ENDPOINT)
 
 
-def test_after_a_denial_it_asks_again_when_the_next_permit_is_there():
+def test_after_a_denial_the_request_is_repeated_when_the_next_permit_is_due():
     node = Node()
     node.announced(1.0)
     node.grant(0, wait_ms=3_000)
@@ -155,7 +155,7 @@
     assert node.permits.may_send(ENDPOINT)
 
 
-def test_news_of_other_nodes_count_if_they_are_newer():
+def test_announcements_from_other_nodes_count_if_they_are_newer():
     node = Node()
     assert node.permits.merge_announcement(ENDPOINT, rate_allocator.Announcement(3.0, 0))
     assert node.permits.rate(ENDPOINT) == 3.0
@@ -165,7 +165,7 @@
     assert node.permits.may_send(ENDPOINT)
 
 
-def test_a_process_that_started_again_is_not_limited_by_what_the_one_before_announced():
+def test_a_restarted_process_is_not_limited_by_its_predecessors_announcement():
     node = Node()
     node.announced(1.0)
     born_ms = node.time.now() + 500
@@ -175,7 +175,7 @@
     assert node.permits.may_send(again)
 
 
-def test_without_an_allocator_all_nodes_use_half_of_the_rate_together():
+def test_without_an_allocator_all_nodes_together_use_half_of_the_rate():
     sent = 0
     for number in range(40):
         node = Node(nodes=40)
@@ -190,7 +190,7 @@
     assert 0.8 * 40 <= sent <= 1.2 * 40
 
 
-def test_idle_nodes_save_nothing_up_for_when_the_allocator_is_silent():
+def test_idle_nodes_accumulate_no_turns_while_the_allocator_is_unresponsive():
     sent = 0
     for number in range(100):
         node = Node(nodes=100)
@@ -204,7 +204,7 @@
     assert sent == 0
 
 
-def test_limits_of_endpoints_whose_entry_vanished_are_kept_for_a_while():
+def test_limits_of_unlisted_endpoints_are_kept_for_the_retention_time():
     node = Node()
     node.announced(1.0)
     node.permits.prune(set())
