--- a/plumarch/limits/recent_answers.py
+++ b/plumarch/limits/recent_answers.py
@@ -1,7 +1,7 @@
-"""Requests that endpoints answered lately, on this node.
+"""Requests that endpoints answered recently, on this node.
 
-Callers that ask the same, such as status checks, have a request in its first steps at almost any
-endpoint that ends. That one of them was answered just now tells that it isn't what ends them.
+Common requests, such as status checks, are running at almost any endpoint that crashes; a recent
+answer shows that such a request is not the cause.
 """
 
 import dataclasses
@@ -9,28 +9,27 @@
 from plumarch.core import clock
 
 RETENTION_MS = 60_000
-"""How long an answer speaks for a request; as long as one is first held back."""
+"""Retention of an answer, as long as the first pause of the quarantine."""
 
 MAX_ENTRIES = 4_096
-"""Requests that are remembered, some 150 bytes each; at 36 requests a second on each node of the
-largest fleet those of two minutes."""
+"""Maximum number of requests remembered."""
 
 
 @dataclasses.dataclass(slots=True)
 class RecentAnswers:
-    """Fingerprints by when they were answered last, the oldest first."""
+    """Fingerprints with the time of their last answer, in order of time."""
 
     clock: clock.Clock
     times: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def note(self, fingerprint: str) -> None:
-        """Take in an answer."""
+        """Record an answer."""
         self.times.pop(fingerprint, None)
         self.times[fingerprint] = self.clock.now()
         while len(self.times) > MAX_ENTRIES:
             del self.times[next(iter(self.times))]
 
     def has(self, fingerprint: str) -> bool:
-        """Return whether a request was answered lately."""
+        """Return whether a request was answered recently."""
         at_ms = self.times.get(fingerprint)
         return at_ms is not None and self.clock.now() - at_ms < RETENTION_MS
--- a/plumarch/limits/recent_answers_test.py
+++ b/plumarch/limits/recent_answers_test.py
@@ -1,4 +1,4 @@
-"""What was answered lately is known, and only so much of it."""
+"""Recent answers are known, up to a maximum number."""
 
 from plumarch.core import clock
 from plumarch.limits import recent_answers
@@ -14,7 +14,7 @@
     assert not known.has("f")
 
 
-def test_the_oldest_go_first():
+def test_beyond_the_maximum_the_oldest_are_dropped():
     known = recent_answers.RecentAnswers(clock.ManualClock())
     for number in range(recent_answers.MAX_ENTRIES):
         known.note(f"f{number}")
--- a/plumarch/limits/retry_budget.py
+++ b/plumarch/limits/retry_budget.py
@@ -1,12 +1,12 @@
-"""Retries are paid for by first tries, so that they can't multiply an overload."""
+"""Bounds retries by a ratio of first tries, so that they cannot multiply an overload."""
 
 import dataclasses
 
 RETRIES_PER_REQUEST = 0.1
-"""Retries allowed for each first try."""
+"""Retries earned by each first try."""
 
 MAX_SAVED = 20.0
-"""Retries that a workspace can save up."""
+"""Maximum number of retries that a workspace saves."""
 
 INITIAL_RETRIES = 5.0
 """Retries that a workspace starts with."""
@@ -19,7 +19,7 @@
     saved: dict[str, float] = dataclasses.field(default_factory=dict)
 
     def first_try(self, workspace: str) -> None:
-        """Earn a share of a retry."""
+        """Earn a fraction of a retry."""
         saved = self.saved.get(workspace, INITIAL_RETRIES)
         self.saved[workspace] = min(MAX_SAVED, saved + RETRIES_PER_REQUEST)
 
