--- a/plumarch/limits/workspace_quota.py
+++ b/plumarch/limits/workspace_quota.py
@@ -1,17 +1,12 @@
-"""Allotments of workspaces, kept over all nodes without a write per request.
+"""Quotas of workspaces, enforced over all nodes without a write per request.
 
-Every node holds the same token bucket for each workspace and charges it with what it admits
-itself and with what its peers' heartbeats say that they admitted. While some nodes are
-silent, a node admits only from the part of those that are heard, so that groups of nodes that
-don't hear each other never add up to more than the whole.
+Every node keeps the same token bucket for each workspace and charges it with its own admissions and
+with those that peers report in heartbeats. While some nodes are unreachable, a node admits only
+from the share of the reachable ones, so that separated groups never exceed the quota together.
 
-The deployment tolerates a fixed excess in each window. Buckets refill faster by a part of it,
-the same part on all nodes: in any window the fleet then admits the allotment and that part of
-the excess. The rest of it covers what nodes admit before they hear of one another, which grows
-with the time between heartbeats.
-
-A node that starts has an empty bucket, since it can't know what its predecessor spent; it
-takes over the level of a peer that runs for longer.
+Buckets refill faster by a fraction of the excess that the deployment tolerates; the rest covers
+requests that nodes admit before they receive each other's reports. A starting node has an empty
+bucket, since it does not know what its predecessor spent, and takes over a settled peer's level.
 """
 
 import collections
@@ -22,36 +17,31 @@
 from plumarch.limits import quota_records, quota_tolerance
 
 SETTLED_MS = 8_000
-"""From this age of the process on, a workspace that is new starts with a full bucket."""
+"""Process age from which a new workspace starts with a full bucket."""
 
 AMPLE_FRACTION = 0.15
-"""Part of what a bucket holds at most from which on each node admits what the bucket holds; below
-it, from its share of the refill besides. Else all nodes give the same few units to a request each,
-before they hear of one another: a workspace that asked 72 nodes for ten times its rate got nothing
-for half a second and more, then twice the refill of a second at once, and 1.014 of what is
-tolerated; with it 0.97 at most. From 0.25 on callers are refused after cuts who are owed (0.046 in
-place of 0.026)."""
+"""Fraction of the bucket's capacity below which a node also needs its own share of the refill.
+Otherwise all nodes would admit from the same few units before they receive each other's reports."""
 
 OWN_SHARE_MS = 500
-"""For how long a node saves its share of the refill, and for how long it may be behind while there
-is ample: the time that news take over two tiers of a fleet, and some more for large requests."""
+"""Time for which a node accumulates its share of the refill, or may be overdrawn while there is
+ample: the delay of reports over two tiers of a fleet, with a margin for large requests."""
 
 LEAST_URGENT_RANK = 2
-"""Ranks from this one on leave what a bucket holds beyond the burst to more urgent requests."""
+"""Rank from which requests leave what a bucket holds beyond the burst to more urgent ones."""
 
 RESERVED_BURST_FRACTION = 0.35
-"""What they leave is at most this part of the burst, so that it suffices where the tolerated
-excess is far larger than the allotment. A judgement."""
+"""Upper bound of what they leave, as a fraction of the burst; it matters where the tolerated excess
+is far larger than the quota."""
 
 RESYNC_MS = 1_000
-"""How long lower levels are taken over after a peer is heard that ran unheard before: four
-heartbeats of each node, one of which is heard whatever is lost. A process that started amid a cut
-hears nothing else of what the other side admitted; without this fleets of eight nodes admitted 1.11
-of what is tolerated."""
+"""Time for which lower levels are taken over after a new peer's first report, long enough for
+several heartbeats. A process that started during a partition learns in no other way what the other
+side admitted."""
 
 LAST_SEEN_WINDOW_MS = 900
-"""How long ago a node that is not heard any more was heard last at most: a time after which news
-are no longer fresh, and an interval between heartbeats."""
+"""Maximum time since an unreachable node's last heartbeat: the time after which reports are no
+longer fresh, plus a heartbeat interval."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -59,16 +49,17 @@
     """The buckets of all workspaces.
 
     Attributes:
-      fraction: the part of all nodes that is heard now, this one included.
-      sharers: how many nodes admit from what is left before they hear of one another; 1 where each
-        node tells each other one at once.
+      fraction: the reachable fraction of all nodes, including this one.
+      admitting_nodes: number of nodes that admit before they receive each other's reports; 1 where
+        nodes report to each other at once.
       update_age_ms: time between heartbeats of a node.
       workspaces: those of the configuration in force, by name.
-      overflow_before: what was spared when a group was heard last, by group and workspace.
+      heard: units that nodes and groups reported as spent, by source and workspace.
+      overflow_before: overflow at the last report of a group, by group and workspace.
       charged_by: units charged since this process started, over all workspaces, by who admitted
         them: "" for this node, a node's name, or a group of nodes.
       resync_until_ms: until when lower levels are taken over from peers.
-      charge_history: what was charged by when, over the last moments, by workspace.
+      charge_history: charged units at recent times, by workspace.
     """
 
     clock: clock.Clock
@@ -97,8 +88,8 @@
         """Charge a request.
 
         Args:
-          rank: how urgent it is, 0 first; the least urgent ones leave a part of the bucket to
-            the others, so that a large urgent prompt finds room after many small ones.
+          rank: its urgency, 0 first; the least urgent ones leave a portion of the bucket to the
+            others, so that a large urgent prompt fits after many small ones.
         Returns:
           0 if it is admitted; otherwise the milliseconds after which it may be.
         """
@@ -126,23 +117,23 @@
         return 0.0
 
     def _is_ample(self, workspace: traffic.Workspace, available: float) -> bool:
-        """Return whether so much is left that this node need not look at its share."""
+        """Return whether so much is available that this node's own share need not be checked."""
         capacity = self.tolerance.capacity(workspace, self.update_age_ms)
         return available >= AMPLE_FRACTION * capacity * self.fraction
 
     def _own_share_refill(self, workspace: traffic.Workspace) -> float:
-        """Return the units a second that are this node's share of the refill."""
+        """Return this node's share of the refill in units per second."""
         return self.tolerance.refill(workspace, self.update_age_ms) / self.admitting_nodes
 
     def _max_own_share(self, workspace: traffic.Workspace) -> float:
-        """Return the units that this node may save of its share, or be behind."""
+        """Return the units of its share that this node may accumulate, or overdraw."""
         return self._own_share_refill(workspace) * OWN_SHARE_MS / 1000.0
 
     def _min_level(self, workspace: traffic.Workspace, units: float) -> float:
-        """Return the level from which on a request larger than a part holds is admitted.
+        """Return the level from which a request larger than the capacity is admitted.
 
-        A whole fleet admits what is larger than the burst once that is full. A small group
-        refuses it: its callers are served by the nodes that hear each other.
+        A complete fleet admits requests larger than the burst once the bucket holds the burst. A
+        small group rejects them; nodes of a larger one can serve the caller.
         """
         overdraft = self.tolerance.overdraft(workspace) * self.fraction
         burst = workspace.burst * self.fraction
@@ -162,9 +153,9 @@
         bucket.charged += units
 
     def _charge_others(self, source: str, name: str, units: float) -> None:
-        """Charge what others admitted to a bucket that is up to date.
+        """Charge what others admitted, after a refill.
 
-        A bucket that was full would otherwise be refilled for a time before the charge.
+        Otherwise a full bucket would be refilled for time before the charge.
         """
         workspace = self.workspaces.get(name)
         if workspace is not None:
@@ -172,7 +163,7 @@
             self.charged_by[source.partition("#")[0]] += units
 
     def refund(self, workspace: traffic.Workspace, units: float) -> None:
-        """Give back what a request was charged that did not run."""
+        """Return what a request was charged that did not run."""
         bucket = self.buckets.get(workspace.name)
         if bucket is not None and workspace.rate > 0:
             self._charge(bucket, -units)
@@ -181,7 +172,7 @@
             self.charged_by[""] -= units
 
     def set_reachable_fraction(self, fraction: float) -> None:
-        """Take in which part of all nodes is heard from now on."""
+        """Set the reachable fraction of all nodes."""
         now = self.clock.now()
         if fraction == self.fraction:
             self._record_charges(now)
@@ -198,33 +189,32 @@
         self._record_charges(now)
 
     def deduct_lost_share(self, share: float) -> None:
-        """Count the part of a node as used up whose process ended while it was not heard.
+        """Count the share of a node as used whose process ended while it was unreachable.
 
-        Nobody reports what it had admitted: all that was left to it may be gone. While
-        only its share of what is left now counted, the rest was admitted a second time.
+        Nobody reports what it had admitted, which may be its complete share.
 
         Args:
-          share: the part of the fleet that it was.
+          share: the fraction of the fleet that it was.
         """
         self.refill_all()
-        unheard = 1.0 - self.fraction
+        unreachable = 1.0 - self.fraction
         for bucket in self.buckets.values():
             used = share * max(0.0, bucket.level)
-            if unheard > 0:
-                used = max(used, (bucket.level - bucket.share) * min(1.0, share / unheard))
+            if unreachable > 0:
+                used = max(used, (bucket.level - bucket.share) * min(1.0, share / unreachable))
             bucket.level -= used
 
     def _record_charges(self, now: int) -> None:
-        """Note what was charged until now, and drop what was noted long ago."""
+        """Record the units charged so far, and prune the history."""
         charged = {name: bucket.charged for name, bucket in self.buckets.items()}
         self.charge_history.append((now, charged))
         while now - self.charge_history[0][0] > LAST_SEEN_WINDOW_MS:
             self.charge_history.popleft()
 
     def _charged_since_last_seen(self, name: str) -> float:
-        """Return what was charged since nodes that are not heard any more were heard last.
+        """Return the units charged since nodes that are unreachable now were last seen.
 
-        They have a part of that as well: until now both sides admitted as if each were the whole.
+        Both sides admitted from the complete level in that time and share these units.
         """
         before = self.charge_history[0][1] if self.charge_history else {}
         if name not in before:
@@ -232,7 +222,7 @@
         return max(0.0, self.buckets[name].charged - before[name])
 
     def report(self) -> dict[str, quota_records.PeerSpending]:
-        """Return this node's spending, for its heartbeat, with levels as of now."""
+        """Return this node's spending, for its heartbeat, with current levels."""
         self.refill_all()
         return {
             name: quota_records.PeerSpending(
@@ -242,7 +232,7 @@
         }
 
     def seen(self, name: str) -> dict[str, float] | None:
-        """Return what is left of a workspace's allotment as this node sees it, for its log."""
+        """Return the state of a workspace's bucket, for the log."""
         bucket = self.buckets.get(name)
         if bucket is None:
             return None
@@ -253,10 +243,10 @@
         }
 
     def total_charged(self) -> float:
-        """Return what all nodes admitted while they were heard.
+        """Return what all nodes admitted while they were reachable.
 
-        What a node admitted before it was heard is left out: its sum since its start would look
-        like the requests of one moment. It falls when a workspace is dropped.
+        What a node admitted before its first report is left out: its sum since its start would
+        look like the requests of one moment. The total falls when a workspace is dropped.
         """
         return sum(bucket.charged for bucket in self.buckets.values())
 
@@ -267,13 +257,13 @@
         after_gap: bool = False,
         share: float = 1.0,
     ) -> dict[str, float]:
-        """Charge what a peer admitted since it was heard last.
+        """Charge what a peer admitted since its last report.
 
         Args:
           node: the peer's incarnation.
           spending: by workspace.
-          again: whether it is heard again after a silence.
-          share: the part of the fleet that one node is.
+          after_gap: whether it was unreachable since its last report.
+          share: the fraction of the fleet that one node is.
         Returns:
           What was charged, by workspace.
         """
@@ -306,11 +296,10 @@
     def _apply_first_report(
         self, node: str, name: str, reported: quota_records.PeerSpending
     ) -> dict[str, float]:
-        """Take in a peer that is heard for the first time.
+        """Apply a peer's first report.
 
-        What nobody counted of its spending is charged: where a new one counts in place of those
-        that died, it would be missing from all buckets for good otherwise. A full bucket is the
-        most that it can have had of them.
+        Its spending that no coordinator has counted is charged, up to a full bucket; otherwise it
+        would stay missing from all buckets when a new coordinator replaces those that crashed.
         """
         workspace = self.workspaces[name]
         self.heard[(node, name)] = reported.spent
@@ -323,7 +312,7 @@
     def _apply_report_after_gap(
         self, key: tuple[str, str], spent: float, share: float
     ) -> dict[str, float]:
-        """Charge what a peer admitted in a silence, as far as that is still owed."""
+        """Charge what a peer admitted while it was unreachable, as far as it is due."""
         node, name = key
         self._refill(self.workspaces[name])
         units = self._due(key, spent - self.heard[key], share)
@@ -332,10 +321,10 @@
         return {name: units}
 
     def noticed(self, node: str, workspace: str, spent: float) -> dict[str, float]:
-        """Charge what a peer told between its heartbeats that it admitted.
+        """Charge what a peer reported between its heartbeats.
 
         Args:
-          spent: units since its start; counted only from a heartbeat on.
+          spent: units since its start; ignored before its first heartbeat.
         Returns:
           What was charged, by workspace.
         """
@@ -354,15 +343,15 @@
         resync: bool = False,
         share: float = 1.0,
     ) -> None:
-        """Charge what a group of nodes admitted, as one of them sums it up.
+        """Charge what a group of nodes admitted, as summed up by one of them.
 
         Args:
-          group: what its sums are kept under.
+          group: key of its sums.
           charged: units since the last sum, by workspace.
-          levels: what is left as it believes, by workspace; taken over by a node that knows less.
-          anew: whether it is heard since just now: then lower levels are taken over, since what
-            this node missed meanwhile would be missing from its bucket for good.
-          share: the part of the fleet's nodes that the group is.
+          levels: its levels, by workspace; taken over by a node that is not settled.
+          resync: whether it is reachable again: then lower levels are taken over, since this node
+            may have missed reports.
+          share: the fraction of the fleet's nodes that the group is.
         """
         self.refill_all()
         for name, units in charged.items():
@@ -381,13 +370,11 @@
                 self._apply_level(bucket, level)
 
     def _due(self, key: tuple[str, str], units: float, share: float) -> float:
-        """Return what is to be charged of what a group admitted while it was not heard.
+        """Return the units to charge of what a group admitted while it was unreachable.
 
-        Meanwhile this bucket was refilled for the whole fleet, and could not hold all of it. What
-        the group used of its share of the refill is no debt then, but for as much as it may have
-        admitted just now at once: its share of a full bucket. Without this a fleet at 0.8 of its
-        rate refused 0.189 of all requests for 5 s after regions had been cut off from each other
-        for 6 s; with it 0.020 (virtual time).
+        Meanwhile this bucket was refilled for the complete fleet and overflowed. The group's use
+        of its share of the refill is not charged, except for what it may have admitted at once
+        just now: its share of a full bucket.
 
         Args:
           key: the group and the workspace.
@@ -407,10 +394,10 @@
     def apply_fleet_levels(
         self, reported: Mapping[str, quota_records.ReportedBucket], fraction: float
     ) -> None:
-        """Take over the buckets of a coordinator; those that it does not tell go on as they are.
+        """Take over a coordinator's buckets; others are unchanged.
 
         Args:
-          fraction: the part of all nodes that it hears.
+          fraction: the fraction of all nodes that is reachable from it.
         """
         self.set_reachable_fraction(fraction)
         for name, one in reported.items():
@@ -419,29 +406,29 @@
                 continue
             bucket = self._refill(workspace)
             if bucket.settled and not one.settled:
-                # A coordinator that just started tells what it earned since; this node knows more.
+                # The coordinator just started; this node's level rests on more.
                 continue
             bucket.level = one.level
             bucket.share = one.share
             bucket.settled = one.settled
 
     def _apply_level(self, bucket: quota_records.Bucket, reported: quota_records.PeerLevel) -> None:
-        """Take over what is left by a peer that knows more, or that is heard since just now."""
+        """Take over the level of a peer that knows more, or that is reachable again."""
         if bucket.settled:
             bucket.level = min(reported.level, bucket.level)
             bucket.share = min(bucket.share, bucket.level)
             return
         bucket.level = reported.level
-        # A process that starts amid a cut has no more left than those that it hears.
+        # A process that starts during a partition has only the share of the reachable nodes.
         bucket.share = reported.level * self.fraction - reported.overdrawn
         bucket.settled = True
 
     def _overdrawn(self, bucket: quota_records.Bucket) -> float:
-        """Return the units by which the nodes that are heard have less left than their share."""
+        """Return the units by which the reachable nodes have less left than their share."""
         return max(0.0, max(0.0, bucket.level) * self.fraction - bucket.share)
 
     def forget(self, node: str) -> None:
-        """Drop what is known of an incarnation that is gone."""
+        """Drop the records of an incarnation that is gone."""
         for known in (self.heard, self.overflow_before):
             for key in [key for key in known if key[0] == node]:
                 del known[key]
@@ -461,8 +448,8 @@
         capacity = self.tolerance.capacity(workspace, self.update_age_ms)
         bucket.overflow += max(0.0, bucket.level + gained - capacity)
         bucket.level = min(capacity, bucket.level + gained)
-        most = capacity * self.fraction
-        bucket.share = min(most, bucket.share + gained * self.fraction)
+        max_share = capacity * self.fraction
+        bucket.share = min(max_share, bucket.share + gained * self.fraction)
         own = (
             bucket.own_share
             + self._own_share_refill(workspace) * (now - bucket.updated_ms) / 1000.0
@@ -472,14 +459,14 @@
         return bucket
 
     def retain(self, workspaces: Mapping[str, traffic.Workspace]) -> None:
-        """Bring all buckets up to date, and drop those of workspaces that no longer exist."""
+        """Refill all buckets, and drop those of workspaces that no longer exist."""
         for name in [name for name in self.buckets if name not in workspaces]:
             del self.buckets[name]
         self.workspaces = workspaces
         self.refill_all()
 
     def refill_all(self) -> None:
-        """Bring all buckets up to date."""
+        """Refill all buckets up to now."""
         for workspace in self.workspaces.values():
             if workspace.rate > 0:
                 self._refill(workspace)
--- a/plumarch/limits/workspace_quota_test.py
+++ b/plumarch/limits/workspace_quota_test.py
@@ -1,4 +1,4 @@
-"""Allotments over all nodes: one node, several that hear each other, and cuts between them."""
+"""Quotas on one node, on several that reach each other, and across partitions."""
 
 import random
 
@@ -34,7 +34,7 @@
     assert quota.admit(SPACE, 100) > 0
 
 
-def test_a_refund_makes_room_again():
+def test_a_refund_is_available_again():
     quota = quota_of(clock.ManualClock())
     quota.admit(SPACE, 2_000)
     quota.refund(SPACE, 2_000)
@@ -57,15 +57,15 @@
     assert quota.report()["w"].level == 300
 
 
-def test_a_node_that_hears_half_of_the_fleet_uses_half():
+def test_a_node_that_reaches_half_of_the_fleet_uses_half():
     quota = quota_of(clock.ManualClock())
     quota.set_reachable_fraction(0.5)
     assert quota.admit(SPACE, 1_000) == 0
     assert quota.admit(SPACE, 500) == 1_000.0
 
 
-def test_what_was_admitted_before_a_cut_was_noticed_comes_from_the_own_part():
-    """Both sides admit from the whole for a while; each then has its half less what it admitted."""
+def test_admissions_before_a_partition_is_detected_come_from_the_own_share():
+    """Both sides admit from the complete level at first; each then has its half less that."""
     time = clock.ManualClock()
     quota = quota_of(time)
     quota.set_reachable_fraction(1.0)
@@ -76,7 +76,7 @@
     assert quota.admit(SPACE, 200) > 0
 
 
-def test_a_process_that_started_in_a_cut_takes_over_the_lower_level_of_those_it_hears_later():
+def test_a_process_that_started_in_a_partition_takes_over_lower_levels_after_it():
     time = clock.ManualClock()
     quota = quota_of(time, started_ms=0)
     quota.apply_node_report("near#1", {"w": quota_records.PeerSpending(0, 1_800)})
@@ -90,7 +90,7 @@
     assert quota.report()["w"].level == -8_000
 
 
-def test_a_peers_share_of_the_refill_in_a_silence_is_no_debt():
+def test_a_peers_share_of_the_refill_while_unreachable_is_not_charged():
     time = clock.ManualClock()
     quota = quota_of(time)
     quota.apply_node_report("b#1", {"w": quota_records.PeerSpending(0, 2_000)})
@@ -99,7 +99,7 @@
     assert quota.apply_node_report("b#1", reported, after_gap=True, share=0.5) == {"w": 1_000.0}
 
 
-def test_where_little_is_left_a_node_of_a_large_fleet_goes_by_its_share_of_the_refill():
+def test_at_a_low_level_a_node_of_a_large_fleet_is_limited_to_its_share_of_the_refill():
     time = clock.ManualClock()
     quota = quota_of(time)
     quota.admitting_nodes = 10
@@ -111,7 +111,7 @@
     assert quota.admit(SPACE, 50) == 0
 
 
-def test_a_refund_gives_a_nodes_share_back_as_well():
+def test_a_refund_restores_a_nodes_own_share():
     quota = quota_of(clock.ManualClock())
     quota.admitting_nodes = 10
     quota.admit(SPACE, 1_750)
@@ -121,7 +121,7 @@
     assert quota.admit(SPACE, 50) == 0
 
 
-def test_when_all_are_heard_again_the_whole_level_is_there():
+def test_when_all_are_reachable_again_the_complete_level_is_available():
     quota = quota_of(clock.ManualClock())
     quota.set_reachable_fraction(0.5)
     quota.admit(SPACE, 600)
@@ -132,7 +132,7 @@
     assert quota.admit(SPACE, 1) > 0
 
 
-def test_a_node_that_starts_takes_over_the_level_of_one_that_runs_for_longer():
+def test_a_starting_node_takes_over_the_level_of_a_settled_one():
     quota = quota_of(clock.ManualClock(), started_ms=0)
     quota.apply_node_report("new#1", {"w": quota_records.PeerSpending(0, 50, settled=False)})
     assert quota.report()["w"].level == 0
@@ -140,7 +140,7 @@
     assert quota.report()["w"].level == 1_700
 
 
-def test_a_level_is_told_as_of_now_though_no_request_came_for_long():
+def test_a_reported_level_is_current_without_recent_requests():
     time = clock.ManualClock()
     quota = quota_of(time)
     quota.apply_node_report("b#1", {"w": quota_records.PeerSpending(0, 2_000)})
@@ -150,7 +150,7 @@
     assert quota.report()["w"].level >= 1_000
 
 
-def test_a_node_that_starts_among_idle_ones_lets_the_whole_fleet_go_on():
+def test_a_node_that_starts_among_idle_ones_does_not_block_the_fleet():
     time = clock.ManualClock()
     nodes = [quota_of(time) for _ in range(4)]
     busy = nodes[0]
@@ -169,7 +169,7 @@
     assert all(node.admit(SPACE, 1_000) == 0 for node in nodes)
 
 
-def test_when_others_fall_silent_the_part_that_is_left_is_of_the_level_as_of_now():
+def test_when_others_become_unreachable_the_share_is_of_the_current_level():
     time = clock.ManualClock()
     quota = quota_of(time)
     quota.apply_node_report("b#1", {"w": quota_records.PeerSpending(0, 2_000)})
@@ -179,7 +179,7 @@
     assert quota.admit(SPACE, 1_000) == 0
 
 
-def test_a_level_that_is_taken_over_earns_only_from_then_on():
+def test_a_level_that_is_taken_over_refills_only_from_then_on():
     time = clock.ManualClock()
     quota = quota_of(time, started_ms=0)
     time.advance_to(2_000)
@@ -195,13 +195,13 @@
 
 
 EXCESS = quota_tolerance.REFILL_FRACTION * 2_000.0
-"""Of what SPACE may spend beyond its allotment in a window of 8 s, what buckets refill by."""
+"""Refill of SPACE beyond its quota in a window of 8 s."""
 
-HELD = quota_tolerance.CAPACITY_FRACTION * 2_000.0
-"""Of the same, what a bucket holds beyond the burst."""
+EXCESS_CAPACITY = quota_tolerance.CAPACITY_FRACTION * 2_000.0
+"""Capacity of its bucket beyond the burst."""
 
 
-def test_a_part_of_the_tolerated_excess_is_there_for_whichever_node_needs_it():
+def test_any_node_may_use_the_refill_from_the_tolerated_excess():
     time = clock.ManualClock()
     quota = tolerant(time)
     quota.admit(SPACE, 2_000)
@@ -213,19 +213,19 @@
     assert 8_000 + EXCESS - 20 <= admitted <= 8_000 + EXCESS
 
 
-def test_a_process_that_just_started_has_nothing_of_the_excess():
+def test_a_process_that_just_started_has_no_excess():
     quota = tolerant(clock.ManualClock(), started_ms=0)
     assert quota.admit(SPACE, 1) > 0
 
 
-def test_a_group_that_is_cut_off_uses_its_part_of_the_excess_only():
+def test_a_separated_group_uses_only_its_share_of_the_excess():
     time = clock.ManualClock()
     quota = tolerant(time)
     quota.set_reachable_fraction(0.25)
     quota.admit(SPACE, 500)
     time.advance_to(8_000)
     quota.retain(TABLE)
-    assert quota.buckets["w"].share == 500 + 0.25 * HELD
+    assert quota.buckets["w"].share == 500 + 0.25 * EXCESS_CAPACITY
     for _ in range(13):
         assert quota.admit(SPACE, 50) == 0
     time.advance_to(8_100)
@@ -233,7 +233,7 @@
     assert abs(quota.buckets["w"].share - 0.25 * (8_000 + EXCESS) / 80) < 1e-6
 
 
-def test_a_large_prompt_that_follows_others_finds_room():
+def test_a_large_prompt_fits_after_others():
     time = clock.ManualClock()
     quota = tolerant(time)
     time.advance_to(8_000)
@@ -242,15 +242,15 @@
     assert quota.admit(SPACE, 200) > 0
 
 
-def test_the_least_urgent_leave_the_rest_of_the_bucket_to_the_others():
+def test_the_least_urgent_leave_the_excess_capacity_to_the_others():
     time = clock.ManualClock()
     quota = tolerant(time)
     time.advance_to(8_000)
     least = workspace_quota.LEAST_URGENT_RANK
     while quota.admit(SPACE, 50, least) == 0:
         pass
-    assert quota.buckets["w"].level >= HELD
-    assert quota.admit(SPACE, HELD, 1) == 0
+    assert quota.buckets["w"].level >= EXCESS_CAPACITY
+    assert quota.admit(SPACE, EXCESS_CAPACITY, 1) == 0
     assert quota.admit(SPACE, 50, 0) > 0
 
 
@@ -263,14 +263,14 @@
     assert quota.admit(SPACE, 50, workspace_quota.LEAST_URGENT_RANK) == 0
 
 
-def test_the_least_urgent_get_the_whole_burst():
+def test_the_least_urgent_get_the_complete_burst():
     time = clock.ManualClock()
     quota = tolerant(time)
     time.advance_to(8_000)
     assert quota.admit(SPACE, SPACE.burst, workspace_quota.LEAST_URGENT_RANK) == 0
 
 
-def test_all_that_a_window_can_get_stays_within_what_is_tolerated():
+def test_the_maximum_of_a_window_stays_within_the_tolerance():
     quota = tolerant(clock.ManualClock())
     used = quota_tolerance.CAPACITY_FRACTION + quota_tolerance.REFILL_FRACTION
     assert used <= 0.7
