--- a/plumarch/peers/tolerant.py
+++ b/plumarch/peers/tolerant.py
@@ -1,6 +1,6 @@
-"""Messages of another build of which a part can't be read: that part is left out, the rest counts.
+"""Reads messages of other builds that are partly unreadable, leaving out the unreadable portion.
 
-Only what the ordinary decoder refuses comes here, so that it costs nothing where all nodes agree.
+It is used only after the ordinary decoder refused a message, so that it costs nothing otherwise.
 """
 
 import dataclasses
@@ -26,12 +26,12 @@
     )
     if isinstance(one.__struct_config__.tag, int)
 }
-"""Datagrams by the number that they begin with."""
+"""Datagram types by tag."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartialDatagram:
-    """A datagram without what can't be read of it.
+    """A datagram without its unreadable portion.
 
     Attributes:
       unreadable: names of the fields that lack something.
@@ -42,18 +42,18 @@
 
 
 def read(data: bytes) -> PartialDatagram:
-    """Return what can be read of a datagram.
+    """Return the readable portion of a datagram.
 
-    A part of a list is left out by itself; a field with a default is taken as not told.
+    Unreadable elements of a list are left out; an unreadable field with a default gets it.
 
     Raises:
-      msgspec.DecodeError: its kind is not known, or what it can't do without can't be read.
+      msgspec.DecodeError: the type is unknown, or a required field is unreadable.
     """
     parts = msgspec.msgpack.decode(data)
     number = parts[0] if isinstance(parts, list) and parts else None
     kind = KINDS.get(number) if isinstance(number, int) else None
     if kind is None:
-        raise msgspec.ValidationError("no kind of message that this build knows")
+        raise msgspec.ValidationError("message type unknown to this build")
     found: dict[str, object] = {}
     unreadable = []
     for field, part in zip(msgspec.structs.fields(kind), parts[1:], strict=False):
@@ -73,7 +73,7 @@
 
 
 def _readable(parts: list[Any], kind: Any) -> list[Any]:
-    """Return the parts of a list that can be read."""
+    """Return the readable elements of a list."""
     found: list[Any] = []
     for part in parts:
         try:
--- a/plumarch/peers/tolerant_test.py
+++ b/plumarch/peers/tolerant_test.py
@@ -1,4 +1,4 @@
-"""What can't be read of a message costs itself alone."""
+"""An unreadable field or element does not make the rest of a message unreadable."""
 
 import json
 
@@ -26,7 +26,7 @@
 )
 
 
-def test_a_part_of_a_list_that_cannot_be_read_costs_itself_alone():
+def test_an_unreadable_element_of_a_list_is_left_out():
     beat = [*BEAT]
     beat[SPENDING] = [["short"], *BEAT[SPENDING], "no list", [7, 7, 7, 7, 7, 7]]
     found = tolerant.read(msgspec.msgpack.encode(beat))
@@ -34,7 +34,7 @@
     assert found.datagram == gossip.datagram_decoder.decode(SAMPLES["Heartbeat"])
 
 
-def test_a_field_that_may_be_missing_is_taken_as_not_told():
+def test_an_unreadable_optional_field_gets_its_default():
     sequence = [field.name for field in msgspec.structs.fields(gossip.Heartbeat)].index("sequence")
     beat = [*BEAT]
     beat[sequence + 1] = "seven"
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x90", b"\x01", b"\x91\x63", b"\x92\x01\xc0"])
-def test_what_cannot_be_told_apart_or_says_too_little_is_refused(data: bytes):
+def test_unknown_types_and_missing_required_fields_are_rejected(data: bytes):
     with pytest.raises(msgspec.DecodeError):
         tolerant.read(data)
 
