--- a/plumarch/peers/__init__.py
+++ b/plumarch/peers/__init__.py
@@ -1,1 +1,1 @@
-"""The transport between entry nodes."""
+"""Transport and messages between nodes."""
--- a/plumarch/peers/frames.py
+++ b/plumarch/peers/frames.py
@@ -17,12 +17,12 @@
     """Read the body of one frame.
 
     Args:
-      limit: bytes that it may have at most.
+      limit: maximum length in bytes.
     Raises:
-      PeerProtocolError: it is over the limit.
+      PeerProtocolError: the frame exceeds the limit.
       IncompleteReadError: the connection ended.
     """
     length = HEAD.unpack(await reader.readexactly(HEAD.size))[0]
     if length > limit:
-        raise errors.PeerProtocolError(f"A frame of {length} bytes is over the limit.")
+        raise errors.PeerProtocolError(f"A frame of {length} bytes exceeds the limit.")
     return await reader.readexactly(length)
--- a/plumarch/peers/recent_changes.py
+++ b/plumarch/peers/recent_changes.py
@@ -1,6 +1,6 @@
-"""Which of many figures a heartbeat tells: those that changed in one of the last few of them.
+"""Selects the figures that a heartbeat reports: those that changed recently.
 
-Datagrams are lost now and then, so that a change is told several times.
+Datagrams are lost now and then, so each change is sent several times.
 """
 
 import dataclasses
@@ -8,25 +8,25 @@
 from typing import Generic, TypeVar
 
 SEND_COUNT = 4
-"""How many heartbeats tell a change."""
+"""Number of heartbeats that report a change."""
 
 
 Figure = TypeVar("Figure")
-"""What may change; told again while it is not equal to what was told last."""
+"""A value that is sent again when it differs from the last one sent."""
 
 
 @dataclasses.dataclass(slots=True)
 class RecentChanges(Generic[Figure]):
-    """The figures as they were told last, and how often each is still to be told."""
+    """The figures as last sent, and how often each is still to be sent."""
 
     known: dict[str, Figure] = dataclasses.field(default_factory=dict)
     left: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def select(self, figures: Mapping[str, Figure]) -> set[str]:
-        """Return the names of the figures that the next heartbeat tells.
+        """Return the names of the figures that the next heartbeat reports.
 
         Args:
-          figures: all figures as they are now, by name.
+          figures: all current figures, by name.
         """
         for name in [name for name in self.known if name not in figures]:
             del self.known[name]
--- a/plumarch/peers/recent_changes_test.py
+++ b/plumarch/peers/recent_changes_test.py
@@ -1,15 +1,15 @@
-"""Changes are told several times, then no more."""
+"""Changes are sent several times, then no more."""
 
 from plumarch.peers import recent_changes
 
 
-def test_a_change_is_told_several_times_and_then_no_more():
+def test_a_change_is_sent_several_times_and_then_no_more():
     changes = recent_changes.RecentChanges()
-    told = [changes.select({"a": 1.0}) for _ in range(recent_changes.SEND_COUNT + 1)]
-    assert told == [{"a"}] * recent_changes.SEND_COUNT + [set()]
+    sent = [changes.select({"a": 1.0}) for _ in range(recent_changes.SEND_COUNT + 1)]
+    assert sent == [{"a"}] * recent_changes.SEND_COUNT + [set()]
 
 
-def test_a_further_change_is_told_as_often_again():
+def test_a_further_change_is_sent_as_often_again():
     changes = recent_changes.RecentChanges()
     changes.select({"a": 1.0, "b": 1.0})
     for _ in range(recent_changes.SEND_COUNT):
@@ -17,7 +17,7 @@
     assert changes.select({"a": 2.0, "b": 1.0}) == set()
 
 
-def test_what_no_longer_exists_is_forgotten():
+def test_removed_figures_are_dropped():
     changes = recent_changes.RecentChanges()
     changes.select({"a": 1.0})
     assert changes.select({}) == set()
--- a/plumarch/peers/suspect_entries.py
+++ b/plumarch/peers/suspect_entries.py
@@ -1,16 +1,15 @@
-"""Suspect requests as nodes tell them to one another, and as the store keeps them."""
+"""Encoded form of suspect requests, in messages and in the store."""
 
 import msgspec
 
 from plumarch.limits import quarantine
 
 MAX_SENT_CRASHES = 4
-"""Ends of a request that a datagram tells, the newest ones; three early ones hold it back. Some 30
-bytes each."""
+"""Newest crashes of a request that a datagram reports; enough to quarantine it."""
 
 
 class ReportedCrash(msgspec.Struct, array_like=True, frozen=True):
-    """An endpoint that ended under a request; at_ms is the time of day."""
+    """An endpoint that crashed while it ran a request; at_ms is the time of day."""
 
     endpoint: str
     at_ms: int
@@ -18,7 +17,7 @@
 
 
 class ReportedSuspect(msgspec.Struct, array_like=True, frozen=True):
-    """What the teller knows of a request; as in quarantine.Suspect."""
+    """What the sender knows of a request; fields as in quarantine.Suspect."""
 
     fingerprint: str
     crashes: list[ReportedCrash]
@@ -28,10 +27,10 @@
 
 
 def to_message(suspect: quarantine.Suspect, crashes: int = MAX_SENT_CRASHES) -> ReportedSuspect:
-    """Return a suspect as it is told.
+    """Encode a suspect.
 
     Args:
-      ends: how many of its ends are told, the newest ones.
+      crashes: how many of the newest crashes are included.
     """
     chosen = [
         ReportedCrash(crash.endpoint, crash.at_ms, crash.points)
@@ -43,7 +42,7 @@
 
 
 def from_message(one: ReportedSuspect) -> quarantine.Suspect:
-    """Return a suspect as it is kept; an end counts for no more than an early one does."""
+    """Decode a suspect; the points of a crash are limited to those of an early one."""
     crashes = tuple(
         quarantine.Crash(crash.endpoint, crash.at_ms, min(crash.points, quarantine.EARLY_POINTS))
         for crash in one.crashes
