--- a/plumarch/peers/gossip.py
+++ b/plumarch/peers/gossip.py
@@ -1,11 +1,11 @@
-"""Heartbeats and notices between the nodes of a fleet, and what they carry.
+"""Messages that the nodes of a fleet exchange by gossip.
 
-A heartbeat is one MessagePack datagram. It names the versions that a node holds; a peer that
-holds older ones fetches the newer ones over TCP from the same port.
+A heartbeat is one MessagePack datagram with the versions that a node has; a peer with older ones
+requests the newer ones over TCP from the same port.
 
-Builds run side by side while VMs are replaced, so what one tells another reads: fields are added at
-the end of a message only, with a default that says what their absence means, and none is taken out
-or gets another type or meaning (docs/design/mixed-builds.md).
+Builds run side by side while VMs are replaced: fields are only added, at the end of a message and
+with a default that means absence; none is removed or changes its type or meaning
+(docs/design/mixed-builds.md).
 """
 
 from typing import Protocol
@@ -21,15 +21,13 @@
 
 
 class Spending(msgspec.Struct, array_like=True, frozen=True):
-    """What a node admitted of a workspace's allotment since its start, and its level.
-
-    The level is settled if it rests on more than the sender's own short life.
+    """What a node admitted of a workspace's quota since its start, and its level.
 
     Attributes:
-      counted: the part of what it admitted that its data centre's coordinators are known to have
-        counted; all of it where each node tells each other one, or None from a node that doesn't
-        tell.
-      overdrawn: units by which the nodes that the sender hears have less left than their share.
+      settled: whether the level rests on more than the sender's short lifetime.
+      counted: the portion of its admissions that its data centre's coordinators have counted; all
+        of it where nodes report to each other directly; None from a node that doesn't send it.
+      overdrawn: units by which the nodes reachable from the sender have less left than their share.
     """
 
     workspace: str
@@ -41,7 +39,7 @@
 
 
 class EndpointLoad(msgspec.Struct, array_like=True, frozen=True):
-    """What a node has at an endpoint: requests running, prompt tokens not read."""
+    """A node's load at an endpoint: running requests, unread prompt tokens."""
 
     endpoint: str
     running: int
@@ -49,21 +47,21 @@
 
 
 class WindowUsage(msgspec.Struct, array_like=True, frozen=True):
-    """Requests that began in a window, by workspace, as one node counted them."""
+    """Requests that began in a window, by workspace, as counted by one node."""
 
     window: int
     counts: dict[str, int]
 
 
 class KnownPeer(msgspec.Struct, array_like=True, frozen=True):
-    """A node that the sender hears."""
+    """A node that is reachable from the sender."""
 
     name: str
     address: str
 
 
 class NodeIdentity(msgspec.Struct, array_like=True, frozen=True):
-    """One of the oldest live nodes of the sender's data centre."""
+    """One of the seniors of the sender's data centre."""
 
     name: str
     incarnation: int
@@ -71,13 +69,13 @@
 
 
 class EngineSpeed(msgspec.Struct, array_like=True, frozen=True):
-    """How fast the engines of a service are, as one or several nodes learned it.
+    """Speed of a service's engines, as learned by one or several nodes.
 
     Attributes:
-      us_per_token: time to read a prompt token where nothing waits, in microseconds.
-      seen: first tokens by which it was learned.
-      nodes: how many nodes learned it.
-      units: charged to allotments for what these nodes sent lately, to all services.
+      us_per_token: time to read a prompt token without waiting, in microseconds.
+      seen: number of first tokens that it was learned from.
+      nodes: number of nodes that learned it.
+      units: charged to quotas for what these nodes sent recently, to all services.
       unread: prompt tokens of it that engines of this service were expected to read.
     """
 
@@ -90,13 +88,13 @@
 
 
 class VersionShare(msgspec.Struct, array_like=True, frozen=True):
-    """Which part of a service's requests a version gets, as a holder of the duties decided.
+    """Fraction of a service's requests that a version gets, as decided by a holder of the duties.
 
     Attributes:
-      state: how far the roll-out is, as operators are told.
+      state: of the roll-out, as reported to operators.
       token: the holder's fencing token.
       step: number of the decision under it.
-      vetoed: whether some node saw that the version is bad.
+      vetoed: whether a node found the version to be bad.
     """
 
     service: str
@@ -109,7 +107,7 @@
 
 
 class VersionAnswers(msgspec.Struct, array_like=True, frozen=True):
-    """Answers of a version on a route since the sender's start, and how many were bad."""
+    """Answers of a version on a route since the sender's start, and the bad ones among them."""
 
     service: str
     version: str
@@ -119,7 +117,7 @@
 
 
 class Heartbeat(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A sign of life.
+    """Periodic report of a live node.
 
     Attributes:
       incarnation: time of day at which the process started, in ms.
@@ -127,17 +125,16 @@
       token: the fencing token under which it holds the duties, or 0.
       candidate: whether it could take the duties over now.
       reported: the newest usage window that the holder reported, or 0.
-      spending: of the workspaces in which it changed lately, in some heartbeats of all.
+      spending: of the workspaces in which it changed recently; in some heartbeats of all.
       reaches_store: whether the platform's store answered the sender's last call.
-      sequence: number of the heartbeat; a coordinator's news names the last one it took in. 0 for
+      sequence: number of the heartbeat; a fleet update acknowledges the last one it includes. 0 in
         an answer to a node that looks for its coordinators.
-      seniors: the oldest live nodes of the sender's data centre, for nodes that look for its
-        coordinators.
-      nodes: how many nodes there may be in the fleet, as the sender counts by itself.
+      seniors: of the sender's data centre, for nodes that look for its coordinators.
+      nodes: how many nodes there may be in the fleet, by the sender's own count.
       speeds: what the sender learned of engines; in some heartbeats.
-      versions: the shares of versions, while a roll-out runs and some time after.
-      answers: of versions on the sender, while a roll-out runs.
-      build: of the sender; in some heartbeats, never from builds that don't tell.
+      versions: the fractions of versions, during a roll-out and some time after.
+      answers: of versions on the sender, during a roll-out.
+      build: of the sender; in some heartbeats, never from builds that don't send it.
     """
 
     node: str
@@ -165,13 +162,13 @@
 
 
 class CentreSpending(msgspec.Struct, array_like=True, frozen=True):
-    """What the nodes of a data centre admitted, as the sender counted in the summary's ledger.
+    """What the nodes of a data centre admitted, as counted by the sender in the summary's ledger.
 
     Attributes:
-      spent: units of the workspace's allotment since the ledger was begun.
-      level: units left of the whole fleet's allotment, as the sender believes.
-      settled: whether the level rests on more than the sender's own short life.
-      overdrawn: units by which the nodes that the sender hears have less left than their share.
+      spent: units of the workspace's quota since the ledger was begun.
+      level: units left of the whole fleet's quota, by the sender's count.
+      settled: whether the level rests on more than the sender's short lifetime.
+      overdrawn: units by which the nodes reachable from the sender have less left than their share.
     """
 
     workspace: str
@@ -182,25 +179,26 @@
 
 
 class CentreSummary(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """What a coordinator tells those of other data centres of its own one.
+    """A coordinator's summary of its data centre, for those of other data centres.
 
     Attributes:
       registry_revision: of the last change of endpoints that the sender knows.
       nodes: how many nodes there may be.
-      reachable_nodes: how many of them the sender hears, itself included.
+      reachable_nodes: how many of them are reachable from the sender, including itself.
       token: the highest fencing token that a live node holds, or 0.
-      candidate: the oldest live node that could take the duties over, as a list of one or none.
+      candidate: the most senior live node that could take the duties over, as a list of one or
+        none.
       reported: the newest usage window reported, as far as known.
-      usage_age_ms: how old the oldest of its nodes' news is.
-      spending: of workspaces in which it changed lately, in some summaries of all.
+      usage_age_ms: age of the oldest usage among its nodes' reports.
+      spending: of workspaces in which it changed recently; in some summaries of all.
       loads: at all endpoints where its nodes have requests, the heaviest first.
       usage: requests that began on its nodes; in some summaries.
       speeds: what its nodes learned of engines; in some summaries.
-      versions: the shares of versions, as in heartbeats.
-      answers: of versions on its nodes, while a roll-out runs.
-      centres_digest: digest of the data centres that the sender hears, its own included, or 0.
-      sequence: number of the summary since the sender's start; 0 where it is not told.
-      ledger: the coordinator that began to count what is told as spent, as a list of one or none.
+      versions: the fractions of versions, as in heartbeats.
+      answers: of versions on its nodes, during a roll-out.
+      centres_digest: digest of the data centres reachable from the sender, with its own, or 0.
+      sequence: number of the summary since the sender's start; 0 where it is not sent.
+      ledger: the coordinator that began the count of spending, as a list of one or none.
     """
 
     node: str
@@ -228,18 +226,18 @@
 
 
 class KnownCentre(msgspec.Struct, array_like=True, frozen=True):
-    """A data centre that the sender hears, and some of its oldest live nodes."""
+    """A data centre that is reachable from the sender, and some of its seniors."""
 
     data_centre: str
     seniors: list[NodeIdentity]
 
 
 class CentreDirectory(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """Whom a node hears, for one that hears others; no sign of life, since it has no figures.
+    """Nodes reachable from the sender, for a node that reaches others; no proof that it is alive.
 
     Attributes:
-      centres: data centres that the sender, a coordinator, hears.
-      peers: all nodes that it hears, where the fleet is a small one.
+      centres: data centres reachable from the sender, a coordinator.
+      peers: all nodes reachable from it, in a small fleet.
     """
 
     node: str
@@ -248,13 +246,13 @@
 
 
 class ReportedLevel(msgspec.Struct, array_like=True, frozen=True):
-    """What is left of a workspace's allotment.
+    """What is left of a workspace's quota.
 
     Attributes:
       level: units left over all nodes; negative after a large request.
-      part: units left for the nodes that the sender hears.
-      settled: whether the level rests on more than the sender's own short life.
-      spent: what the nodes of the data centre admitted, as counted in the news' ledger.
+      share: units left for the nodes reachable from the sender.
+      settled: whether the level rests on more than the sender's short lifetime.
+      spent: what the nodes of the data centre admitted, as counted in the update's ledger.
     """
 
     workspace: str
@@ -265,17 +263,17 @@
 
 
 class FleetUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """What a coordinator tells the members of its data centre, of the whole fleet.
+    """A coordinator's report on the whole fleet for the members of its data centre.
 
     Attributes:
       nodes: how many nodes there may be in the fleet.
       centre_nodes: how many of them are in the own data centre.
-      fraction: the part of them that the sender hears or is told to be heard.
-      followers: names of those nodes of the data centre that follow the store.
-      levels: of workspaces in which something changed lately, in some news of all.
-      loads: at endpoints where something changed lately, in some news at all, from all nodes.
+      fraction: the fraction of them that is reachable, directly or as reported.
+      followers: names of the data centre's nodes that follow the store.
+      levels: of workspaces in which something changed recently; in some updates of all.
+      loads: at endpoints where something changed recently; in some updates at all, from all nodes.
       full: whether endpoints that are not named have no load.
-      versions: the shares of versions, as in heartbeats.
+      versions: the fractions of versions, as in heartbeats.
       ledger: as in summaries.
     """
 
@@ -298,10 +296,10 @@
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """News as one member gets them.
+    """A fleet update as sent to one member.
 
     Attributes:
-      acknowledged: sequence of the last heartbeat or notice of the member that the figures hold,
+      acknowledged: sequence of the member's last heartbeat or notice that the update includes,
         or 0.
       update: a FleetUpdate, encoded once for all members.
     """
@@ -311,14 +309,14 @@
 
 
 class LoadNotice(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """What a node sent to an endpoint, told at once if it is a long prompt.
+    """A node's load at an endpoint, sent at once after a long prompt.
 
     Attributes:
       incarnation: as in its heartbeats; a notice of another one is dropped.
-      load: the node's whole load there.
+      load: the node's complete load there.
       sequence: number of the notice, counted with the heartbeats.
-      workspace: the one whose allotment was charged, or "".
-      spent: units that the node admitted of it since its start.
+      workspace: the one whose quota was charged, or "".
+      spent: units of it that the node admitted since its start.
     """
 
     node: str
@@ -330,14 +328,14 @@
 
 
 class SuspectUpdate(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """What a node learned of requests under which endpoints ended; told at once, and again."""
+    """What a node learned of suspects; sent at once, and again."""
 
     node: str
     suspects: list[suspect_entries.ReportedSuspect]
 
 
 class PermitRequest(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """Asks for permits to send to an endpoint that announces a request rate, or reports the rate.
+    """Requests permits for an endpoint that announces a request rate, or reports the rate.
 
     Attributes:
       address: where the answer is sent.
@@ -345,9 +343,9 @@
       data_centre: the endpoint's, whose senior node allocates its permits.
       sequence: of this message on its node and for this endpoint; the answer repeats it.
       count: permits wanted; 0 for a report.
-      per_s: the rate that was announced last, as a list of one, or of none if there is none.
-      age_ms: how long ago that was.
-      hops: nodes that passed the message on.
+      per_s: the last announced rate, as a list of one, or of none without a limit.
+      age_ms: age of the announcement.
+      hops: nodes that forwarded the message.
     """
 
     node: str
@@ -366,9 +364,9 @@
 
     Attributes:
       permits: how many requests may be sent.
-      per_s: the newest rate that is known, as in PermitRequest.
-      next_ms: when the next permit will be there.
-      wait_ms: when a caller may expect one.
+      per_s: the newest known rate, as in PermitRequest.
+      next_ms: time until the next permit is available.
+      wait_ms: time after which a caller may expect one.
       contenders: nodes that compete for the endpoint's permits.
     """
 
@@ -383,12 +381,12 @@
 
 
 class RateUpdate(msgspec.Struct, array_like=True, frozen=True, tag=9):
-    """A request rate that an endpoint announces from now on, or no longer; broadcast once.
+    """The start, change or end of an endpoint's announced request rate; broadcast once.
 
     Attributes:
       endpoint: the incarnation.
       per_s: as in PermitRequest.
-      age_ms: how long ago it was announced.
+      age_ms: age of the announcement.
     """
 
     node: str
@@ -398,7 +396,7 @@
 
 
 class SnapshotRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Asks for what is newer than what the requesting node holds.
+    """Requests what is newer than what the sender has.
 
     Attributes:
       accepts_compressed: whether the answer may be compressed.
@@ -413,12 +411,12 @@
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """What is newer; each part can be read by itself.
+    """What is newer, in elements that can be decoded separately.
 
     Attributes:
       configuration: a routing_table.Configuration, encoded, as a list of one or none.
-      endpoints: all endpoints, a traffic.Endpoint each, encoded.
-      with_endpoints: whether these are newer than what the asking node holds; else none are told.
+      endpoints: all endpoints, an encoded traffic.Endpoint each.
+      with_endpoints: whether these are newer than what the requesting node has; else none are sent.
     """
 
     node: str
@@ -429,7 +427,7 @@
 
 
 class FullSnapshot(msgspec.Struct, array_like=True, frozen=True):
-    """What is newer, as earlier builds tell and take it; None for what is not."""
+    """What is newer, as earlier builds send and accept it; None for what is not."""
 
     node: str
     configuration: routing_table.Configuration | None
@@ -438,7 +436,7 @@
 
 
 class Versions(Protocol):
-    """What says which configuration and endpoints its sender knows."""
+    """The versions of configuration and endpoints that a message's sender has."""
 
     @property
     def configuration(self) -> int:
@@ -474,24 +472,24 @@
 
 
 def decode_snapshot(encoded: bytes) -> Snapshot:
-    """Return a snapshot.
+    """Decode a Snapshot, or a FullSnapshot of an earlier build.
 
     Raises:
-      msgspec.DecodeError: it can't be read.
+      msgspec.DecodeError: it can't be decoded.
     """
     try:
         return snapshot_decoder.decode(encoded)
     except msgspec.DecodeError:
-        told = full_snapshot_decoder.decode(encoded)
+        full = full_snapshot_decoder.decode(encoded)
     return Snapshot(
-        told.node,
-        [raw(told.configuration)] if told.configuration is not None else [],
-        [raw(one) for one in told.endpoints or ()],
-        told.endpoints is not None,
-        told.registry_revision,
+        full.node,
+        [raw(full.configuration)] if full.configuration is not None else [],
+        [raw(one) for one in full.endpoints or ()],
+        full.endpoints is not None,
+        full.registry_revision,
     )
 
 
 def raw(value: object) -> msgspec.Raw:
-    """Return a part of a message, encoded by itself."""
+    """Encode a value as an element of a message."""
     return msgspec.Raw(encoder.encode(value))
--- a/plumarch/peers/wire.py
+++ b/plumarch/peers/wire.py
@@ -1,8 +1,8 @@
-"""Messages between entry nodes over TCP: authenticated, length-limited MessagePack frames.
+"""Messages between nodes over TCP: authenticated, length-limited MessagePack frames.
 
-Both ends prove that they know the shared key; each frame then carries a keyed
-digest over its number and content, so that nobody else on the network can add,
-change or repeat one. Frames may still be lost with a connection.
+Both ends prove that they know the shared key. Each frame then carries a keyed digest over its
+number and content, so that others cannot add, change or replay one. Frames may be lost with a
+connection.
 """
 
 import asyncio
@@ -22,10 +22,10 @@
 
 VERSION = 1
 FRAME_LIMIT = 8 * 1024 * 1024
-"""Bytes of a frame at most."""
+"""Maximum bytes of a frame."""
 
 QUEUE_LIMIT = 20_000
-"""Messages waiting for one peer at most; a further one is dropped."""
+"""Maximum messages queued for one peer; further ones are dropped."""
 
 HANDSHAKE_S = 5.0
 RECONNECT_S = 0.25
@@ -36,7 +36,7 @@
 
 
 class Hello(msgspec.Struct, frozen=True):
-    """The first frame of each side: who it is, and its part of the session's secret."""
+    """The first frame of each side: its identity and nonce."""
 
     version: int
     identity: str
@@ -44,13 +44,13 @@
 
 
 class Proof(msgspec.Struct, frozen=True):
-    """The second frame of each side: a digest that only a holder of the key can make."""
+    """The second frame of each side: a digest that only a holder of the key can compute."""
 
     digest: bytes
 
 
 class Session:
-    """One connection after the handshake."""
+    """A connection after the handshake."""
 
     def __init__(self, key: bytes, identity: str) -> None:
         self.key = key
@@ -63,13 +63,13 @@
         return hmac.digest(self.key, text, hashlib.sha256)[:DIGEST_BYTES]
 
     def seal(self, direction: bytes, body: bytes) -> bytes:
-        """Return a frame."""
+        """Return an authenticated frame."""
         digest = self._digest(direction, self.sent, body)
         self.sent += 1
         return frames.pack(digest + body)
 
     def open(self, direction: bytes, frame: bytes) -> bytes:
-        """Return a frame's body.
+        """Verify a frame and return its body.
 
         Raises:
           PeerProtocolError: its digest is wrong.
@@ -89,7 +89,7 @@
     identity: str,
     role: bytes,
 ) -> Session:
-    """Prove to each other that both ends hold the key.
+    """Authenticate both ends by the shared key.
 
     Args:
       reader: the connection's reading end.
@@ -100,7 +100,7 @@
     Returns:
       The session; its identity is the other end's.
     Raises:
-      PeerProtocolError: the other end speaks another version or holds another key.
+      PeerProtocolError: the other end has another protocol version or key.
     """
     mine = Hello(VERSION, identity, os.urandom(NONCE_BYTES))
     _write_plain(writer, msgspec.msgpack.encode(mine))
@@ -130,7 +130,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Outgoing:
-    """What waits for one peer, and the task that sends it."""
+    """The queue of one peer, and the task that sends it."""
 
     address: str
     waiting: collections.deque[tuple[str, bytes]]
@@ -143,9 +143,9 @@
 
     Args:
       identity: this node's identity.
-      secret: the key that all entry nodes share.
-      receive: is given each message with its sender's identity.
-      dropped: is told why a message or connection was dropped.
+      secret: the key that all nodes share.
+      receive: called with each message's sender and the message.
+      dropped: called with the reason when a message or connection is dropped.
     """
 
     def __init__(
@@ -165,7 +165,7 @@
         self.sent_bytes = 0
 
     async def listen(self, host: str, port: int) -> int:
-        """Begin to receive.
+        """Start to receive.
 
         Returns:
           The port in use.
@@ -174,7 +174,7 @@
         return int(self.server.sockets[0].getsockname()[1])
 
     def add_peer(self, name: str, address: str) -> None:
-        """Learn where a peer is; a changed address is used from now on."""
+        """Set a peer's address; a changed one is used from now on."""
         known = self.outgoing.get(name)
         if known is not None and known.address == address:
             return
@@ -185,7 +185,7 @@
         self.outgoing[name] = out
 
     def send(self, identity: str, message: messages.AnyMessage) -> None:
-        """Queue a message for a node ("name#incarnation", or "name" for whoever has it)."""
+        """Queue a message for a node ("name#incarnation", or "name" for any incarnation)."""
         out = self.outgoing.get(context.name_of(identity))
         if out is None:
             self.dropped("unknown peer")
