--- a/plumarch/peers/message_samples.py
+++ b/plumarch/peers/message_samples.py
@@ -1,4 +1,4 @@
-"""Encoded samples of what a build tells other nodes and keeps in the store, for later ones to read.
+"""Encoded samples of a build's messages and stored records, for later builds to read.
 
     python -m plumarch.peers.message_samples NAME
 
@@ -24,7 +24,7 @@
     ("Snapshot", "endpoints"): "Endpoint",
     ("MemberUpdate", "update"): "FleetUpdate",
 }
-"""What the parts hold that are encoded by themselves, by message and field."""
+"""Types of the elements that are encoded by themselves, by message and field."""
 
 
 class Sampler:
@@ -37,7 +37,7 @@
         """Return a value of a type.
 
         Args:
-          owner: the message that it is in.
+          owner: the message that contains it.
           field: its name there.
         """
         if kind is msgspec.Raw:
@@ -53,7 +53,7 @@
             return {key: self.value(arguments[1], owner, field)}
         if origin in (typing.Union, types.UnionType):
             return self.value(arguments[0], owner, field)
-        raise TypeError(f"{owner}.{field} is a {kind}: say in message_samples how to sample it.")
+        raise TypeError(f"{owner}.{field} is a {kind}: add a sample for it to message_samples.")
 
     def _plain(self, kind: type, field: str) -> object:
         samples = {str: f"{field}-1", int: 7, float: 2.5, bool: True}
@@ -72,26 +72,26 @@
 
 
 def origin_list(origin: object, element: object) -> object:
-    """Return a sequence of one element, of the kind that its field is declared as."""
+    """Return a sequence of one element, of a field's declared type."""
     return (element,) if origin is tuple else [element]
 
 
 def samples() -> dict[str, str]:
-    """Return what this build sends and stores, encoded, in hex, by message."""
+    """Return this build's encoded messages and stored records, in hex, by type name."""
     from plumarch.config import routing_table
     from plumarch.core import traffic
     from plumarch.fleet import duty_lease
     from plumarch.membership import node_record
     from plumarch.peers import gossip
 
-    told = [*typing.get_args(gossip.Datagram), gossip.FleetUpdate]
-    told += [gossip.SnapshotRequest, gossip.Snapshot]
-    known = {one.__name__: one for one in told}
+    sent = [*typing.get_args(gossip.Datagram), gossip.FleetUpdate]
+    sent += [gossip.SnapshotRequest, gossip.Snapshot]
+    known = {one.__name__: one for one in sent}
     known |= {"Configuration": routing_table.Configuration, "Endpoint": traffic.Endpoint}
     sampler = Sampler(known)
     found = {
         one.__name__: msgspec.msgpack.encode(sampler.value(one)).hex()
-        for one in [*told, routing_table.Configuration, traffic.Endpoint]
+        for one in [*sent, routing_table.Configuration, traffic.Endpoint]
     }
     stored = {"DutyRecord": duty_lease.DutyRecord, "NodeRecord": list[node_record.NodeRecord]}
     try:
@@ -99,7 +99,7 @@
 
         stored["ReportedSuspect"] = list[suspect_entries.ReportedSuspect]
     except ImportError:
-        pass  # A build from before requests were held back keeps no record of them.
+        pass  # Builds without the quarantine store no suspects.
     for name, kind in stored.items():
         found[name] = msgspec.json.encode(sampler.value(kind)).hex()
     return found
