--- a/plumarch/peers/message_samples.py
+++ b/plumarch/peers/message_samples.py
@@ -23,8 +23,10 @@
     ("Snapshot", "configuration"): "Configuration",
     ("Snapshot", "endpoints"): "Endpoint",
     ("MemberUpdate", "update"): "FleetUpdate",
+    ("MemberNews", "news"): "FleetNews",
 }
-"""Types of the elements that are encoded by themselves, by message and field."""
+"""Types of the elements that are encoded by themselves, by message and field, with the names of
+earlier builds."""
 
 
 class Sampler:
@@ -84,7 +86,8 @@
     from plumarch.membership import node_record
     from plumarch.peers import gossip
 
-    sent = [*typing.get_args(gossip.Datagram), gossip.FleetUpdate]
+    fleet_update = vars(gossip).get("FleetUpdate") or vars(gossip)["FleetNews"]
+    sent = [*typing.get_args(gossip.Datagram), fleet_update]
     sent += [gossip.SnapshotRequest, gossip.Snapshot]
     known = {one.__name__: one for one in sent}
     known |= {"Configuration": routing_table.Configuration, "Endpoint": traffic.Endpoint}
@@ -93,11 +96,16 @@
         one.__name__: msgspec.msgpack.encode(sampler.value(one)).hex()
         for one in [*sent, routing_table.Configuration, traffic.Endpoint]
     }
-    stored = {"DutyRecord": duty_lease.DutyRecord, "NodeRecord": list[node_record.NodeRecord]}
+    stored: dict[str, object] = {
+        "DutyRecord": duty_lease.DutyRecord,
+        "NodeRecord": list[node_record.NodeRecord],
+    }
     try:
         from plumarch.peers import suspect_entries
 
-        stored["ReportedSuspect"] = list[suspect_entries.ReportedSuspect]
+        names = vars(suspect_entries)
+        suspect = names.get("ReportedSuspect") or names["ToldSuspect"]
+        stored[suspect.__name__] = types.GenericAlias(list, (suspect,))
     except ImportError:
         pass  # Builds without the quarantine store no suspects.
     for name, kind in stored.items():
