--- a/plumarch/peers/frames.py
+++ b/plumarch/peers/frames.py
@@ -24,5 +24,5 @@
     """
     length = HEAD.unpack(await reader.readexactly(HEAD.size))[0]
     if length > limit:
-        raise errors.PeerProtocolError(f"A frame of {length} bytes exceeds the limit.")
+        raise errors.PeerProtocolError(f"A frame of {length} bytes is over the limit.")
     return await reader.readexactly(length)
