--- a/plumarch/limits/memory_account.py
+++ b/plumarch/limits/memory_account.py
@@ -153,12 +153,12 @@
 
     def _free_for_answers(self, workspace: str) -> float:
         """Return the bytes that a workspace's answers may still use."""
-        room = ANSWERS_FRACTION * self.budget
-        free = room - self.held[Purpose.UNREAD_ANSWERS]
+        max_answers = ANSWERS_FRACTION * self.budget
+        free = max_answers - self.held[Purpose.UNREAD_ANSWERS]
         if not workspace:
             return free
         held = self.answers_by_workspace.get(workspace, 0)
-        return min(free, ANSWERS_WORKSPACE_FRACTION * room - held)
+        return min(free, ANSWERS_WORKSPACE_FRACTION * max_answers - held)
 
     def _record_change(self, reservation: Reservation, more: int) -> None:
         self.held[reservation.purpose] += more
--- a/plumarch/limits/memory_admission.py
+++ b/plumarch/limits/memory_admission.py
@@ -61,8 +61,8 @@
         return False
     if pressure >= 1.0:
         return True
-    room = 1.0 - pressure
-    return rank > room * (RANKS - 1) or size > room * MAX_BODY_FRACTION * usage.budget
+    headroom = 1.0 - pressure
+    return rank > headroom * (RANKS - 1) or size > headroom * MAX_BODY_FRACTION * usage.budget
 
 
 @dataclasses.dataclass(slots=True)
--- a/plumarch/limits/quarantine.py
+++ b/plumarch/limits/quarantine.py
@@ -238,9 +238,9 @@
         Returns:
           How many requests were quarantined.
         """
-        held = len(self.held())
+        count = len(self.held())
         self.suspects.clear()
-        return held
+        return count
 
     def held(self) -> list[Suspect]:
         """Return the quarantined requests, the latest first."""
--- a/plumarch/limits/quota_tolerance.py
+++ b/plumarch/limits/quota_tolerance.py
@@ -9,7 +9,7 @@
 FRESH_INTERVAL_MS."""
 
 CAPACITY_FRACTION = 0.3
-"""Fraction of it by which buckets hold more than the burst, as room for a large prompt after
+"""Fraction of it by which buckets hold more than the burst, so that a large prompt fits after
 others. The remainder covers nodes that admit at the same moment."""
 
 OVERDRAFT_FRACTION = 0.2
--- a/plumarch/limits/rate_permits.py
+++ b/plumarch/limits/rate_permits.py
@@ -72,7 +72,7 @@
       permits: expiry of each permit.
       demand: times of recent requests for the endpoint.
       sequence: of the last request for permits.
-      count: permits that it asked for.
+      count: permits that it requested.
       last_request_ms: when it was sent, or None if it was answered.
       unanswered_since_ms: when the first request without an answer since was sent, or None.
       pause_until_ms: no permits are requested before.
@@ -235,9 +235,9 @@
         if self.is_request_pending(endpoint) or now < one.pause_until_ms:
             return None
         self._has_permit(one)
-        lately = sum(now - at < DEMAND_MS for at in one.demand)
-        count = lately - len(one.permits)
-        if count <= 0 or 2 * len(one.permits) > lately:
+        recent = sum(now - at < DEMAND_MS for at in one.demand)
+        count = recent - len(one.permits)
+        if count <= 0 or 2 * len(one.permits) > recent:
             return None
         one.last_request_ms, one.count = now, count
         if one.unanswered_since_ms is None:
