--- a/plumarch/gateway/gossip/coordination.py
+++ b/plumarch/gateway/gossip/coordination.py
@@ -165,7 +165,7 @@
             self._ledger_from(summary),
         )
         levels = {
-            one.workspace: quota_records.TakenOver(one.level, one.overdrawn)
+            one.workspace: quota_records.PeerLevel(one.level, one.overdrawn)
             for one in summary.spending
             if one.settled
         }
@@ -352,7 +352,7 @@
             gossip.ReportedLevel(
                 name,
                 round(bucket.level),
-                round(bucket.part),
+                round(bucket.share),
                 bucket.settled,
                 round(self.spent[name]),
             )
--- a/plumarch/gateway/gossip/gossiper.py
+++ b/plumarch/gateway/gossip/gossiper.py
@@ -153,7 +153,7 @@
         self.state.quota.update_age_ms = self._update_age_ms()
         self.state.permits.nodes = self.view.size()
         is_flat = self.view.role is tiers.Role.FLAT
-        self.state.quota.sharers = 1 if is_flat else self.view.size()
+        self.state.quota.admitting_nodes = 1 if is_flat else self.view.size()
         for peer in self.view.tick():
             self._forget(peer)
         stale_figures.drop_old_loads(self.state, self.view)
@@ -454,7 +454,7 @@
         """
         role, in_own_centre = self.view.role, data_centre == self.state.data_centre
         if role is tiers.Role.FLAT or (role is tiers.Role.COORDINATOR and in_own_centre):
-            self.state.quota.lose_part(1.0 / self.view.size())
+            self.state.quota.deduct_lost_share(1.0 / self.view.size())
 
     def _handle_new_peer(self, peer: peer_node.Peer) -> None:
         """Log a node that was reached for the first time, or again, and send it full state."""
--- a/plumarch/gateway/gossip/member_updates.py
+++ b/plumarch/gateway/gossip/member_updates.py
@@ -116,9 +116,9 @@
             if bucket is not None and known is not None:
                 unacknowledged = bucket.spent - known.spent.get(one.workspace, 0.0)
             buckets[one.workspace] = quota_records.ReportedBucket(
-                one.level - unacknowledged, one.part - unacknowledged, one.settled
+                one.level - unacknowledged, one.share - unacknowledged, one.settled
             )
-        quota.adopt(buckets, update.fraction)
+        quota.apply_fleet_levels(buckets, update.fraction)
         self._adopt_loads(update, known.loads if known is not None else {})
 
     def _adopt_loads(
--- a/plumarch/gateway/gossip/mixed_builds_test.py
+++ b/plumarch/gateway/gossip/mixed_builds_test.py
@@ -44,7 +44,7 @@
 def test_a_requester_that_accepts_parts_always_gets_them():
     async def test() -> None:
         exchange = new_exchange()
-        request = gossip.SnapshotRequest(-1, -1, takes_parts=True)
+        request = gossip.SnapshotRequest(-1, -1, accepts_parts=True)
         for _ in range(3):
             answer = gossip.snapshot_decoder.decode(await served(exchange, request))
             assert len(answer.endpoints) == 1
--- a/plumarch/gateway/gossip/snapshots.py
+++ b/plumarch/gateway/gossip/snapshots.py
@@ -93,8 +93,8 @@
         request = gossip.SnapshotRequest(
             self.state.configuration_version(),
             self.state.registry.revision,
-            takes_compressed=True,
-            takes_parts=True,
+            accepts_compressed=True,
+            accepts_parts=True,
         )
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_MS / 1000.0):
@@ -141,7 +141,7 @@
                 request = gossip.request_decoder.decode(
                     await frames.read(reader, gossip.FRAME_LIMIT)
                 )
-                in_parts = request.takes_parts or self._guess_in_parts(
+                in_parts = request.accepts_parts or self._guess_in_parts(
                     writer.get_extra_info("peername")[0], request
                 )
                 writer.write(frames.pack(self._answer(request, in_parts)))
@@ -178,7 +178,7 @@
 
     def _answer(self, request: gossip.SnapshotRequest, in_parts: bool = True) -> bytes:
         """Return the encoded answer to a request, reusing the last one if nothing changed."""
-        if not request.takes_compressed:
+        if not request.accepts_compressed:
             return gossip.encoder.encode(self._compose(request, in_parts))
         contents = Contents(
             self.state.configuration_version(),
--- a/plumarch/gateway/gossip/snapshots_test.py
+++ b/plumarch/gateway/gossip/snapshots_test.py
@@ -38,7 +38,7 @@
     return snapshots.SnapshotExchange(state)
 
 
-FIRST_REQUEST = gossip.SnapshotRequest(-1, -1, takes_compressed=True)
+FIRST_REQUEST = gossip.SnapshotRequest(-1, -1, accepts_compressed=True)
 
 
 def test_large_snapshot_is_compressed_and_reused():
@@ -59,7 +59,7 @@
 def test_answer_is_not_reused_after_a_change():
     one = exchange(2)
     first = one._answer(FIRST_REQUEST)
-    later = one._answer(gossip.SnapshotRequest(5, -1, takes_compressed=True))
+    later = one._answer(gossip.SnapshotRequest(5, -1, accepts_compressed=True))
     assert snapshots._unpack(later).configuration == []
     one.state.registry.replace([], 9, "store")
     assert one._answer(FIRST_REQUEST) != first
--- a/plumarch/limits/attempt_budget_test.py
+++ b/plumarch/limits/attempt_budget_test.py
@@ -1,4 +1,4 @@
-"""The budget of repeats over all nodes: never over, whatever the order of sends."""
+"""The fleet never exceeds its budget of repeats, in any order of sends."""
 
 import hypothesis
 from hypothesis import strategies
@@ -13,7 +13,7 @@
     return attempt_budget.AttemptBudget(time, WINDOW_MS, RATIO, EXTRA, nodes=NODES)
 
 
-def test_a_node_may_spend_its_part_of_the_extra_and_no_more():
+def test_a_node_may_spend_its_share_of_the_extra_and_no_more():
     budget = budget_of(clock.ManualClock())
     taken = [budget.take("s") for _ in range(20)]
     assert taken.count(True) == int(0.8 * EXTRA / NODES)
@@ -23,7 +23,7 @@
     time = clock.ManualClock()
     budget = budget_of(time)
     for _ in range(100):
-        budget.first("s")
+        budget.record_first_send("s")
     assert sum(budget.take("s") for _ in range(100)) == int(0.8 * (0.2 * 100 + 10))
     time.advance_to(WINDOW_MS + 1)
     assert sum(budget.take("s") for _ in range(100)) == int(0.8 * 10)
@@ -55,7 +55,7 @@
     repeats: list[int] = []
     for node, action in steps:
         if action == "first":
-            nodes[node].first("s")
+            nodes[node].record_first_send("s")
             firsts.append(time.now())
         elif action == "again":
             if nodes[node].take("s"):
--- a/plumarch/limits/workspace_quota.py
+++ b/plumarch/limits/workspace_quota.py
@@ -1,17 +1,12 @@
-"""Allotments of workspaces, kept over all nodes without a write per request.
+"""Quotas of workspaces, enforced over all nodes without a write per request.
 
-Every node holds the same token bucket for each workspace and charges it with what it admits
-itself and with what its peers' heartbeats say that they admitted. While some nodes are
-silent, a node admits only from the part of those that are heard, so that groups of nodes that
-don't hear each other never add up to more than the whole.
+Every node keeps the same token bucket for each workspace and charges it with its own admissions and
+with those that peers report in heartbeats. While some nodes are unreachable, a node admits only
+from the share of the reachable ones, so that separated groups never exceed the quota together.
 
-The deployment tolerates a fixed excess in each window. Buckets refill faster by a part of it,
-the same part on all nodes: in any window the fleet then admits the allotment and that part of
-the excess. The rest of it covers what nodes admit before they hear of one another, which grows
-with the time between heartbeats.
-
-A node that starts has an empty bucket, since it can't know what its predecessor spent; it
-takes over the level of a peer that runs for longer.
+Buckets refill faster by a fraction of the excess that the deployment tolerates; the rest covers
+requests that nodes admit before they receive each other's reports. A starting node has an empty
+bucket, since it does not know what its predecessor spent, and takes over a settled peer's level.
 """
 
 import collections
@@ -22,36 +17,31 @@
 from plumarch.limits import quota_records, quota_tolerance
 
 SETTLED_MS = 8_000
-"""From this age of the process on, a workspace that is new starts with a full bucket."""
+"""Process age from which a new workspace starts with a full bucket."""
 
-AMPLE = 0.15
-"""Part of what a bucket holds at most from which on each node admits what the bucket holds; below
-it, from its share of the refill besides. Else all nodes give the same few units to a request each,
-before they hear of one another: a workspace that asked 72 nodes for ten times its rate got nothing
-for half a second and more, then twice the refill of a second at once, and 1.014 of what is
-tolerated; with it 0.97 at most. From 0.25 on callers are refused after cuts who are owed (0.046 in
-place of 0.026)."""
+AMPLE_FRACTION = 0.15
+"""Fraction of the bucket's capacity below which a node also needs its own share of the refill.
+Otherwise all nodes would admit from the same few units before they receive each other's reports."""
 
-OWN_MS = 500
-"""For how long a node saves its share of the refill, and for how long it may be behind while there
-is ample: the time that news take over two tiers of a fleet, and some more for large requests."""
+OWN_SHARE_MS = 500
+"""Time for which a node accumulates its share of the refill, or may be overdrawn while there is
+ample: the delay of reports over two tiers of a fleet, with a margin for large requests."""
 
 LEAST_URGENT_RANK = 2
-"""Ranks from this one on leave what a bucket holds beyond the burst to more urgent requests."""
+"""Rank from which requests leave what a bucket holds beyond the burst to more urgent ones."""
 
-HELD_OF_BURST = 0.35
-"""What they leave is at most this part of the burst, so that it suffices where the tolerated
-excess is far larger than the allotment. A judgement."""
+RESERVED_BURST_FRACTION = 0.35
+"""Upper bound of what they leave, as a fraction of the burst; it matters where the tolerated excess
+is far larger than the quota."""
 
 RESYNC_MS = 1_000
-"""How long lower levels are taken over after a peer is heard that ran unheard before: four
-heartbeats of each node, one of which is heard whatever is lost. A process that started amid a cut
-hears nothing else of what the other side admitted; without this fleets of eight nodes admitted 1.11
-of what is tolerated."""
+"""Time for which lower levels are taken over after a new peer's first report, long enough for
+several heartbeats. A process that started during a partition learns in no other way what the other
+side admitted."""
 
-UNHEARD_MS = 900
-"""How long ago a node that is not heard any more was heard last at most: a time after which news
-are no longer fresh, and an interval between heartbeats."""
+LAST_SEEN_WINDOW_MS = 900
+"""Maximum time since an unreachable node's last heartbeat: the time after which reports are no
+longer fresh, plus a heartbeat interval."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -59,16 +49,17 @@
     """The buckets of all workspaces.
 
     Attributes:
-      fraction: the part of all nodes that is heard now, this one included.
-      sharers: how many nodes admit from what is left before they hear of one another; 1 where each
-        node tells each other one at once.
+      fraction: the reachable fraction of all nodes, including this one.
+      admitting_nodes: number of nodes that admit before they receive each other's reports; 1 where
+        nodes report to each other at once.
       update_age_ms: time between heartbeats of a node.
       workspaces: those of the configuration in force, by name.
-      spared_before: what was spared when a group was heard last, by group and workspace.
+      heard: units that nodes and groups reported as spent, by source and workspace.
+      overflow_before: overflow at the last report of a group, by group and workspace.
       charged_by: units charged since this process started, over all workspaces, by who admitted
         them: "" for this node, a node's name, or a group of nodes.
       resync_until_ms: until when lower levels are taken over from peers.
-      charged_before: what was charged by when, over the last moments, by workspace.
+      charge_history: charged units at recent times, by workspace.
     """
 
     clock: clock.Clock
@@ -77,19 +68,19 @@
         default_factory=quota_tolerance.Tolerance
     )
     fraction: float = 1.0
-    sharers: int = 1
-    update_age_ms: float = quota_tolerance.FRESH_NEWS_MS
+    admitting_nodes: int = 1
+    update_age_ms: float = quota_tolerance.FRESH_INTERVAL_MS
     workspaces: Mapping[str, traffic.Workspace] = dataclasses.field(default_factory=dict)
     buckets: dict[str, quota_records.Bucket] = dataclasses.field(default_factory=dict)
     heard: dict[tuple[str, str], float] = dataclasses.field(default_factory=dict)
-    spared_before: dict[tuple[str, str], quota_records.Spared] = dataclasses.field(
+    overflow_before: dict[tuple[str, str], quota_records.Overflow] = dataclasses.field(
         default_factory=dict
     )
     charged_by: collections.defaultdict[str, float] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(float)
     )
     resync_until_ms: int = 0
-    charged_before: collections.deque[tuple[int, dict[str, float]]] = dataclasses.field(
+    charge_history: collections.deque[tuple[int, dict[str, float]]] = dataclasses.field(
         default_factory=collections.deque
     )
 
@@ -97,72 +88,74 @@
         """Charge a request.
 
         Args:
-          rank: how urgent it is, 0 first; the least urgent ones leave a part of the bucket to
-            the others, so that a large urgent prompt finds room after many small ones.
+          rank: its urgency, 0 first; the least urgent ones leave a portion of the bucket to the
+            others, so that a large urgent prompt fits after many small ones.
         Returns:
           0 if it is admitted; otherwise the milliseconds after which it may be.
         """
         if workspace.rate <= 0:
             return 0.0
         bucket = self._refill(workspace)
-        available = bucket.level if self.fraction >= 1.0 else bucket.part
+        available = bucket.level if self.fraction >= 1.0 else bucket.share
         if bucket.settled:
-            available -= self._left_to_others(workspace, rank)
-        needed = min(units, self._least(workspace, units))
+            available -= self._reserved_for_urgent(workspace, rank)
+        needed = min(units, self._min_level(workspace, units))
         if available < needed:
             refill = self.tolerance.refill(workspace, self.update_age_ms) * self.fraction
             return max(1.0, (needed - available) / max(refill, 1e-9) * 1000.0)
-        ample = self.sharers == 1 or self._is_ample(workspace, available)
-        if bucket.own < 0 and not ample:
-            return max(1.0, -bucket.own / max(self._own_refill(workspace), 1e-9) * 1000.0)
+        ample = self.admitting_nodes == 1 or self._is_ample(workspace, available)
+        if bucket.own_share < 0 and not ample:
+            return max(
+                1.0, -bucket.own_share / max(self._own_share_refill(workspace), 1e-9) * 1000.0
+            )
         self._charge(bucket, units)
         bucket.spent += units
-        bucket.own -= units
+        bucket.own_share -= units
         if ample:
-            bucket.own = max(bucket.own, -self._own_most(workspace))
+            bucket.own_share = max(bucket.own_share, -self._max_own_share(workspace))
         self.charged_by[""] += units
         return 0.0
 
     def _is_ample(self, workspace: traffic.Workspace, available: float) -> bool:
-        """Return whether so much is left that this node need not look at its share."""
+        """Return whether so much is available that this node's own share need not be checked."""
         capacity = self.tolerance.capacity(workspace, self.update_age_ms)
-        return available >= AMPLE * capacity * self.fraction
+        return available >= AMPLE_FRACTION * capacity * self.fraction
 
-    def _own_refill(self, workspace: traffic.Workspace) -> float:
-        """Return the units a second that are this node's share of the refill."""
-        return self.tolerance.refill(workspace, self.update_age_ms) / self.sharers
+    def _own_share_refill(self, workspace: traffic.Workspace) -> float:
+        """Return this node's share of the refill in units per second."""
+        return self.tolerance.refill(workspace, self.update_age_ms) / self.admitting_nodes
 
-    def _own_most(self, workspace: traffic.Workspace) -> float:
-        """Return the units that this node may save of its share, or be behind."""
-        return self._own_refill(workspace) * OWN_MS / 1000.0
+    def _max_own_share(self, workspace: traffic.Workspace) -> float:
+        """Return the units of its share that this node may accumulate, or overdraw."""
+        return self._own_share_refill(workspace) * OWN_SHARE_MS / 1000.0
 
-    def _least(self, workspace: traffic.Workspace, units: float) -> float:
-        """Return the level from which on a request larger than a part holds is admitted.
+    def _min_level(self, workspace: traffic.Workspace, units: float) -> float:
+        """Return the level from which a request larger than the capacity is admitted.
 
-        A whole fleet admits what is larger than the burst once that is full. A small group
-        refuses it: its callers are served by the nodes that hear each other.
+        A complete fleet admits requests larger than the burst once the bucket holds the burst. A
+        small group rejects them; nodes of a larger one can serve the caller.
         """
         overdraft = self.tolerance.overdraft(workspace) * self.fraction
         burst = workspace.burst * self.fraction
         return burst if self.fraction >= 1.0 else max(burst, units - overdraft)
 
-    def _left_to_others(self, workspace: traffic.Workspace, rank: int) -> float:
+    def _reserved_for_urgent(self, workspace: traffic.Workspace, rank: int) -> float:
         """Return the units that requests of a rank leave in the bucket."""
         if rank < LEAST_URGENT_RANK:
             return 0.0
         held = self.tolerance.capacity(workspace, self.update_age_ms) - workspace.burst
-        return min(held, HELD_OF_BURST * workspace.burst) * self.fraction
+        return min(held, RESERVED_BURST_FRACTION * workspace.burst) * self.fraction
 
     @staticmethod
     def _charge(bucket: quota_records.Bucket, units: float) -> None:
         bucket.level -= units
-        bucket.part -= units
+        bucket.share -= units
         bucket.charged += units
 
     def _charge_others(self, source: str, name: str, units: float) -> None:
-        """Charge what others admitted to a bucket that is up to date.
+        """Charge what others admitted, after a refill.
 
-        A bucket that was full would otherwise be refilled for a time before the charge.
+        Otherwise a full bucket would be refilled for time before the charge.
         """
         workspace = self.workspaces.get(name)
         if workspace is not None:
@@ -170,67 +163,66 @@
             self.charged_by[source.partition("#")[0]] += units
 
     def refund(self, workspace: traffic.Workspace, units: float) -> None:
-        """Give back what a request was charged that did not run."""
+        """Return what a request was charged that did not run."""
         bucket = self.buckets.get(workspace.name)
         if bucket is not None and workspace.rate > 0:
             self._charge(bucket, -units)
             bucket.spent -= units
-            bucket.own += units
+            bucket.own_share += units
             self.charged_by[""] -= units
 
     def set_reachable_fraction(self, fraction: float) -> None:
-        """Take in which part of all nodes is heard from now on."""
+        """Set the reachable fraction of all nodes."""
         now = self.clock.now()
         if fraction == self.fraction:
-            self._remember_charges(now)
+            self._record_charges(now)
             return
         self.refill_all()
         for name, bucket in self.buckets.items():
             if self.fraction >= 1.0:
-                bucket.part = bucket.level
+                bucket.share = bucket.level
             left = max(0.0, bucket.level)
             if fraction < self.fraction:
-                left = max(0.0, bucket.level + self._charged_unheard(name))
-            bucket.part += (fraction - self.fraction) * left
+                left = max(0.0, bucket.level + self._charged_since_last_seen(name))
+            bucket.share += (fraction - self.fraction) * left
         self.fraction = fraction
-        self._remember_charges(now)
+        self._record_charges(now)
 
-    def lose_part(self, share: float) -> None:
-        """Count the part of a node as used up whose process ended while it was not heard.
+    def deduct_lost_share(self, share: float) -> None:
+        """Count the share of a node as used whose process ended while it was unreachable.
 
-        Nobody reports what it had admitted: all that was left to it may be gone. While
-        only its share of what is left now counted, the rest was admitted a second time.
+        Nobody reports what it had admitted, which may be its complete share.
 
         Args:
-          share: the part of the fleet that it was.
+          share: the fraction of the fleet that it was.
         """
         self.refill_all()
         unheard = 1.0 - self.fraction
         for bucket in self.buckets.values():
             used = share * max(0.0, bucket.level)
             if unheard > 0:
-                used = max(used, (bucket.level - bucket.part) * min(1.0, share / unheard))
+                used = max(used, (bucket.level - bucket.share) * min(1.0, share / unheard))
             bucket.level -= used
 
-    def _remember_charges(self, now: int) -> None:
-        """Note what was charged until now, and drop what was noted long ago."""
+    def _record_charges(self, now: int) -> None:
+        """Record the units charged so far, and prune the history."""
         charged = {name: bucket.charged for name, bucket in self.buckets.items()}
-        self.charged_before.append((now, charged))
-        while now - self.charged_before[0][0] > UNHEARD_MS:
-            self.charged_before.popleft()
+        self.charge_history.append((now, charged))
+        while now - self.charge_history[0][0] > LAST_SEEN_WINDOW_MS:
+            self.charge_history.popleft()
 
-    def _charged_unheard(self, name: str) -> float:
-        """Return what was charged since nodes that are not heard any more were heard last.
+    def _charged_since_last_seen(self, name: str) -> float:
+        """Return the units charged since nodes that are unreachable now were last seen.
 
-        They have a part of that as well: until now both sides admitted as if each were the whole.
+        Both sides admitted from the complete level in that time and share these units.
         """
-        before = self.charged_before[0][1] if self.charged_before else {}
+        before = self.charge_history[0][1] if self.charge_history else {}
         if name not in before:
             return 0.0
         return max(0.0, self.buckets[name].charged - before[name])
 
     def report(self) -> dict[str, quota_records.PeerSpending]:
-        """Return this node's spending, for its heartbeat, with levels as of now."""
+        """Return this node's spending, for its heartbeat, with current levels."""
         self.refill_all()
         return {
             name: quota_records.PeerSpending(
@@ -240,21 +232,21 @@
         }
 
     def seen(self, name: str) -> dict[str, float] | None:
-        """Return what is left of a workspace's allotment as this node sees it, for its log."""
+        """Return the state of a workspace's bucket, for the log."""
         bucket = self.buckets.get(name)
         if bucket is None:
             return None
         return {
             "level": round(bucket.level),
-            "part": round(bucket.part),
+            "part": round(bucket.share),
             "fraction": round(self.fraction, 3),
         }
 
     def total_charged(self) -> float:
-        """Return what all nodes admitted while they were heard.
+        """Return what all nodes admitted while they were reachable.
 
-        What a node admitted before it was heard is left out: its sum since its start would look
-        like the requests of one moment. It falls when a workspace is dropped.
+        What a node admitted before its first report is left out: its sum since its start would
+        look like the requests of one moment. The total falls when a workspace is dropped.
         """
         return sum(bucket.charged for bucket in self.buckets.values())
 
@@ -262,60 +254,65 @@
         self,
         node: str,
         spending: Mapping[str, quota_records.PeerSpending],
-        again: bool = False,
+        after_gap: bool = False,
         share: float = 1.0,
     ) -> dict[str, float]:
-        """Charge what a peer admitted since it was heard last.
+        """Charge what a peer admitted since its last report.
 
         Args:
           node: the peer's incarnation.
           spending: by workspace.
-          again: whether it is heard again after a silence.
-          share: the part of the fleet that one node is.
+          after_gap: whether it was unreachable since its last report.
+          share: the fraction of the fleet that one node is.
         Returns:
           What was charged, by workspace.
         """
-        if again or any(
-            told.settled and name in self.buckets and (node, name) not in self.heard
-            for name, told in spending.items()
+        if after_gap or any(
+            reported.settled and name in self.buckets and (node, name) not in self.heard
+            for name, reported in spending.items()
         ):
             self.resync_until_ms = self.clock.now() + RESYNC_MS
         charged: dict[str, float] = {}
-        for name, told in spending.items():
+        for name, reported in spending.items():
             bucket = self.buckets.get(name)
             if bucket is None:
                 continue
             if (node, name) not in self.heard:
-                charged |= self._heard_first(node, name, told)
-            elif again:
-                charged |= self._heard_again((node, name), told.spent, share)
+                charged |= self._apply_first_report(node, name, reported)
+            elif after_gap:
+                charged |= self._apply_report_after_gap((node, name), reported.spent, share)
             else:
-                charged |= self.noticed(node, name, told.spent)
-            self.spared_before[(node, name)] = quota_records.Spared(bucket.spared, self.clock.now())
-            if told.settled and (not bucket.settled or self.clock.now() < self.resync_until_ms):
+                charged |= self.noticed(node, name, reported.spent)
+            self.overflow_before[(node, name)] = quota_records.Overflow(
+                bucket.overflow, self.clock.now()
+            )
+            if reported.settled and (not bucket.settled or self.clock.now() < self.resync_until_ms):
                 self._refill(self.workspaces[name])
-                self._take_over(bucket, quota_records.TakenOver(told.level, told.overdrawn))
+                self._apply_level(
+                    bucket, quota_records.PeerLevel(reported.level, reported.overdrawn)
+                )
         return charged
 
-    def _heard_first(
-        self, node: str, name: str, told: quota_records.PeerSpending
+    def _apply_first_report(
+        self, node: str, name: str, reported: quota_records.PeerSpending
     ) -> dict[str, float]:
-        """Take in a peer that is heard for the first time.
+        """Apply a peer's first report.
 
-        What nobody counted of its spending is charged: where a new one counts in place of those
-        that died, it would be missing from all buckets for good otherwise. A full bucket is the
-        most that it can have had of them.
+        Its spending that no coordinator has counted is charged, up to a full bucket; otherwise it
+        would stay missing from all buckets when a new coordinator replaces those that crashed.
         """
         workspace = self.workspaces[name]
-        self.heard[(node, name)] = told.spent
-        uncounted = told.spent - told.counted if told.counted is not None else 0.0
+        self.heard[(node, name)] = reported.spent
+        uncounted = reported.spent - reported.counted if reported.counted is not None else 0.0
         uncounted = min(max(0.0, uncounted), self.tolerance.capacity(workspace, self.update_age_ms))
         if uncounted:
             self._charge_others(node, name, uncounted)
         return {name: uncounted} if uncounted else {}
 
-    def _heard_again(self, key: tuple[str, str], spent: float, share: float) -> dict[str, float]:
-        """Charge what a peer admitted in a silence, as far as that is still owed."""
+    def _apply_report_after_gap(
+        self, key: tuple[str, str], spent: float, share: float
+    ) -> dict[str, float]:
+        """Charge what a peer admitted while it was unreachable, as far as it is due."""
         node, name = key
         self._refill(self.workspaces[name])
         units = self._due(key, spent - self.heard[key], share)
@@ -324,10 +321,10 @@
         return {name: units}
 
     def noticed(self, node: str, workspace: str, spent: float) -> dict[str, float]:
-        """Charge what a peer told between its heartbeats that it admitted.
+        """Charge what a peer reported between its heartbeats.
 
         Args:
-          spent: units since its start; counted only from a heartbeat on.
+          spent: units since its start; ignored before its first heartbeat.
         Returns:
           What was charged, by workspace.
         """
@@ -342,95 +339,97 @@
         self,
         group: str,
         charged: Mapping[str, float],
-        levels: Mapping[str, quota_records.TakenOver],
-        anew: bool = False,
+        levels: Mapping[str, quota_records.PeerLevel],
+        resync: bool = False,
         share: float = 1.0,
     ) -> None:
-        """Charge what a group of nodes admitted, as one of them sums it up.
+        """Charge what a group of nodes admitted, as summed up by one of them.
 
         Args:
-          group: what its sums are kept under.
+          group: key of its sums.
           charged: units since the last sum, by workspace.
-          levels: what is left as it believes, by workspace; taken over by a node that knows less.
-          anew: whether it is heard since just now: then lower levels are taken over, since what
-            this node missed meanwhile would be missing from its bucket for good.
-          share: the part of the fleet's nodes that the group is.
+          levels: its levels, by workspace; taken over by a node that is not settled.
+          resync: whether it is reachable again: then lower levels are taken over, since this node
+            may have missed reports.
+          share: the fraction of the fleet's nodes that the group is.
         """
         self.refill_all()
         for name, units in charged.items():
             if name in self.buckets:
                 key = (group, name)
                 self.heard[key] = self.heard.get(key, 0.0) + units
-                self._charge_others(group, name, self._due(key, units, share) if anew else units)
+                self._charge_others(group, name, self._due(key, units, share) if resync else units)
         for name, known in self.buckets.items():
-            self.spared_before[(group, name)] = quota_records.Spared(known.spared, self.clock.now())
+            self.overflow_before[(group, name)] = quota_records.Overflow(
+                known.overflow, self.clock.now()
+            )
         for name, level in levels.items():
             bucket = self.buckets.get(name)
-            if bucket is not None and (anew or not bucket.settled):
+            if bucket is not None and (resync or not bucket.settled):
                 self._refill(self.workspaces[name])
-                self._take_over(bucket, level)
+                self._apply_level(bucket, level)
 
     def _due(self, key: tuple[str, str], units: float, share: float) -> float:
-        """Return what is to be charged of what a group admitted while it was not heard.
+        """Return the units to charge of what a group admitted while it was unreachable.
 
-        Meanwhile this bucket was refilled for the whole fleet, and could not hold all of it. What
-        the group used of its share of the refill is no debt then, but for as much as it may have
-        admitted just now at once: its share of a full bucket. Without this a fleet at 0.8 of its
-        rate refused 0.189 of all requests for 5 s after regions had been cut off from each other
-        for 6 s; with it 0.020 (virtual time).
+        Meanwhile this bucket was refilled for the complete fleet and overflowed. The group's use
+        of its share of the refill is not charged, except for what it may have admitted at once
+        just now: its share of a full bucket.
 
         Args:
           key: the group and the workspace.
         """
         bucket, workspace = self.buckets[key[1]], self.workspaces[key[1]]
-        before = self.spared_before.get(key)
+        before = self.overflow_before.get(key)
         if before is None:
             return units
         silent_s = (self.clock.now() - before.at_ms) / 1000.0
         refilled = share * self.tolerance.refill(workspace, self.update_age_ms) * silent_s
         at_once = share * self.tolerance.capacity(workspace, self.update_age_ms)
-        spared = min(bucket.spared - before.units, refilled)
-        used = max(0.0, min(units - at_once, spared))
-        bucket.spared -= used
+        overflow = min(bucket.overflow - before.units, refilled)
+        used = max(0.0, min(units - at_once, overflow))
+        bucket.overflow -= used
         return units - used
 
-    def adopt(self, told: Mapping[str, quota_records.ReportedBucket], fraction: float) -> None:
-        """Take over the buckets of a coordinator; those that it does not tell go on as they are.
+    def apply_fleet_levels(
+        self, reported: Mapping[str, quota_records.ReportedBucket], fraction: float
+    ) -> None:
+        """Take over a coordinator's buckets; others are unchanged.
 
         Args:
-          fraction: the part of all nodes that it hears.
+          fraction: the fraction of all nodes that is reachable from it.
         """
         self.set_reachable_fraction(fraction)
-        for name, one in told.items():
+        for name, one in reported.items():
             workspace = self.workspaces.get(name)
             if workspace is None or workspace.rate <= 0:
                 continue
             bucket = self._refill(workspace)
             if bucket.settled and not one.settled:
-                # A coordinator that just started tells what it earned since; this node knows more.
+                # The coordinator just started; this node's level rests on more.
                 continue
             bucket.level = one.level
-            bucket.part = one.part
+            bucket.share = one.share
             bucket.settled = one.settled
 
-    def _take_over(self, bucket: quota_records.Bucket, told: quota_records.TakenOver) -> None:
-        """Take over what is left by a peer that knows more, or that is heard since just now."""
+    def _apply_level(self, bucket: quota_records.Bucket, reported: quota_records.PeerLevel) -> None:
+        """Take over the level of a peer that knows more, or that is reachable again."""
         if bucket.settled:
-            bucket.level = min(told.level, bucket.level)
-            bucket.part = min(bucket.part, bucket.level)
+            bucket.level = min(reported.level, bucket.level)
+            bucket.share = min(bucket.share, bucket.level)
             return
-        bucket.level = told.level
-        # A process that starts amid a cut has no more left than those that it hears.
-        bucket.part = told.level * self.fraction - told.overdrawn
+        bucket.level = reported.level
+        # A process that starts during a partition has only the share of the reachable nodes.
+        bucket.share = reported.level * self.fraction - reported.overdrawn
         bucket.settled = True
 
     def _overdrawn(self, bucket: quota_records.Bucket) -> float:
-        """Return the units by which the nodes that are heard have less left than their share."""
-        return max(0.0, max(0.0, bucket.level) * self.fraction - bucket.part)
+        """Return the units by which the reachable nodes have less left than their share."""
+        return max(0.0, max(0.0, bucket.level) * self.fraction - bucket.share)
 
     def forget(self, node: str) -> None:
-        """Drop what is known of an incarnation that is gone."""
-        for known in (self.heard, self.spared_before):
+        """Drop the records of an incarnation that is gone."""
+        for known in (self.heard, self.overflow_before):
             for key in [key for key in known if key[0] == node]:
                 del known[key]
         self.charged_by.pop(node.partition("#")[0], None)
@@ -447,24 +446,27 @@
         refill = self.tolerance.refill(workspace, self.update_age_ms)
         gained = refill * (now - bucket.updated_ms) / 1000.0
         capacity = self.tolerance.capacity(workspace, self.update_age_ms)
-        bucket.spared += max(0.0, bucket.level + gained - capacity)
+        bucket.overflow += max(0.0, bucket.level + gained - capacity)
         bucket.level = min(capacity, bucket.level + gained)
-        most = capacity * self.fraction
-        bucket.part = min(most, bucket.part + gained * self.fraction)
-        own = bucket.own + self._own_refill(workspace) * (now - bucket.updated_ms) / 1000.0
-        bucket.own = min(self._own_most(workspace), own)
+        max_share = capacity * self.fraction
+        bucket.share = min(max_share, bucket.share + gained * self.fraction)
+        own = (
+            bucket.own_share
+            + self._own_share_refill(workspace) * (now - bucket.updated_ms) / 1000.0
+        )
+        bucket.own_share = min(self._max_own_share(workspace), own)
         bucket.updated_ms = now
         return bucket
 
     def retain(self, workspaces: Mapping[str, traffic.Workspace]) -> None:
-        """Bring all buckets up to date, and drop those of workspaces that no longer exist."""
+        """Refill all buckets, and drop those of workspaces that no longer exist."""
         for name in [name for name in self.buckets if name not in workspaces]:
             del self.buckets[name]
         self.workspaces = workspaces
         self.refill_all()
 
     def refill_all(self) -> None:
-        """Bring all buckets up to date."""
+        """Refill all buckets up to now."""
         for workspace in self.workspaces.values():
             if workspace.rate > 0:
                 self._refill(workspace)
--- a/plumarch/peers/suspect_entries.py
+++ b/plumarch/peers/suspect_entries.py
@@ -1,16 +1,15 @@
-"""Suspect requests as nodes tell them to one another, and as the store keeps them."""
+"""Encoded form of suspect requests, in messages and in the store."""
 
 import msgspec
 
 from plumarch.limits import quarantine
 
-ENDS_TOLD = 4
-"""Ends of a request that a datagram tells, the newest ones; three early ones hold it back. Some 30
-bytes each."""
+MAX_SENT_CRASHES = 4
+"""Newest crashes of a request that a datagram reports; enough to quarantine it."""
 
 
 class ReportedCrash(msgspec.Struct, array_like=True, frozen=True):
-    """An endpoint that ended under a request; at_ms is the time of day."""
+    """An endpoint that crashed while it ran a request; at_ms is the time of day."""
 
     endpoint: str
     at_ms: int
@@ -18,33 +17,36 @@
 
 
 class ReportedSuspect(msgspec.Struct, array_like=True, frozen=True):
-    """What the teller knows of a request; as in quarantine.Suspect."""
+    """What the sender knows of a request; fields as in quarantine.Suspect."""
 
     fingerprint: str
-    ends: list[ReportedCrash]
+    crashes: list[ReportedCrash]
     trials: int = 0
     tried_ms: int = 0
     cleared_ms: int = 0
 
 
-def to_message(suspect: quarantine.Suspect, ends: int = ENDS_TOLD) -> ReportedSuspect:
-    """Return a suspect as it is told.
+def to_message(suspect: quarantine.Suspect, crashes: int = MAX_SENT_CRASHES) -> ReportedSuspect:
+    """Encode a suspect.
 
     Args:
-      ends: how many of its ends are told, the newest ones.
+      crashes: how many of the newest crashes are included.
     """
-    chosen = [ReportedCrash(end.endpoint, end.at_ms, end.points) for end in suspect.ends[-ends:]]
+    chosen = [
+        ReportedCrash(crash.endpoint, crash.at_ms, crash.points)
+        for crash in suspect.crashes[-crashes:]
+    ]
     return ReportedSuspect(
         suspect.fingerprint, chosen, suspect.trials, suspect.tried_ms, suspect.cleared_ms
     )
 
 
 def from_message(one: ReportedSuspect) -> quarantine.Suspect:
-    """Return a suspect as it is kept; an end counts for no more than an early one does."""
-    ends = tuple(
-        quarantine.End(end.endpoint, end.at_ms, min(end.points, quarantine.EARLY_POINTS))
-        for end in one.ends
+    """Decode a suspect; the points of a crash are limited to those of an early one."""
+    crashes = tuple(
+        quarantine.Crash(crash.endpoint, crash.at_ms, min(crash.points, quarantine.EARLY_POINTS))
+        for crash in one.crashes
     )
     return quarantine.Suspect(
-        one.fingerprint, ends, max(0, one.trials), one.tried_ms, one.cleared_ms
+        one.fingerprint, crashes, max(0, one.trials), one.tried_ms, one.cleared_ms
     )
--- a/plumarch/peers/tolerant.py
+++ b/plumarch/peers/tolerant.py
@@ -1,6 +1,6 @@
-"""Messages of another build of which a part can't be read: that part is left out, the rest counts.
+"""Reads messages of other builds that are partly unreadable, leaving out the unreadable portion.
 
-Only what the ordinary decoder refuses comes here, so that it costs nothing where all nodes agree.
+It is used only after the ordinary decoder refused a message, so that it costs nothing otherwise.
 """
 
 import dataclasses
@@ -26,54 +26,54 @@
     )
     if isinstance(one.__struct_config__.tag, int)
 }
-"""Datagrams by the number that they begin with."""
+"""Datagram types by tag."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadInPart:
-    """A datagram without what can't be read of it.
+class PartialDatagram:
+    """A datagram without its unreadable portion.
 
     Attributes:
-      left_out: names of the fields that lack something.
+      unreadable: names of the fields that lack something.
     """
 
     datagram: Any
-    left_out: tuple[str, ...]
+    unreadable: tuple[str, ...]
 
 
-def read(data: bytes) -> ReadInPart:
-    """Return what can be read of a datagram.
+def read(data: bytes) -> PartialDatagram:
+    """Return the readable portion of a datagram.
 
-    A part of a list is left out by itself; a field with a default is taken as not told.
+    Unreadable elements of a list are left out; an unreadable field with a default gets it.
 
     Raises:
-      msgspec.DecodeError: its kind is not known, or what it can't do without can't be read.
+      msgspec.DecodeError: the type is unknown, or a required field is unreadable.
     """
     parts = msgspec.msgpack.decode(data)
     number = parts[0] if isinstance(parts, list) and parts else None
     kind = KINDS.get(number) if isinstance(number, int) else None
     if kind is None:
-        raise msgspec.ValidationError("no kind of message that this build knows")
+        raise msgspec.ValidationError("message type unknown to this build")
     found: dict[str, object] = {}
-    left_out = []
+    unreadable = []
     for field, part in zip(msgspec.structs.fields(kind), parts[1:], strict=False):
         try:
             found[field.name] = msgspec.convert(part, field.type)
             continue
         except msgspec.ValidationError:
-            left_out.append(field.name)
+            unreadable.append(field.name)
             if isinstance(part, list) and typing.get_origin(field.type) is list:
                 found[field.name] = _readable(part, field.type)
             elif field.required:
                 raise
     try:
-        return ReadInPart(kind(**found), tuple(left_out))
+        return PartialDatagram(kind(**found), tuple(unreadable))
     except TypeError as error:
         raise msgspec.ValidationError(str(error)) from error
 
 
 def _readable(parts: list[Any], kind: Any) -> list[Any]:
-    """Return the parts of a list that can be read."""
+    """Return the readable elements of a list."""
     found: list[Any] = []
     for part in parts:
         try:
