--- a/plumarch/core/__init__.py
+++ b/plumarch/core/__init__.py
@@ -1,1 +1,1 @@
-"""Plain data types, time, hashing and errors. Depends on no other part."""
+"""Shared data types, clocks, hashing and errors; imports no other package of plumarch."""
--- a/plumarch/core/addresses.py
+++ b/plumarch/core/addresses.py
@@ -5,13 +5,12 @@
 LAST_PORT = 65_535
 
 BACKLOG = 1024
-"""Connections that may wait at a listening socket. A queue that is full drops the opening packet,
-which is sent again after a second or three: of 300 nodes that fetched endpoints from one at the
-same moment 101 got through at once by asyncio's own 100."""
+"""Length of a listening socket's accept queue. A full queue drops SYN packets, which are
+retransmitted only after a second or more."""
 
 
 def split(address: str) -> tuple[str, int]:
-    """Return host and port of an address; brackets around an IPv6 host are dropped.
+    """Split an address into host and port; strips the brackets of an IPv6 host.
 
     Raises:
       ValueError: the port is not a number.
@@ -21,7 +20,7 @@
 
 
 def is_ip_port(address: str) -> bool:
-    """Return whether an address is that of a process on some machine."""
+    """Return whether an address is a literal IP with a valid port."""
     try:
         host, port = split(address)
         ipaddress.ip_address(host)
--- a/plumarch/core/backoff.py
+++ b/plumarch/core/backoff.py
@@ -1,7 +1,4 @@
-"""Pauses between failed calls: exponential back-off with jitter.
-
-Calls to the platform are priced, those that it refuses too.
-"""
+"""Exponential backoff with jitter. Platform calls cost money even when rejected."""
 
 import dataclasses
 import random
@@ -9,31 +6,29 @@
 from plumarch.core import clock
 
 MAX_DOUBLINGS = 8
-"""Bounds the power of two after thousands of failures; by then the pauses in use have
-grown to their longest."""
+"""Keeps the power of two small after thousands of failures."""
 
 MIN_PART = 0.5
-"""Each pause is drawn from this part of its length up, so that nodes that failed together don't
-call again together."""
+"""Lower bound of the jitter, which keeps nodes from retrying at the same moment."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Backoff:
-    """How long to wait after failures that follow one another.
+    """Pause lengths after consecutive failures.
 
     Attributes:
-      first_ms: the longest pause after the first one; it doubles with each further one.
-      longest_ms: what it grows to.
+      first_ms: upper bound of the first pause; doubles with each further failure.
+      longest_ms: cap on that bound.
     """
 
     first_ms: float
     longest_ms: float
 
     def pause_ms(self, failures: int, rng: random.Random) -> float:
-        """Return how long to wait before the next call.
+        """Draw the pause before the next call.
 
         Args:
-          failures: how many calls in a row failed, the last one included.
+          failures: number of consecutive failures, at least 1.
         """
         doublings = min(failures - 1, MAX_DOUBLINGS)
         pause = min(self.longest_ms, self.first_ms * (1 << doublings))
@@ -42,12 +37,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Retries:
-    """When work of several kinds, each of which fails by itself, may be tried again.
+    """Independent retry state for several kinds of work.
 
     Attributes:
-      backoff: how long to wait after failures of one kind.
-      failures: how often each kind failed in a row.
-      not_before_ms: when each kind that failed last may be tried again.
+      failures: consecutive failures by kind.
+      not_before_ms: earliest next try by kind.
     """
 
     clock: clock.Clock
@@ -57,16 +51,16 @@
     not_before_ms: dict[str, float] = dataclasses.field(default_factory=dict)
 
     def is_due(self, kind: str) -> bool:
-        """Return whether a kind of work may be tried now."""
+        """Return whether this kind of work may be tried now."""
         return self.clock.now() >= self.not_before_ms.get(kind, 0)
 
     def failed(self, kind: str) -> None:
-        """Note that a kind of work failed just now."""
+        """Record a failure and schedule the next try."""
         self.failures[kind] = self.failures.get(kind, 0) + 1
         pause_ms = self.backoff.pause_ms(self.failures[kind], self.rng)
         self.not_before_ms[kind] = self.clock.now() + pause_ms
 
     def done(self, kind: str) -> None:
-        """Note that a kind of work was done."""
+        """Record a success and reset the backoff."""
         self.failures.pop(kind, None)
         self.not_before_ms.pop(kind, None)
--- a/plumarch/core/context.py
+++ b/plumarch/core/context.py
@@ -1,4 +1,4 @@
-"""What every deciding part of a node is given: time, chance, its own name, and an outbox."""
+"""Dependencies shared by all components of a node: clock, random numbers, identity, outbox."""
 
 import dataclasses
 import random
@@ -8,12 +8,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Context:
-    """The surroundings of a node's decisions.
+    """A node's identity, clock, random numbers and pending actions.
 
     Attributes:
-      node: this node's identity, name and incarnation, as "name#incarnation".
-      rng: the only source of chance; seeded by whoever builds the node.
-      outbox: the actions decided since the shell last took them.
+      node: identity of this node, "name#incarnation".
+      rng: the only source of randomness, seeded by the caller.
+      outbox: actions not yet collected by the shell.
     """
 
     node: str
@@ -28,15 +28,15 @@
         return self.clock.now()
 
     def act(self, action: events.Action) -> None:
-        """Decide an action."""
+        """Queue an action."""
         self.outbox.append(action)
 
     def send(self, node: str, message: messages.AnyMessage) -> None:
-        """Send a message to a node."""
+        """Queue a message to a node."""
         self.outbox.append(events.Send(node, message))
 
     def count(self, name: str, workspace: str = "", label: str = "", amount: float = 1) -> None:
-        """Count something in the metrics."""
+        """Increment a counter of the metrics."""
         self.outbox.append(events.Count(name, workspace, label, amount))
 
     def note(
@@ -51,12 +51,12 @@
         """Record a decision.
 
         Args:
-          request: the request it is about, or None.
-          kind: one word for the kind of decision.
+          request: the request concerned, if any.
+          kind: category, one word.
           choice: what was chosen.
-          why: a short sentence with the reason.
-          considered: what else was looked at.
-          key: the key that the caller knows the request by, where no request is at hand.
+          why: the reason, one short sentence.
+          considered: the candidates and their scores.
+          key: idempotency key, if the request itself is not available.
         """
         request_id = request.id if request else ""
         workspace = request.workspace if request else ""
@@ -74,11 +74,11 @@
         self.outbox.append(events.Note(decision))
 
     def next_call(self) -> int:
-        """Return a fresh number for a platform call."""
+        """Allocate the id of a platform call."""
         self.calls += 1
         return self.calls
 
 
 def name_of(node: str) -> str:
-    """Return the configured name of a node identity."""
+    """Return the configured name in a node identity, without the incarnation."""
     return node.partition("#")[0]
--- a/plumarch/core/data.py
+++ b/plumarch/core/data.py
@@ -1,11 +1,11 @@
-"""The types that all parts share. Plain immutable records; this module depends on nothing."""
+"""Immutable records shared by all packages."""
 
 import dataclasses
 import enum
 
 
 class RequestClass(enum.StrEnum):
-    """How urgent a request is. The order of the members is the order of service."""
+    """Priority class of a request, in order of service."""
 
     LOOKUP = "lookup"
     CHAT = "chat"
@@ -17,14 +17,14 @@
 
 
 class EndpointKind(enum.StrEnum):
-    """What kind of server an endpoint is."""
+    """Kind of server behind an endpoint."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class Outcome(enum.StrEnum):
-    """What a caller can be told about its request."""
+    """Outcome of a request as reported to its caller."""
 
     DONE = "done"
     NOT_RUN = "not_run"
@@ -33,7 +33,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a request was refused or given up."""
+    """Why a request was refused or abandoned."""
 
     QUEUE_FULL = "queue_full"
     DEADLINE = "deadline"
@@ -54,16 +54,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """One caller's request, as the node that accepted it understood it.
+    """A caller's request as parsed by the node that accepted it.
 
     Attributes:
-      id: unique for ever; names the node incarnation that made it.
-      target: the model or plain service it asks for.
-      key: the idempotency key, or "" if it has none.
-      minted_epoch: the slot epoch in which plumarch issued the key; 0 if the caller chose it.
-      fingerprint: hash of what was asked, to find a key that is used for two requests.
-      timeout_ms: how long the caller lets it take, from its acceptance.
-      seed: fixes the sampling, so that a resumed answer continues the same text.
+      id: globally unique; contains the accepting node's incarnation.
+      target: the requested model or plain service.
+      key: idempotency key, or "".
+      minted_epoch: slot epoch in which plumarch issued the key; 0 for a caller's own key.
+      fingerprint: hash of the content, to detect a key reused for another request.
+      timeout_ms: caller's time limit, counted from acceptance.
+      seed: sampling seed, so that a resumed answer continues the same text.
     """
 
     id: str
@@ -88,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer of a plain service, or the closing state of a stream."""
+    """The complete answer of a plain service, or the final state of a stream."""
 
     status: int = 200
     content_type: str = "application/json"
@@ -97,7 +97,7 @@
 
 
 class EndpointState(enum.StrEnum):
-    """Whether an endpoint takes new work."""
+    """Whether an endpoint accepts new requests."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -110,11 +110,11 @@
 
     Attributes:
       address: base URL.
-      targets: the models or services it serves.
-      capacity: how many requests it runs at once.
-      price: price of the VM per hour, in the platform's currency.
-      checks_fencing: whether it rejects orders with an old fencing token.
-      reclaimable: whether the cloud may take the VM away on notice.
+      targets: models or services that it serves.
+      capacity: maximum concurrent requests.
+      price: VM price per hour in the platform's currency.
+      checks_fencing: whether it rejects orders with a stale fencing token.
+      reclaimable: whether the cloud may reclaim the VM on notice.
     """
 
     name: str
@@ -133,7 +133,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Offer:
-    """A VM class that the cloud sells in a data centre, and its price per hour."""
+    """A VM class on sale in a data centre, with its price per hour."""
 
     name: str
     data_centre: str
@@ -144,7 +144,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an engine says of itself; it is some seconds old when it arrives."""
+    """An engine's reported load, some seconds old on arrival."""
 
     endpoint: str
     running: int
@@ -152,7 +152,7 @@
 
 
 class KeyState(enum.StrEnum):
-    """What is recorded for an idempotency key."""
+    """State of an idempotency key's record."""
 
     GRANTED = "granted"
     DONE = "done"
@@ -162,12 +162,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyRecord:
-    """What a slot knows of one key.
+    """A slot's record of one key.
 
     Attributes:
-      home: the node that has the permission to hand the request to an endpoint.
-      attempt: counts the homes that the request has had; a lower one is stale.
-      copied: whether the request is of a class whose copy another node holds.
+      home: the node permitted to dispatch the request.
+      attempt: number of the home among all that the request has had; lower ones are stale.
+      copied: whether the request's class is copied to another data centre.
     """
 
     workspace: str
@@ -185,13 +185,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotObject:
-    """The object on the platform that says who serves a slot of the key space.
+    """The platform object that names a slot's owner.
 
     Attributes:
-      epoch: grows by one with each change of owner: the fencing token.
-      uncertain_epoch: not 0 while keys issued before this epoch may have run unrecorded.
-      records: permissions that the owner wrote here since its successor could not hold them.
-      writer: unique per write, so that a writer can recognise its own after a lost answer.
+      epoch: fencing token, incremented with each change of owner.
+      uncertain_epoch: keys issued before this epoch may have run unrecorded; 0 if none may.
+      records: permissions stored here because the successor did not acknowledge them.
+      writer: unique per write, so that a writer recognises its own after a lost answer.
     """
 
     epoch: int
@@ -204,7 +204,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LatencyTarget:
-    """What a workspace asks of a class, in milliseconds; 0 means no target."""
+    """Latency targets of a workspace for a class, in milliseconds; 0 for no target."""
 
     first_token_ms: int = 0
     between_tokens_ms: int = 0
@@ -216,7 +216,7 @@
     """A plain service that a workspace may call.
 
     Attributes:
-      not_repeatable: "METHOD /path/prefix" patterns of calls that run at most once.
+      not_repeatable: "METHOD /path/prefix" patterns of calls that must run at most once.
     """
 
     name: str
@@ -226,13 +226,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workspace:
-    """A workspace's parameters, rendered over its template.
+    """A workspace's parameters, merged with its template.
 
     Attributes:
       token_digest: SHA-256 of the callers' token, in hexadecimal.
-      weight: its share when there is not enough for all.
+      weight: relative share under contention.
       data_centres: where its requests may run; empty means anywhere.
-      vm_classes: the VM classes that may be held for it.
+      vm_classes: VM classes that may be ordered for it.
     """
 
     name: str
@@ -248,7 +248,7 @@
 
 
 class NodeState(enum.StrEnum):
-    """How a node sees another entry node."""
+    """State of an entry node as seen by another."""
 
     JOINING = "joining"
     LIVE = "live"
@@ -259,7 +259,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Considered:
-    """One endpoint that a placement looked at, and its score (lower is better)."""
+    """An endpoint evaluated by placement, and its score (lower is better)."""
 
     endpoint: str
     score: float
@@ -268,7 +268,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Decision:
-    """A record of one decision: what was chosen, why, and what else was considered."""
+    """A recorded decision, with its reason and the candidates."""
 
     at_ms: int
     node: str
--- a/plumarch/core/errors.py
+++ b/plumarch/core/errors.py
@@ -1,20 +1,20 @@
-"""The tree of errors. Each message names the remedy."""
+"""Exception hierarchy."""
 
 
 class PlumarchError(Exception):
-    """Base of all errors that plumarch raises on purpose."""
+    """Base class of plumarch's errors."""
 
 
 class SettingsError(PlumarchError):
-    """Settings or configuration files hold problems; the message lists all of them."""
+    """Settings or configuration files are invalid; the message lists every problem."""
 
 
 class PlatformError(PlumarchError):
-    """The platform did not do what was asked."""
+    """A platform call failed."""
 
 
 class PlatformUnavailable(PlatformError):
-    """The call never reached the platform: nothing was written. Try again later."""
+    """The call never reached the platform; nothing was written. Retry later."""
 
 
 class PlatformAnswerLost(PlatformError):
@@ -22,7 +22,7 @@
 
 
 class PlatformConflict(PlatformError):
-    """The object changed since it was read. Read it again and decide anew."""
+    """The object changed since it was read. Read it again before retrying."""
 
 
 class PlatformAbsent(PlatformError):
@@ -30,15 +30,15 @@
 
 
 class PlatformRevisionExpired(PlatformError):
-    """The platform no longer holds the changes since that revision. List, then watch."""
+    """The platform no longer keeps changes since that revision. List again, then watch."""
 
 
 class BudgetExceeded(PlatformError):
-    """This process spent its share of platform calls. Wait for the next interval."""
+    """This process used up its budget of platform calls. Wait for the next interval."""
 
 
 class PeerProtocolError(PlumarchError):
-    """A peer sent a frame that is too large, unauthentic, or of another version."""
+    """A peer sent a frame that is too large, not authentic, or of another version."""
 
 
 class EndpointError(PlumarchError):
@@ -46,10 +46,10 @@
 
 
 class NotDelivered(EndpointError):
-    """The call failed before its first byte was written, or was refused: it can't have run.
+    """The call failed before its first byte was written, or was rejected: it can't have run.
 
     Attributes:
-      rest_ms: how long the endpoint wants nothing more, if it refused and says so; else 0.
+      rest_ms: backoff requested by an endpoint that rejects the call; 0 if none.
     """
 
     def __init__(self, why: str, rest_ms: float = 0.0) -> None:
@@ -62,12 +62,12 @@
 
 
 class PlatformNonsense(PlatformError):
-    """The platform's answer can't be read. What was known stays in force; see the log."""
+    """The platform's answer can't be parsed. The last valid state stays in force; see the log."""
 
 
 class StaleToken(PlatformError):
-    """Another node acted under a higher fencing token. Stop acting; read who holds the duty."""
+    """A higher fencing token was used. Stop acting and read who holds the duty."""
 
 
 class NoneToBeHad(PlatformError):
-    """No reclaimable endpoints are to be had in that data centre now. Order others, or wait."""
+    """No reclaimable VMs are available in that data centre. Order firm ones, or wait."""
--- a/plumarch/core/event_loop.py
+++ b/plumarch/core/event_loop.py
@@ -1,8 +1,7 @@
-"""An event loop whose timers count the time for which the machine was suspended.
+"""An event loop whose timers include time spent suspended.
 
-asyncio's own loop doesn't count it: a time limit of 10 s would end 10 s after the machine goes on,
-however long it was suspended. Here all that is due by then comes at the first wake, which is when
-any timer fires or something arrives.
+With asyncio's default loop a suspension would extend every timeout. Here overdue timers fire when
+the loop first wakes after the machine resumes.
 """
 
 import asyncio
@@ -16,14 +15,14 @@
 
 
 class SteadyEventLoop(asyncio.SelectorEventLoop):
-    """asyncio's loop on the steady clock."""
+    """Selector event loop on a clock that includes suspensions."""
 
     def time(self) -> float:
-        """Return seconds of the host's steady clock."""
+        """Return seconds of the host's monotonic clock."""
         return time.clock_gettime(clock.STEADY)
 
 
 def run(work: Coroutine[Any, Any, Result]) -> Result:
-    """Run a process's work until it ends."""
+    """Run a coroutine to completion on a new loop."""
     with asyncio.Runner(loop_factory=SteadyEventLoop) as runner:
         return runner.run(work)
--- a/plumarch/core/events.py
+++ b/plumarch/core/events.py
@@ -1,8 +1,4 @@
-"""What goes into a node's decisions (events) and what comes out (actions).
-
-The shell of a node turns sockets into events and actions into calls; a harness
-does the same without sockets.
-"""
+"""Inputs (events) and outputs (actions) of a node's decision logic, which does no I/O itself."""
 
 import dataclasses
 import enum
@@ -14,16 +10,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; due every TICK_MS milliseconds."""
+    """Periodic timer event, due every TICK_MS milliseconds."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrived:
-    """A caller's request came in.
+    """A caller's request arrived.
 
     Attributes:
-      watcher_id: names the caller's connection.
-      position: how many tokens of the answer the caller has already (Last-Event-ID).
+      watcher_id: id of the caller's connection.
+      position: number of tokens that the caller already has (Last-Event-ID).
     """
 
     watcher_id: str
@@ -33,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attach:
-    """A caller asks for the rest of a request that it names by its key."""
+    """A caller resumes reading a request by its key."""
 
     watcher_id: str
     workspace: str
@@ -50,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelAsked:
-    """A caller cancels the request that it named by its key."""
+    """A caller cancels a request by its key."""
 
     workspace: str
     key: str
@@ -58,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message from another node (or from this one to itself)."""
+    """A message from a node, possibly this one."""
 
     sender: str
     message: messages.AnyMessage
@@ -66,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointTokens:
-    """Tokens from an engine; position is that of the first."""
+    """Tokens from an engine, starting at position."""
 
     request_id: str
     attempt: int
@@ -76,10 +72,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointDone:
-    """An endpoint finished an attempt.
+    """An endpoint completed an attempt.
 
     Attributes:
-      recomputed: tokens (context and generated) that were computed again for it.
+      recomputed: tokens, of prompt and answer, that the endpoint had to compute again.
     """
 
     request_id: str
@@ -93,9 +89,9 @@
     """An endpoint call failed.
 
     Attributes:
-      delivered: False only if no byte of it was written.
-      broken: whether its connection broke, as it does when the endpoint ends.
-      rest_ms: how long the endpoint wants nothing more from this node; 0 if it doesn't say.
+      delivered: False only if no byte of the request was written.
+      broken: whether the connection broke, as when the endpoint crashes.
+      rest_ms: backoff requested by the endpoint; 0 if none.
     """
 
     request_id: str
@@ -108,11 +104,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointRate:
-    """The head of an endpoint's answer came.
+    """The head of an endpoint's answer arrived.
 
     Attributes:
-      per_s: the requests a second that the endpoint takes from all nodes together, or None if it
-        announces no such rate.
+      per_s: announced limit on requests per second from all nodes together, or None.
     """
 
     request_id: str
@@ -151,7 +146,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CloudAnswer:
-    """The answer to a CloudOrder; name is that of a started VM."""
+    """The answer to a CloudOrder, with the name of a started VM."""
 
     call_id: int
     status: CloudStatus
@@ -160,28 +155,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OffersSeen:
-    """What the cloud sells now, and at which price."""
+    """The cloud's current VM offers and prices."""
 
     offers: tuple[data.Offer, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointsSeen:
-    """The platform's list of endpoint VMs, which lags."""
+    """The platform's list of endpoint VMs, possibly stale."""
 
     endpoints: tuple[data.Endpoint, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadSeen:
-    """A load report of an engine."""
+    """An engine's load report arrived."""
 
     report: data.LoadReport
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReclaimNotice:
-    """The cloud takes VMs away after a time; names may be endpoints or entry nodes."""
+    """The cloud will reclaim VMs (endpoints or entry nodes) after left_ms."""
 
     names: tuple[str, ...]
     left_ms: int
@@ -189,14 +184,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodesGone:
-    """The platform's list says that these node incarnations no longer exist."""
+    """Node incarnations that no longer exist by the platform's list."""
 
     nodes: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigSeen:
-    """A configuration read from the platform."""
+    """A configuration was read from the platform."""
 
     revision: int
     manifest: dict[str, str]
@@ -205,7 +200,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopAsked:
-    """A planned stop begins."""
+    """A planned shutdown begins."""
 
 
 Event = (
@@ -235,7 +230,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to a node; it may get lost."""
+    """Send a message to a node, without delivery guarantee."""
 
     node: str
     message: messages.AnyMessage
@@ -243,12 +238,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HandOver:
-    """Give a request to an endpoint.
+    """Dispatch a request to an endpoint.
 
     Attributes:
-      tokens: those made so far; the endpoint continues after them.
+      tokens: tokens generated so far, after which the endpoint continues.
       import_from: address of an endpoint that can export the request's KV cache, or "".
-      fencing_token: epoch of the slot that granted it; 0 if it has none.
+      fencing_token: epoch of the slot that granted the request; 0 if none did.
     """
 
     request: data.Request
@@ -262,7 +257,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Abort:
-    """Cancel an attempt at its endpoint."""
+    """Abort an attempt at its endpoint."""
 
     request_id: str
     attempt: int
@@ -278,7 +273,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformPut:
-    """Write an object if its version is the expected one (0: it must not exist)."""
+    """Write an object if its version matches; version 0 requires that it does not exist."""
 
     call_id: int
     name: str
@@ -291,8 +286,8 @@
     """Start a VM for a target, or release one by name.
 
     Attributes:
-      token: makes a repeated order the same order.
-      fencing_token: epoch of whoever decides; the cloud refuses lower ones.
+      token: idempotency token of the order.
+      fencing_token: epoch of the deciding node; the cloud rejects lower ones.
     """
 
     call_id: int
@@ -307,7 +302,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TellAccepted:
-    """Tell a caller that its request is accepted under a key, before it runs."""
+    """Notify a caller that its request was accepted under a key."""
 
     watcher_id: str
     request_id: str
@@ -317,7 +312,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TellTokens:
-    """Tell a caller tokens; position is that of the first."""
+    """Send a caller tokens, starting at position."""
 
     watcher_id: str
     request_id: str
@@ -327,7 +322,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TellEnd:
-    """Tell a caller the final answer. retry_after_ms is 0 if asking again is no use."""
+    """Send a caller the final answer; retry_after_ms is 0 if a retry is pointless."""
 
     watcher_id: str
     request_id: str
@@ -339,14 +334,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Note:
-    """Keep a decision for those who watch."""
+    """Record a decision for operators."""
 
     decision: data.Decision
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Count:
-    """Count something in the metrics."""
+    """Increment a counter of the metrics."""
 
     name: str
     workspace: str = ""
@@ -356,7 +351,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observe:
-    """Put a duration in milliseconds into a histogram of the metrics."""
+    """Add a duration in milliseconds to a histogram of the metrics."""
 
     name: str
     workspace: str
--- a/plumarch/core/hashing.py
+++ b/plumarch/core/hashing.py
@@ -1,4 +1,4 @@
-"""Stable hashing by a library, the same in every process."""
+"""Hashing that is stable across processes and hosts."""
 
 import heapq
 from collections.abc import Iterable
@@ -7,7 +7,7 @@
 
 
 def digest(*parts: str | bytes) -> int:
-    """Return a 64-bit hash of the parts; their boundaries count."""
+    """Return a 64-bit hash of the parts, each prefixed by its length."""
     state = xxhash.xxh3_64()
     for part in parts:
         data = part.encode() if isinstance(part, str) else part
@@ -20,24 +20,23 @@
     """Order names by rendezvous hashing (highest random weight) for a subject.
 
     Args:
-      subject: what is placed, for example a slot's name.
+      subject: the item to assign, for example a slot's name.
       names: the candidates.
     Returns:
-      The candidates, best first. Removing a candidate moves only its subjects.
+      The candidates, best first. Removing one reassigns only its own subjects.
     """
     return sorted(names, key=lambda name: (-digest(subject, name), name))
 
 
 def highest(subject: int, names: Iterable[str], count: int) -> list[str]:
-    """Return the first names in the order of rendezvous hashing, for a subject that is a hash.
+    """Return the top names by rendezvous hashing of an already hashed subject.
 
-    It takes 14 us for two of 39 names, where rendezvous() takes 39 (perf_counter, beside load):
-    one hash of joined bytes for each, and no sorting.
+    Cheaper than rendezvous(), for the request path; the two order names differently.
 
     Args:
-      subject: a 64-bit hash of what is placed.
+      subject: 64-bit hash of the item to assign.
       names: the candidates.
-      count: how many are wanted.
+      count: number of names to return.
     """
     prefix = subject.to_bytes(8, "big")
     ranked = [(-xxhash.xxh3_64_intdigest(prefix + name.encode()), name) for name in names]
--- a/plumarch/core/messages.py
+++ b/plumarch/core/messages.py
@@ -1,8 +1,6 @@
-"""The messages between entry nodes.
+"""Messages between entry nodes; times are durations in milliseconds.
 
-Each is a tagged, frozen struct, so that the codec checks field types on arrival.
-Any message may be lost, late, doubled or overtaken by another; every handler
-must be right all the same. Times are durations in milliseconds.
+Messages may be lost, delayed, duplicated or reordered, and handlers must tolerate that.
 """
 
 import enum
@@ -17,13 +15,13 @@
 
 
 class Heartbeat(Message, frozen=True):
-    """Says that a node lives, which slots it owns, and what it knows that is urgent.
+    """Periodic message with a node's state, owned slots, reclaim notices and demand.
 
     Attributes:
       owned: pairs of slot number and epoch.
-      leaving: names of VMs (endpoints or nodes) under a reclaim notice, with milliseconds left.
+      leaving: VMs (endpoints or nodes) under a reclaim notice, with milliseconds left.
       revision: revision of the configuration in force.
-      demand: target, places in use or waited for, and of these those that must not wait.
+      demand: target, capacity in use or queued for, and the part of it in urgent classes.
     """
 
     data_centre: str
@@ -36,7 +34,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """A slot owner's answer about a key. After MOVED the same is asked again, soon."""
+    """A slot owner's answer about a key. After MOVED the sender repeats the request."""
 
     GRANTED = "granted"
     EXISTS = "exists"
@@ -49,10 +47,7 @@
 
 
 class Claim(Message, frozen=True):
-    """Asks a slot's owner for the permission to hand a request over.
-
-    With refuse set, asks it to settle the key as refused instead.
-    """
+    """Requests permission to dispatch, or with refuse set, to settle the key as refused."""
 
     slot: int
     workspace: str
@@ -76,7 +71,7 @@
 
 
 class Lookup(Message, frozen=True):
-    """Asks a slot's owner what it knows of a key, changing nothing."""
+    """Requests a key's record from the slot's owner; read-only."""
 
     slot: int
     workspace: str
@@ -93,7 +88,7 @@
 
 
 class Settle(Message, frozen=True):
-    """Tells a slot's owner how a granted request ended."""
+    """Reports to the slot's owner how a granted request ended."""
 
     slot: int
     workspace: str
@@ -105,7 +100,7 @@
 
 
 class SettleAnswer(Message, frozen=True):
-    """Answers a Settle: the record that is in force now, held by owner and successor."""
+    """Answers a Settle with the record in force, held by owner and successor."""
 
     request_id: str
     verdict: Verdict
@@ -113,7 +108,7 @@
 
 
 class Rehome(Message, frozen=True):
-    """Asks a slot's owner to make another node the home of a repeatable request."""
+    """Requests that the sender become the home of a repeatable request."""
 
     slot: int
     workspace: str
@@ -133,7 +128,7 @@
 
 
 class Replicate(Message, frozen=True):
-    """Asks the successor to hold a record."""
+    """Sends a record to the slot's successor."""
 
     slot: int
     epoch: int
@@ -142,7 +137,7 @@
 
 
 class Replicated(Message, frozen=True):
-    """Says that the successor holds the record of an operation."""
+    """Acknowledges a Replicate."""
 
     slot: int
     epoch: int
@@ -150,14 +145,14 @@
 
 
 class NoTable(Message, frozen=True):
-    """Says that this node holds no table for the slot and epoch, so can't acknowledge."""
+    """Rejects a Replicate: the sender has no table for the slot and epoch."""
 
     slot: int
     epoch: int
 
 
 class TableCopy(Message, frozen=True):
-    """Gives a node that shall become successor the whole table of a slot."""
+    """Sends a slot's full table to a candidate for successor."""
 
     slot: int
     epoch: int
@@ -166,7 +161,7 @@
 
 
 class TableCopied(Message, frozen=True):
-    """Says that the whole table is held."""
+    """Acknowledges a TableCopy."""
 
     slot: int
     epoch: int
@@ -174,32 +169,32 @@
 
 
 class CopyPut(Message, frozen=True):
-    """Asks a node in another data centre to hold a copy of an accepted request."""
+    """Requests that a node in another data centre hold a copy of an accepted request."""
 
     request: data.Request
     attempt: int
 
 
 class CopyAck(Message, frozen=True):
-    """Says whether the copy is held."""
+    """Answers a CopyPut: whether the copy is held."""
 
     request_id: str
     held: bool
 
 
 class CopyDrop(Message, frozen=True):
-    """Says that a request has ended: its copy can go."""
+    """Releases the copy of a request that has ended."""
 
     request_id: str
 
 
 class Adopt(Message, frozen=True):
-    """Hands a request in progress to another node, with the tokens made so far.
+    """Offers a request in progress, with its tokens so far, to a new home.
 
     Attributes:
-      import_from: address of the engine that runs it now and can export its KV cache.
-      import_attempt: the attempt under which that engine knows it.
-      points: what the ends of endpoints that ran it speak against it, as in limits.quarantine.
+      import_from: address of the engine that runs it and can export its KV cache, or "".
+      import_attempt: attempt number at that engine.
+      points: suspicion of crashing endpoints, as in limits.quarantine.
     """
 
     request: data.Request
@@ -214,14 +209,14 @@
 
 
 class Adopted(Message, frozen=True):
-    """Says that this node is now the home of the request."""
+    """Confirms that the sender is the new home of the request."""
 
     request_id: str
     attempt: int
 
 
 class Subscribe(Message, frozen=True):
-    """Asks a request's home for its tokens from a position on."""
+    """Requests tokens from the home of a request, starting at a position."""
 
     request_id: str
     watcher_id: str
@@ -229,7 +224,7 @@
 
 
 class Chunk(Message, frozen=True):
-    """Tokens of a request for one watcher; position is that of the first."""
+    """Tokens of a request for one watcher, starting at position."""
 
     request_id: str
     watcher_id: str
@@ -238,7 +233,7 @@
 
 
 class Ended(Message, frozen=True):
-    """The final answer for one watcher; total counts all tokens of the answer."""
+    """The final answer for one watcher; total is its number of tokens."""
 
     request_id: str
     watcher_id: str
@@ -249,7 +244,7 @@
 
 
 class NotHere(Message, frozen=True):
-    """Says that this node is not the home of the request; home names it if known."""
+    """Rejects a Subscribe: the sender is not the home; home names it if known."""
 
     request_id: str
     watcher_id: str
@@ -257,25 +252,24 @@
 
 
 class Cancel(Message, frozen=True):
-    """Asks the home to cancel a request."""
+    """Requests that the home cancel a request."""
 
     request_id: str
 
 
 class ConfigAsk(Message, frozen=True):
-    """Asks a peer for its configuration if that is newer than a revision."""
+    """Requests a peer's configuration if newer than a revision."""
 
     revision: int
 
 
 class ConfigGive(Message, frozen=True):
-    """Gives a configuration, whole or as what changed since a revision.
+    """Sends a configuration, in full or as a difference to a base revision.
 
     Attributes:
-      base: the revision that it is a change to; 0 if it is whole.
-      manifest: document name to digest, of all documents or of those that changed;
-        a removed document has the digest "".
-      documents: the texts of those that the receiver may lack, by digest.
+      base: revision that the difference applies to; 0 for a full configuration.
+      manifest: document name to digest, for all or only changed documents; "" if removed.
+      documents: texts that the receiver may lack, by digest.
     """
 
     revision: int
--- a/plumarch/core/records.py
+++ b/plumarch/core/records.py
@@ -1,14 +1,14 @@
-"""Objects of the product's own in the platform's store, and orders under a fencing token."""
+"""Plumarch's own objects in the platform's store, and orders under a fencing token."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """An object of the product's own, encoded as the product likes.
+    """An object of plumarch's own, opaque to the platform.
 
     Attributes:
-      revision: of its last change; 0 for one that does not exist yet.
+      revision: revision of its last change; 0 if it does not exist yet.
     """
 
     name: str
@@ -18,13 +18,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unreadable:
-    """An object in the store that can't be read; whoever wrote it, it counts for nothing.
+    """An object in the store that can't be parsed and is ignored.
 
     Attributes:
-      kind: what operators know such objects as.
-      name: of the object; "" if that can't be read either.
-      revision: of its last change, or 0.
-      why: the field that is wrong, and how.
+      kind: kind of object, as named to operators.
+      name: name of the object; "" if unreadable too.
+      revision: revision of its last change, or 0.
+      why: the invalid field and the fault.
     """
 
     kind: str
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineOrder:
-    """A wanted number of endpoints of a service in a data centre, firm or reclaimable."""
+    """Desired number of firm or reclaimable endpoints of a service in a data centre."""
 
     service: str
     data_centre: str
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lease:
-    """Who acts, and the fencing token that it acts under."""
+    """The holder of a duty and its fencing token."""
 
     holder: str
     token: int
--- a/plumarch/core/regions.py
+++ b/plumarch/core/regions.py
@@ -1,12 +1,12 @@
-"""Which region a data centre is of, by the settings' names."""
+"""Mapping of data centres to regions."""
 
 from collections.abc import Mapping
 
 
 def region_of(regions: Mapping[str, str], data_centre: str) -> str:
-    """Return a data centre's region; one that is not named is a region of its own.
+    """Return a data centre's region; an unlisted one forms its own region.
 
     Args:
-      regions: by data centre; empty where all are of one region, whose name is "".
+      regions: region by data centre; if empty, all are in the region "".
     """
     return regions.get(data_centre, data_centre) if regions else ""
--- a/plumarch/core/retry_after.py
+++ b/plumarch/core/retry_after.py
@@ -1,4 +1,4 @@
-"""The time that an HTTP answer's Retry-After names, where it names seconds (RFC 9110, 10.2.3)."""
+"""Parsing of Retry-After in seconds (RFC 9110, 10.2.3)."""
 
 import math
 
@@ -6,9 +6,9 @@
 
 
 def milliseconds(seconds: str) -> float:
-    """Return a number of seconds in ms, or 0 for what is no time to come.
+    """Parse seconds and return milliseconds, or 0 if invalid or not positive.
 
-    A date names a time of day, which two machines may disagree on; it is passed over as well.
+    Dates count as invalid, since the clocks of two machines may disagree.
     """
     try:
         found = float(seconds) * 1000.0
--- a/plumarch/core/rollouts.py
+++ b/plumarch/core/rollouts.py
@@ -1,6 +1,6 @@
-"""Roll-outs: a service's requests move from the version that runs to another one.
+"""Roll-outs, which move a service's requests to another version.
 
-Times are in milliseconds, shares are parts of a service's requests.
+Times are in milliseconds; shares are fractions of the service's requests.
 """
 
 import dataclasses
@@ -8,7 +8,7 @@
 
 
 class RolloutState(enum.Enum):
-    """How far a roll-out is, as operators see it."""
+    """Progress of a roll-out, as shown to operators."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -20,10 +20,10 @@
     """An operator's order to move a service to a version.
 
     Attributes:
-      version: of the endpoints that are to serve; they start beside those that serve now.
-      duration_ms: from the order until it is to be completed or rolled back.
-      revision: of the order's last change in the store.
-      state: what was told of this version before; None for a new order.
+      version: version to move to; its endpoints start beside the current ones.
+      duration_ms: time limit for completing it, after which it is rolled back.
+      revision: revision of the order's last change in the store.
+      state: last reported state of this version; None for a new order.
     """
 
     service: str
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RolloutChange:
-    """An order that came or changed, or that is gone (order None)."""
+    """A new, changed or deleted (order None) roll-out order."""
 
     service: str
     order: RolloutOrder | None
@@ -43,12 +43,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionSplit:
-    """Which part of a service's requests a version gets, as the holder of the duties decided.
+    """The share of a service's requests for a version, as decided by the duty holder.
 
     Attributes:
-      token: the holder's fencing token; a later holder's word goes before an earlier one's.
-      step: number of the decision under that token.
-      vetoed: whether some node saw that the version is bad; it gets nothing from then on.
+      token: the duty holder's fencing token; a higher one takes precedence.
+      step: sequence number of the decision under that token.
+      vetoed: whether a node found the version bad; it gets no more requests.
     """
 
     service: str
@@ -60,9 +60,9 @@
     vetoed: bool = False
 
     def is_later_than(self, other: "VersionSplit") -> bool:
-        """Return whether this decision goes before another one."""
+        """Return whether this decision supersedes another one."""
         return (self.token, self.step) > (other.token, other.step)
 
     def may_use(self) -> bool:
-        """Return whether the version may get requests at all."""
+        """Return whether the version may get requests."""
         return not self.vetoed and self.state is not RolloutState.ROLLED_BACK
--- a/plumarch/core/suspension.py
+++ b/plumarch/core/suspension.py
@@ -1,7 +1,6 @@
-"""When this process did not run: its machine was suspended, or the process was stopped.
+"""Detection of times when this process did not run, by the delay of a periodic check.
 
-A look is taken every LOOK_MS. One that comes much later than that tells that nothing ran between,
-whatever the cause. What was awaited over that time says nothing about those it was awaited of.
+A timeout that spans a suspension says nothing about the peer.
 """
 
 import dataclasses
@@ -9,22 +8,21 @@
 from plumarch.core import clock
 
 LOOK_MS = 100
-"""Time between two looks: a timer that was set before a suspension may be late by this."""
+"""Interval between checks; also how late a suspension may be noticed."""
 
 MIN_MS = 400
-"""Looks that are further apart tell of a suspension: a busy process is late by less. Half of what
-an endpoint in the same data centre is given to accept a connection."""
+"""Shortest gap between checks that counts as a suspension; load alone causes shorter ones. Half
+of the connect timeout within a data centre."""
 
 
 @dataclasses.dataclass(slots=True)
 class Suspensions:
-    """The suspensions of this process.
+    """Suspensions of this process.
 
     Attributes:
-      looked_ms: when the last look was taken; None before the first one.
-      woke_ms: when the last suspension was noticed; None without any.
-      count: how many there were.
-      total_ms: how long they were together.
+      looked_ms: time of the last check, or None.
+      woke_ms: when the last suspension was noticed, or None.
+      total_ms: total duration of all suspensions.
     """
 
     clock: clock.Clock
@@ -34,7 +32,7 @@
     total_ms: int = 0
 
     def look(self) -> None:
-        """Note that the process runs."""
+        """Record that the process is running."""
         now = self.clock.now()
         if self.looked_ms is not None and now - self.looked_ms >= MIN_MS:
             self.woke_ms = now
@@ -43,7 +41,7 @@
         self.looked_ms = now
 
     def since(self, at_ms: float) -> bool:
-        """Return whether the process was suspended since a time; never before the first look."""
+        """Return whether the process was suspended since at_ms; False before the first check."""
         if self.looked_ms is None:
             return False
         self.look()
--- a/plumarch/core/token_bucket.py
+++ b/plumarch/core/token_bucket.py
@@ -1,16 +1,16 @@
-"""A token bucket that fills at a rate and starts empty."""
+"""Token bucket that starts empty."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True)
 class TokenBucket:
-    """Tokens that came at a rate and were not taken.
+    """A token bucket whose level may go negative.
 
     Attributes:
-      per_s: tokens that come in a second.
-      most: tokens that it holds at most.
-      filled_ms: as of when `level` tokens were there.
+      per_s: refill rate, tokens per second.
+      most: maximum level.
+      filled_ms: time of the last refill.
     """
 
     per_s: float
@@ -19,16 +19,16 @@
     level: float = 0.0
 
     def fill(self, now_ms: int) -> float:
-        """Add what came until now, and return how many tokens there are."""
+        """Refill up to now_ms and return the level."""
         came = (now_ms - self.filled_ms) * self.per_s / 1000.0
         self.level = min(self.most, self.level + came)
         self.filled_ms = now_ms
         return self.level
 
     def take(self, count: float) -> None:
-        """Take tokens out; the bucket may owe some then."""
+        """Remove tokens; the level may go negative."""
         self.level -= count
 
     def next_ms(self) -> float:
-        """Return how long after the last filling a whole token is there."""
+        """Return the time from the last refill until one token is available, in ms."""
         return max(0.0, 1.0 - self.level) * 1000.0 / self.per_s
--- a/plumarch/core/traffic.py
+++ b/plumarch/core/traffic.py
@@ -1,4 +1,4 @@
-"""Plain types of the gateway's traffic: routes, services, workspaces, endpoints.
+"""Routes, services, workspaces and endpoints of the gateway.
 
 Times are in milliseconds, sizes in bytes, prices as fractions of a firm VM's.
 """
@@ -9,7 +9,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated."""
+    """Whether requests of a route may be retried."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -17,7 +17,7 @@
 
 
 class EndpointState(enum.Enum):
-    """Whether an endpoint takes new work."""
+    """Whether an endpoint accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """The weight with which a route sends to a service."""
+    """A service of a route and its weight."""
 
     service: str
     weight: float
@@ -33,14 +33,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of a host below a path prefix go, and how they may be treated.
+    """Services and limits for requests that match a host and path prefix.
 
     Attributes:
-      timeout_ms: the longest time that a request is held.
-      target_ms: the time within which an answer (a first event) is wanted.
-      target_gap_ms: the longest pause between events of a stream that is wanted.
+      timeout_ms: maximum duration of a request.
+      target_ms: target time to the answer, or to a stream's first event.
+      target_gap_ms: target for the longest gap between events of a stream.
       priority: 0 is the most urgent.
-      max_attempts: the most endpoints to which one request may be sent.
+      max_attempts: maximum number of endpoints tried for one request.
     """
 
     name: str
@@ -57,7 +57,7 @@
     resumable: bool = False
 
     def repeatable(self) -> bool:
-        """Return whether a request may run more than once."""
+        """Return whether requests may run more than once."""
         if self.kind is RouteKind.SAFE:
             return True
         return self.kind is RouteKind.STREAMING and self.resumable
@@ -65,11 +65,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineModel:
-    """What an engine of a service holds.
+    """Capacity of an engine of a service.
 
     Attributes:
-      slots: requests that it runs at once.
-      cache_tokens: tokens that its KV cache holds.
+      slots: maximum concurrent requests.
+      cache_tokens: size of its KV cache in tokens.
     """
 
     slots: int
@@ -78,11 +78,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scaling:
-    """How many endpoints of a service may be ordered in each data centre.
+    """Limits and prices for ordering endpoints of a service in each data centre.
 
     Attributes:
-      prices: a second of a firm endpoint, by data centre.
-      spot_price: a reclaimable endpoint's price as a fraction of a firm one's.
+      prices: price per second of a firm endpoint, by data centre.
+      spot_price: price of a reclaimable endpoint as a fraction of a firm one's.
     """
 
     minimum: int
@@ -94,7 +94,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A group of endpoints that do the same work."""
+    """A group of equivalent endpoints."""
 
     name: str
     health_path: str = "/"
@@ -105,12 +105,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workspace:
-    """A customer: its keys, rank and allotment.
+    """A customer's keys, rank and quota.
 
     Attributes:
-      counts_tokens: whether the allotment is in tokens; otherwise in requests.
-      plain_tokens: what a request without a token count stands for.
-      rate: allotted units a second; 0 is no limit.
+      counts_tokens: whether the quota is in tokens rather than requests.
+      plain_tokens: tokens charged for a request without a token count.
+      rate: quota in units per second; 0 for no limit.
       burst: units above the rate that may be spent at once.
     """
 
@@ -125,7 +125,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take."""
+    """Size limits and timeouts for callers."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -135,19 +135,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One incarnation of an endpoint, as the registry last told.
+    """One incarnation of an endpoint, as last reported by the registry.
 
-    All that is known of an endpoint is kept by its id, so that nothing of it outlives its process.
+    State about endpoints is keyed by id, so that it does not outlive the process.
 
     Attributes:
-      id: the incarnation's identifier; an address may be reused by another one.
+      id: identifier of the incarnation; addresses may be reused.
       address: IP:port.
-      slots: requests that it works on at once.
+      slots: maximum concurrent requests.
       spot: whether it may be reclaimed.
-      leaves_in_ms: time left when it announced its end, or None.
-      version: of its software; endpoints of several serve beside each other in a roll-out.
-      born_ms: time of day of the process's start, as it says itself; 0 if it doesn't.
-      name: what the endpoint calls itself over all its starts; "" if that is the id.
+      leaves_in_ms: time left when it announced its shutdown, or None.
+      version: software version; several may serve at once during a roll-out.
+      born_ms: start of the process by its own time of day; 0 if not announced.
+      name: the endpoint's name across restarts; "" if equal to the id.
     """
 
     id: str
@@ -163,37 +163,36 @@
     name: str = ""
 
     def called(self) -> str:
-        """Return what the endpoint calls itself, the same after it started again."""
+        """Return the endpoint's name, which is stable across restarts."""
         return self.name or self.id
 
     def is_meant(self, asked: str, alive_ms: int) -> bool:
-        """Return whether an answer that came from this name's address is this incarnation's own.
+        """Return whether an answer received for this name may come from this incarnation.
 
-        The process that answered may have started after the entry of the one that was asked. One
-        born after the answer's connection came up did not send it.
+        The process may have restarted since the request's registry entry. An incarnation born
+        after the connection was established did not send the answer.
 
         Args:
-          asked: identifier of the incarnation that was asked.
-          alive_ms: time of day at which the connection to the process that answered came up.
+          asked: identifier of the incarnation that the request was sent to.
+          alive_ms: time of day at which the connection was established.
         """
         return self.id == asked or 0 < self.born_ms <= alive_ms
 
 
 DIGITS = "0123456789abcdefghijklmnopqrstuvwxyz"
 BORN_DIGITS = 5
-"""Digits of an incarnation's birth in its identifier, which nodes tell each other ten times a
-second: it comes again after 17 hours, to the millisecond."""
+"""Digits of the start time in an identifier, kept short for gossip; they wrap after 17 hours."""
 
 
 def incarnation(name: str, born_ms: int) -> str:
     """Return the identifier of an endpoint's incarnation.
 
-    Two births only need to be told apart. Which of them is the later one is for the revision of
-    the entry that tells them to say: the time of day may have stepped back between them.
+    Identifiers are distinct but not ordered, since the time of day may step back; the revision of
+    the registry entry gives the order.
 
     Args:
-      name: what the endpoint calls itself.
-      born_ms: time of day of its process's start; 0 if it doesn't tell, and name stands alone.
+      name: the endpoint's name.
+      born_ms: start of its process by time of day; if 0, the name alone is the identifier.
     """
     if not born_ms:
         return name
@@ -206,7 +205,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt that requests may share; parts come in order."""
+    """A segment of a prompt that several requests may share, in order."""
 
     id: str
     tokens: int
