--- a/plumarch/core/backoff.py
+++ b/plumarch/core/backoff.py
@@ -8,7 +8,7 @@
 MAX_DOUBLINGS = 8
 """Keeps the power of two small after thousands of failures."""
 
-MIN_PART = 0.5
+MIN_JITTER = 0.5
 """Lower bound of the jitter, which keeps nodes from retrying at the same moment."""
 
 
@@ -18,11 +18,11 @@
 
     Attributes:
       first_ms: upper bound of the first pause; doubles with each further failure.
-      longest_ms: cap on that bound.
+      max_ms: cap on that bound.
     """
 
     first_ms: float
-    longest_ms: float
+    max_ms: float
 
     def pause_ms(self, failures: int, rng: random.Random) -> float:
         """Draw the pause before the next call.
@@ -31,8 +31,8 @@
           failures: number of consecutive failures, at least 1.
         """
         doublings = min(failures - 1, MAX_DOUBLINGS)
-        pause = min(self.longest_ms, self.first_ms * (1 << doublings))
-        return pause * rng.uniform(MIN_PART, 1.0)
+        pause = min(self.max_ms, self.first_ms * (1 << doublings))
+        return pause * rng.uniform(MIN_JITTER, 1.0)
 
 
 @dataclasses.dataclass(slots=True)
--- a/plumarch/core/backoff_test.py
+++ b/plumarch/core/backoff_test.py
@@ -12,7 +12,7 @@
     for failures, longest in ((1, 100.0), (2, 200.0), (4, 800.0), (5, 1_000.0), (10_000, 1_000.0)):
         for _ in range(100):
             pause = BACKOFF.pause_ms(failures, rng)
-            assert backoff.MIN_PART * longest <= pause <= longest
+            assert backoff.MIN_JITTER * longest <= pause <= longest
 
 
 def test_nodes_that_failed_together_call_again_at_different_times():
--- a/plumarch/core/clock.py
+++ b/plumarch/core/clock.py
@@ -15,7 +15,7 @@
 COUNTS_SUSPENSIONS = hasattr(time, "CLOCK_BOOTTIME")
 """Whether the host has a clock that includes time spent suspended."""
 
-STEADY = time.CLOCK_BOOTTIME if COUNTS_SUSPENSIONS else time.CLOCK_MONOTONIC
+CLOCK_ID = time.CLOCK_BOOTTIME if COUNTS_SUSPENSIONS else time.CLOCK_MONOTONIC
 
 
 class MonotonicClock:
@@ -26,7 +26,7 @@
 
     def now(self) -> int:
         """Return milliseconds of the host's monotonic clock."""
-        return time.clock_gettime_ns(STEADY) // 1_000_000
+        return time.clock_gettime_ns(CLOCK_ID) // 1_000_000
 
 
 class RunningClock:
--- a/plumarch/core/errors.py
+++ b/plumarch/core/errors.py
@@ -49,12 +49,12 @@
     """The call failed before its first byte was written, or was rejected: it can't have run.
 
     Attributes:
-      rest_ms: backoff requested by an endpoint that rejects the call; 0 if none.
+      backoff_ms: backoff requested by an endpoint that rejects the call; 0 if none.
     """
 
-    def __init__(self, why: str, rest_ms: float = 0.0) -> None:
+    def __init__(self, why: str, backoff_ms: float = 0.0) -> None:
         super().__init__(why)
-        self.rest_ms = rest_ms
+        self.backoff_ms = backoff_ms
 
 
 class DeliveryUnknown(EndpointError):
--- a/plumarch/core/event_loop.py
+++ b/plumarch/core/event_loop.py
@@ -19,7 +19,7 @@
 
     def time(self) -> float:
         """Return seconds of the host's monotonic clock."""
-        return time.clock_gettime(clock.STEADY)
+        return time.clock_gettime(clock.CLOCK_ID)
 
 
 def run(work: Coroutine[Any, Any, Result]) -> Result:
--- a/plumarch/core/event_loop_test.py
+++ b/plumarch/core/event_loop_test.py
@@ -45,6 +45,6 @@
 
     monkeypatch.setattr(time, "clock_gettime_ns", noted)
     assert clock.MonotonicClock().now() == 12_000
-    assert asked == [clock.STEADY]
+    assert asked == [clock.CLOCK_ID]
     if clock.COUNTS_SUSPENSIONS:
-        assert clock.STEADY == time.CLOCK_BOOTTIME
+        assert clock.CLOCK_ID == time.CLOCK_BOOTTIME
--- a/plumarch/core/events.py
+++ b/plumarch/core/events.py
@@ -91,7 +91,7 @@
     Attributes:
       delivered: False only if no byte of the request was written.
       broken: whether the connection broke, as when the endpoint crashes.
-      rest_ms: backoff requested by the endpoint; 0 if none.
+      backoff_ms: backoff requested by the endpoint; 0 if none.
     """
 
     request_id: str
@@ -99,7 +99,7 @@
     delivered: bool
     why: str
     broken: bool = False
-    rest_ms: float = 0.0
+    backoff_ms: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/plumarch/core/hashing.py
+++ b/plumarch/core/hashing.py
@@ -28,7 +28,7 @@
     return sorted(names, key=lambda name: (-digest(subject, name), name))
 
 
-def highest(subject: int, names: Iterable[str], count: int) -> list[str]:
+def rendezvous_top(subject: int, names: Iterable[str], count: int) -> list[str]:
     """Return the top names by rendezvous hashing of an already hashed subject.
 
     Cheaper than rendezvous(), for the request path; the two order names differently.
--- a/plumarch/core/suspension.py
+++ b/plumarch/core/suspension.py
@@ -7,7 +7,7 @@
 
 from plumarch.core import clock
 
-LOOK_MS = 100
+CHECK_INTERVAL_MS = 100
 """Interval between checks; also how late a suspension may be noticed."""
 
 MIN_MS = 400
@@ -20,29 +20,29 @@
     """Suspensions of this process.
 
     Attributes:
-      looked_ms: time of the last check, or None.
-      woke_ms: when the last suspension was noticed, or None.
+      checked_ms: time of the last check, or None.
+      resumed_ms: when the last suspension was noticed, or None.
       total_ms: total duration of all suspensions.
     """
 
     clock: clock.Clock
-    looked_ms: int | None = None
-    woke_ms: int | None = None
+    checked_ms: int | None = None
+    resumed_ms: int | None = None
     count: int = 0
     total_ms: int = 0
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Record that the process is running."""
         now = self.clock.now()
-        if self.looked_ms is not None and now - self.looked_ms >= MIN_MS:
-            self.woke_ms = now
+        if self.checked_ms is not None and now - self.checked_ms >= MIN_MS:
+            self.resumed_ms = now
             self.count += 1
-            self.total_ms += now - self.looked_ms
-        self.looked_ms = now
+            self.total_ms += now - self.checked_ms
+        self.checked_ms = now
 
     def since(self, at_ms: float) -> bool:
         """Return whether the process was suspended since at_ms; False before the first check."""
-        if self.looked_ms is None:
+        if self.checked_ms is None:
             return False
-        self.look()
-        return self.woke_ms is not None and self.woke_ms > at_ms
+        self.check()
+        return self.resumed_ms is not None and self.resumed_ms > at_ms
--- a/plumarch/core/token_bucket.py
+++ b/plumarch/core/token_bucket.py
@@ -14,14 +14,14 @@
     """
 
     per_s: float
-    most: float
+    max_level: float
     filled_ms: int
     level: float = 0.0
 
     def fill(self, now_ms: int) -> float:
         """Refill up to now_ms and return the level."""
         came = (now_ms - self.filled_ms) * self.per_s / 1000.0
-        self.level = min(self.most, self.level + came)
+        self.level = min(self.max_level, self.level + came)
         self.filled_ms = now_ms
         return self.level
 
--- a/plumarch/core/traffic.py
+++ b/plumarch/core/traffic.py
@@ -162,11 +162,11 @@
     born_ms: int = 0
     name: str = ""
 
-    def called(self) -> str:
+    def stable_name(self) -> str:
         """Return the endpoint's name, which is stable across restarts."""
         return self.name or self.id
 
-    def is_meant(self, asked: str, alive_ms: int) -> bool:
+    def may_have_answered(self, asked: str, alive_ms: int) -> bool:
         """Return whether an answer received for this name may come from this incarnation.
 
         The process may have restarted since the request's registry entry. An incarnation born
@@ -180,7 +180,7 @@
 
 
 DIGITS = "0123456789abcdefghijklmnopqrstuvwxyz"
-BORN_DIGITS = 5
+START_DIGITS = 5
 """Digits of the start time in an identifier, kept short for gossip; they wrap after 17 hours."""
 
 
@@ -197,7 +197,7 @@
     if not born_ms:
         return name
     digits = ""
-    for _ in range(BORN_DIGITS):
+    for _ in range(START_DIGITS):
         born_ms, digit = divmod(born_ms, len(DIGITS))
         digits = DIGITS[digit] + digits
     return f"{name}.{digits}"
--- a/plumarch/daemon/shell.py
+++ b/plumarch/daemon/shell.py
@@ -295,7 +295,7 @@
     def _note_suspension(self) -> None:
         known = self.suspensions
         before, before_ms = known.count, known.total_ms
-        known.look()
+        known.check()
         if known.count > before:
             self.metrics.count(events.Count("suspensions"))
             log.warning("The process was suspended for {} ms.", known.total_ms - before_ms)
--- a/plumarch/endpoints/client.py
+++ b/plumarch/endpoints/client.py
@@ -144,10 +144,10 @@
             else:
                 await self._run_once(order, sink)
         except NEVER_SENT as error:
-            rest_ms = error.rest_ms if isinstance(error, errors.NotDelivered) else 0.0
+            backoff_ms = error.backoff_ms if isinstance(error, errors.NotDelivered) else 0.0
             sink(
                 events.EndpointFailed(
-                    request.id, order.attempt, False, repr(error), rest_ms=rest_ms
+                    request.id, order.attempt, False, repr(error), backoff_ms=backoff_ms
                 )
             )
         except FAILED as error:
@@ -191,8 +191,8 @@
         async with self.repeatable().post(url, data=body, headers=JSON) as answer:
             self._tell_rate(order, sink, answer.status, answer.headers)
             if answer.status == httpx.codes.SERVICE_UNAVAILABLE:
-                rest_ms = retry_after.milliseconds(answer.headers.get(retry_after.HEADER, ""))
-                raise errors.NotDelivered("The engine refused the request.", rest_ms)
+                backoff_ms = retry_after.milliseconds(answer.headers.get(retry_after.HEADER, ""))
+                raise errors.NotDelivered("The engine refused the request.", backoff_ms)
             if answer.status != httpx.codes.OK:
                 raise errors.EndpointError(f"The engine answered {answer.status}.")
             recomputed = await self._read_stream(order, name, answer, sink)
--- a/plumarch/fleet/engine_plan.py
+++ b/plumarch/fleet/engine_plan.py
@@ -325,9 +325,9 @@
             self._count_running(endpoints)
             return
         for one in endpoints:
-            is_new = one.called() not in self.initial_endpoints
+            is_new = one.stable_name() not in self.initial_endpoints
             if one.service == self.service and not one.spot and is_new:
-                self.initial_endpoints.add(one.called())
+                self.initial_endpoints.add(one.stable_name())
                 self.last_new_ms = now
         self.initial_count = max(self.initial_count, len(self.initial_endpoints))
 
--- a/plumarch/gateway/dispatch/attempts.py
+++ b/plumarch/gateway/dispatch/attempts.py
@@ -401,7 +401,7 @@
     # The request and its answer take a round trip; what the endpoint does after that is in vain.
     time_left = max(1, int(time_left - state.distances.beyond_region_ms(endpoint.data_centre)))
     headers.append((names.deadline_ms, str(time_left).encode()))
-    headers.append((names.instance, endpoint.called().encode()))
+    headers.append((names.instance, endpoint.stable_name().encode()))
     if admitted.prompt_tokens:
         headers.append((names.urgency, str(admission.urgency(admitted)).encode()))
     if progress.last_event_id:
--- a/plumarch/gateway/dispatch/endpoint_outcomes.py
+++ b/plumarch/gateway/dispatch/endpoint_outcomes.py
@@ -253,7 +253,7 @@
     told = state.registry.endpoints.get(endpoint.id)
     if told is not None:
         return told
-    if endpoint.id in state.registry.lapsed or endpoint.called() in state.registry.by_name:
+    if endpoint.id in state.registry.lapsed or endpoint.stable_name() in state.registry.by_name:
         return endpoint
     return dataclasses.replace(endpoint, state=traffic.EndpointState.DRAINING)
 
--- a/plumarch/gateway/dispatch/platform_retries_test.py
+++ b/plumarch/gateway/dispatch/platform_retries_test.py
@@ -94,7 +94,7 @@
     before = holder.store.tries
     holder.store.down = True
     holder.run(20_000)
-    assert holder.store.tries - before <= 20_000 / (duty_holder.RETRY.longest_ms / 2)
+    assert holder.store.tries - before <= 20_000 / (duty_holder.RETRY.max_ms / 2)
     holder.store.down = False
     reported = len(holder.cloud.windows)
     holder.run(2_000)
@@ -107,7 +107,7 @@
     holder.cloud.down = True
     before = holder.cloud.tries
     holder.run(20_000)
-    assert holder.cloud.tries - before <= 20_000 / (duty_holder.RETRY.longest_ms / 2)
+    assert holder.cloud.tries - before <= 20_000 / (duty_holder.RETRY.max_ms / 2)
     assert holder.duties.status.token == 1
 
 
--- a/plumarch/gateway/duties/duty_holder.py
+++ b/plumarch/gateway/duties/duty_holder.py
@@ -51,7 +51,7 @@
 at the latest, since a window may be reported late or by nobody. What is left is a few nodes, which
 wait for that."""
 
-RETRY = backoff.Backoff(first_ms=500.0, longest_ms=1_000.0)
+RETRY = backoff.Backoff(first_ms=500.0, max_ms=1_000.0)
 """Pauses of one kind of work after failures: without them each tick makes a call that is refused
 and paid for. Longer ones would hold up orders of engines, which take seconds to boot."""
 
--- a/plumarch/gateway/duties/suspended_duties_test.py
+++ b/plumarch/gateway/duties/suspended_duties_test.py
@@ -73,7 +73,7 @@
         """Let the fleet go on, with usage to report."""
         self.holder.frozen = True
         for _ in range(TICKS):
-            self.holder.state.suspensions.look()
+            self.holder.state.suspensions.check()
             self.holder.state.usage.started("w", self.world.time.now())
             duties_test.pass_time(self.world, TICK_MS)
             self.run_step(self.holder.duties.step)
--- a/plumarch/gateway/store/follower.py
+++ b/plumarch/gateway/store/follower.py
@@ -38,11 +38,11 @@
 NOT_WATCHING_MS = 1_000.0
 """How often a node that leaves watching to others asks whether it still may."""
 
-BACKOFF = backoff.Backoff(first_ms=150.0, longest_ms=600.0)
+BACKOFF = backoff.Backoff(first_ms=150.0, max_ms=600.0)
 """For what a node needs by itself: it can't serve before, or nobody else would notice in time that
 the store is back."""
 
-SHARED_BACKOFF = backoff.Backoff(first_ms=500.0, longest_ms=4_000.0)
+SHARED_BACKOFF = backoff.Backoff(first_ms=500.0, max_ms=4_000.0)
 """For a node that has something to serve by and hears from others what is newer. Refused calls are
 priced too, and while the store answers nobody, all nodes follow it: of n nodes that pause for 2 to
 4 s the first one asks 2 / n s after the store is back, and those that it answers tell the rest."""
--- a/plumarch/gateway/wakes.py
+++ b/plumarch/gateway/wakes.py
@@ -30,12 +30,12 @@
         """Look, forever."""
         while True:
             self.step()
-            await asyncio.sleep(suspension.LOOK_MS / 1000.0)
+            await asyncio.sleep(suspension.CHECK_INTERVAL_MS / 1000.0)
 
     def step(self) -> None:
         """Look, and tell what was found here or by another part."""
         known = self.state.suspensions
-        known.look()
+        known.check()
         if known.count == self.told:
             return
         halted_ms = self._halted_ms()
--- a/plumarch/limits/rate_allocator.py
+++ b/plumarch/limits/rate_allocator.py
@@ -175,7 +175,7 @@
         one.bucket = fresh
     else:
         one.bucket.fill(now)
-        one.bucket.per_s, one.bucket.most = fresh.per_s, fresh.most
+        one.bucket.per_s, one.bucket.max_level = fresh.per_s, fresh.max_level
     return one.bucket
 
 
--- a/plumarch/limits/rate_permits.py
+++ b/plumarch/limits/rate_permits.py
@@ -121,9 +121,9 @@
           Whether the limit is new, or its rate changed noticeably.
         """
         now = self.clock.now()
-        one = self.known.get(endpoint.called())
+        one = self.known.get(endpoint.stable_name())
         if one is None or one.id != endpoint.id:
-            self.known[endpoint.called()] = LimitedEndpoint(
+            self.known[endpoint.stable_name()] = LimitedEndpoint(
                 endpoint.id, alive_ms, per_s, now, per_s
             )
             return True
@@ -153,11 +153,11 @@
           Whether a limit began or ended by that, or its rate changed noticeably.
         """
         observed_ms = self.clock.now() - announcement.age_ms
-        one = self.known.get(endpoint.called())
+        one = self.known.get(endpoint.stable_name())
         if one is None or one.id != endpoint.id:
             if announcement.per_s is None:
                 return False
-            self.known[endpoint.called()] = LimitedEndpoint(
+            self.known[endpoint.stable_name()] = LimitedEndpoint(
                 endpoint.id, 0, announcement.per_s, observed_ms, announcement.per_s
             )
             return True
@@ -178,8 +178,8 @@
     def _limited(self, endpoint: traffic.Endpoint) -> LimitedEndpoint | None:
         if not self.known:
             return None
-        one = self.known.get(endpoint.called())
-        if one is None or one.per_s is None or not endpoint.is_meant(one.id, one.alive_ms):
+        one = self.known.get(endpoint.stable_name())
+        if one is None or one.per_s is None or not endpoint.may_have_answered(one.id, one.alive_ms):
             return None
         return one
 
@@ -247,7 +247,7 @@
 
     def report(self, endpoint: traffic.Endpoint) -> rate_allocator.PermitRequest | None:
         """Return a request that reports an announcement, without asking for permits."""
-        one = self.known.get(endpoint.called())
+        one = self.known.get(endpoint.stable_name())
         return self._message(one, REPORT, 0) if one is not None else None
 
     def _message(
--- a/plumarch/membership/drain_notices.py
+++ b/plumarch/membership/drain_notices.py
@@ -51,7 +51,7 @@
         Returns:
           Whether the notice is new.
         """
-        name, now = endpoint.called(), self.clock.now()
+        name, now = endpoint.stable_name(), self.clock.now()
         before = self.known.get(name)
         if before is not None and before.id == endpoint.id:
             before.alive_ms = max(before.alive_ms, alive_ms)
@@ -65,14 +65,14 @@
 
     def applied(self, listed: traffic.Endpoint) -> traffic.Endpoint:
         """Return an endpoint as draining if it announced that, and else as listed."""
-        notice = self.known.get(listed.called())
+        notice = self.known.get(listed.stable_name())
         if notice is None:
             return listed
         if notice.is_gone and not listed.born_ms and listed.id == notice.id:
             # Without a listed start time, a new entry is the only sign of a restart.
-            del self.known[listed.called()]
+            del self.known[listed.stable_name()]
             return listed
-        if not listed.is_meant(notice.id, notice.alive_ms):
+        if not listed.may_have_answered(notice.id, notice.alive_ms):
             notice.listed = None
             return listed
         notice.listed, notice.is_gone = listed, False
@@ -82,7 +82,7 @@
 
     def vanished(self, endpoint: traffic.Endpoint) -> None:
         """Record that an endpoint's entry is gone."""
-        notice = self.known.get(endpoint.called())
+        notice = self.known.get(endpoint.stable_name())
         if notice is not None:
             notice.listed, notice.is_gone = None, True
 
--- a/plumarch/membership/registry.py
+++ b/plumarch/membership/registry.py
@@ -94,11 +94,11 @@
         if revision < self.revision:
             return []
         fresh = {endpoint.id: self.drains.applied(endpoint) for endpoint in endpoints}
-        by_name = {endpoint.called(): endpoint.id for endpoint in fresh.values()}
+        by_name = {endpoint.stable_name(): endpoint.id for endpoint in fresh.values()}
         changes = []
         for endpoint in self.endpoints.values():
             if endpoint.id not in fresh:
-                name = endpoint.called()
+                name = endpoint.stable_name()
                 change = EndpointChange(
                     endpoint.id, revision, None, name in unreadable, name in by_name
                 )
@@ -158,7 +158,7 @@
         """
         is_new = self.drains.note(endpoint, alive_ms)
         self.lapsed.pop(endpoint.id, None)
-        listed = self.endpoints.get(self.by_name.get(endpoint.called(), ""))
+        listed = self.endpoints.get(self.by_name.get(endpoint.stable_name(), ""))
         if listed is None:
             return is_new
         draining = self.drains.applied(listed)
--- a/plumarch/node/dispatch.py
+++ b/plumarch/node/dispatch.py
@@ -296,8 +296,8 @@
         run.phase = runs.Phase.QUEUED
         if not delivered:
             run.handed_over = run.handed_over_before
-        if not delivered and event.rest_ms:
-            self.places.back_off(endpoint, event.rest_ms)
+        if not delivered and event.backoff_ms:
+            self.places.back_off(endpoint, event.backoff_ms)
         elif not delivered:
             self.places.unreachable(endpoint)
         self.ctx.note(request, "fail", f"attempt {run.attempt()}", event.why)
--- a/plumarch/routing/endpoint_backoff.py
+++ b/plumarch/routing/endpoint_backoff.py
@@ -55,16 +55,16 @@
         now = self.clock.now()
         self.known = {name: one for name, one in self.known.items() if one.until_ms > now}
         until_ms = now + bounded_ms(retry_after_ms)
-        before = self.known.get(endpoint.called())
+        before = self.known.get(endpoint.stable_name())
         if before is not None and before.id == endpoint.id:
             until_ms = max(until_ms, before.until_ms)
-        self.known[endpoint.called()] = Backoff(endpoint.id, alive_ms, until_ms)
+        self.known[endpoint.stable_name()] = Backoff(endpoint.id, alive_ms, until_ms)
         return until_ms - now
 
     def left_ms(self, endpoint: traffic.Endpoint) -> int:
         """Return the remaining backoff of an endpoint in ms; 0 if it takes requests."""
-        one = self.known.get(endpoint.called())
-        if one is None or not endpoint.is_meant(one.id, one.alive_ms):
+        one = self.known.get(endpoint.stable_name())
+        if one is None or not endpoint.may_have_answered(one.id, one.alive_ms):
             return 0
         return max(0, one.until_ms - self.clock.now())
 
--- a/plumarch/routing/endpoint_choice_test.py
+++ b/plumarch/routing/endpoint_choice_test.py
@@ -68,7 +68,7 @@
 def owners_of(parts: tuple[traffic.PromptPart, ...], candidates: list[traffic.Endpoint]):
     """Return the engines that hashing gives the last of some parts."""
     key = endpoint_choice.part_keys(parts)[-1]
-    return hashing.highest(key, [one.id for one in candidates], len(candidates))
+    return hashing.rendezvous_top(key, [one.id for one in candidates], len(candidates))
 
 
 def test_the_engine_that_owns_the_deepest_shared_part_is_chosen_though_others_own_earlier_ones():
--- a/plumarch/routing/engine_record.py
+++ b/plumarch/routing/engine_record.py
@@ -63,9 +63,9 @@
 
     Hashing uses the name, so that a restarted engine owns the same keys and the others keep theirs.
     """
-    ids = {endpoint.called(): endpoint.id for endpoint in candidates}
+    ids = {endpoint.stable_name(): endpoint.id for endpoint in candidates}
     names = list(ids)
-    return [[ids[name] for name in hashing.highest(key, names, count)] for key in keys]
+    return [[ids[name] for name in hashing.rendezvous_top(key, names, count)] for key in keys]
 
 
 def cached_tokens(
--- a/plumarch/routing/relative_latency.py
+++ b/plumarch/routing/relative_latency.py
@@ -119,8 +119,8 @@
     def _waited_ms(self, awaited: Awaited) -> float:
         """Return how long a first byte has been pending, without suspensions."""
         since_ms = awaited.sent_ms
-        if self.suspensions.since(since_ms) and self.suspensions.woke_ms is not None:
-            since_ms = self.suspensions.woke_ms
+        if self.suspensions.since(since_ms) and self.suspensions.resumed_ms is not None:
+            since_ms = self.suspensions.resumed_ms
         return self.clock.now() - since_ms
 
     def _observe(self, latency: EndpointLatency, ratio: float) -> None:
--- a/plumarch/routing/version_split.py
+++ b/plumarch/routing/version_split.py
@@ -153,4 +153,4 @@
     At low load, faults that only show under load would go unnoticed.
     """
     count = max(1, math.ceil(share * len(new)))
-    return sorted(new, key=traffic.Endpoint.called)[:count]
+    return sorted(new, key=traffic.Endpoint.stable_name)[:count]
--- a/plumarch/standins/virtual.py
+++ b/plumarch/standins/virtual.py
@@ -491,7 +491,7 @@
         request = call.action.request
         if endpoint.sheds_ms is not None:
             endpoint.refused += 1
-            self._fail(call, False, "endpoint refused the call", rest_ms=endpoint.sheds_ms)
+            self._fail(call, False, "endpoint refused the call", backoff_ms=endpoint.sheds_ms)
             return
         if endpoint.break_at == "sent":
             # The endpoint never acts on what it got, but the caller can't know.
@@ -589,11 +589,11 @@
         self._to_node(call, event)
 
     def _fail(
-        self, call: Call, delivered: bool, why: str, broken: bool = False, rest_ms: float = 0.0
+        self, call: Call, delivered: bool, why: str, broken: bool = False, backoff_ms: float = 0.0
     ) -> None:
         request = call.action.request
         event = events.EndpointFailed(
-            request.id, call.action.attempt, delivered, why, broken, rest_ms
+            request.id, call.action.attempt, delivered, why, broken, backoff_ms
         )
         self._to_node(call, event)
 
