--- a/plumarch/node/adoption.py
+++ b/plumarch/node/adoption.py
@@ -11,7 +11,7 @@
 
 RETRY_MS = 1_000
 
-STOP_PATIENCE_MS = 2_000
+STOP_GRACE_MS = 2_000
 """At a planned stop, requests that take longer than this are handed over."""
 
 
@@ -26,8 +26,8 @@
         held: copies.Copies,
         dispatcher: dispatch.Dispatch,
         follower: followers.Followers,
-        keeper: home.Home,
-        questions: inquiries.Inquiries,
+        local_home: home.Home,
+        owner_requests: inquiries.Inquiries,
     ) -> None:
         self.ctx = ctx
         self.membership = membership
@@ -35,8 +35,8 @@
         self.copies = held
         self.dispatcher = dispatcher
         self.follower = follower
-        self.home = keeper
-        self.questions = questions
+        self.home = local_home
+        self.owner_requests = owner_requests
         self.moved: dict[str, str] = {}
         self.offers: dict[str, tuple[str, messages.Adopt]] = {}
         self.leaves_at_ms = 0
@@ -66,11 +66,11 @@
             return elsewhere
         return self.membership.live()
 
-    def _tend_leaving(self) -> None:
+    def _move_runs(self) -> None:
         now = self.ctx.now()
         left = self.leaves_at_ms - now
         for run in sorted(
-            self.table.active.values(), key=lambda r: (-dispatch.redo_cost(r), r.request.id)
+            self.table.active.values(), key=lambda r: (-dispatch.recompute_cost(r), r.request.id)
         ):
             if self._must_move(run, now, left):
                 self._offer(run, now)
@@ -82,22 +82,22 @@
             return False
         if run.phase is runs.Phase.QUEUED:
             return True
-        takes = dispatch.left_to_make_ms(run, now)
-        return takes > min(STOP_PATIENCE_MS, left - dispatch.LEAVE_MARGIN_MS)
+        takes = dispatch.remaining_ms(run, now)
+        return takes > min(STOP_GRACE_MS, left - dispatch.LEAVE_MARGIN_MS)
 
     def _offer(self, run: runs.Run, now: int) -> None:
-        if run.adopter and now - run.adopt_asked_ms < RESEND_MS:
+        if run.adopter and now - run.adopt_requested_ms < RESEND_MS:
             return
         adopters = self._adopters()
         if not adopters:
             return
-        stale = now - run.adopt_asked_ms >= ADOPT_TRIES_MS
+        stale = now - run.adopt_requested_ms >= ADOPT_TRIES_MS
         if not run.adopter or run.adopter not in adopters or stale:
             prefer = run.copy_holder if run.copy_holder in adopters else ""
             if not prefer or run.adopter == prefer:
                 prefer = adopters[self.ctx.rng.randrange(len(adopters))]
             run.adopter = prefer
-        run.adopt_asked_ms = now
+        run.adopt_requested_ms = now
         message = messages.Adopt(
             run.request,
             run.home_attempt + 1,
@@ -165,12 +165,12 @@
         self.copies.drop(request.id)
         if request.key:
             self.offers[request.id] = (sender, m)
-            self.home.ask_rehome(run)
+            self.home.request_rehome(run)
         else:
             self.dispatcher.enqueue(run, bounded=False)
             self.ctx.send(sender, messages.Adopted(request.id, m.attempt))
 
-    def take_lost(self, node: str) -> None:
+    def adopt_copies_of(self, node: str) -> None:
         """Become the home of the requests that a lost node had a copy of here."""
         for copy in self.copies.of_home(node):
             request = copy.request
@@ -185,21 +185,21 @@
             self.ctx.count("lost_homes", request.workspace)
             self.ctx.note(request, "rehome", self.ctx.node, f"its home {node} is lost")
             self.table.add(run)
-            self.home.ask_rehome(run)
+            self.home.request_rehome(run)
 
     def rehome_answered(self, m: messages.RehomeAnswer) -> None:
         """Act on the slot owner's answer about a change of home."""
-        if self.home.late_records.awaits(m.request_id):
-            self.home.late_records.answered(m)
+        if self.home.late_records.is_pending(m.request_id):
+            self.home.late_records.handle_answer(m)
             return
-        inquiry = self.questions.answered(inquiries.Kind.REHOME, m.request_id, m.verdict)
+        inquiry = self.owner_requests.resolve(inquiries.Kind.REHOME, m.request_id, m.verdict)
         run = self.table.active.get(m.request_id)
         if inquiry is None or run is None or run.phase is not runs.Phase.CLAIMING:
             return
         if m.verdict is messages.Verdict.GRANTED:
             self._start(run)
         elif m.verdict is messages.Verdict.EXISTS and m.record is not None:
-            self._stand_back(run, m.record)
+            self._yield_to(run, m.record)
         else:
             self._start_unrecorded(run)
 
@@ -214,16 +214,16 @@
         run.weakened = home.UNRECORDED
         self._start(run)
         run.recorded = False
-        self.home.late_records.ask(run, late_records.RETRY_PAUSE_MS)
+        self.home.late_records.request_record(run, late_records.RETRY_PAUSE_MS)
 
-    def _stand_back(self, run: runs.Run, record: data.KeyRecord) -> None:
+    def _yield_to(self, run: runs.Run, record: data.KeyRecord) -> None:
         """Leave a request to the home that its record names."""
         copy = self.copies.held.get(run.request.id)
         in_progress = record.state is data.KeyState.GRANTED
         if in_progress and self.membership.state(record.home) is data.NodeState.GONE:
             # The home that the record names is lost as well.
             run.home_attempt = record.attempt + 1
-            self.home.ask_rehome(run)
+            self.home.request_rehome(run)
             return
         if self._answer_is_lost(record):
             self.ctx.note(run.request, "rerun", self.ctx.node, "its answer is lost with its home")
@@ -245,7 +245,7 @@
             return False
         return self.membership.state(record.home) is data.NodeState.GONE
 
-    def given_up(self, inquiry: inquiries.Inquiry) -> None:
+    def handle_timeout(self, inquiry: inquiries.Inquiry) -> None:
         """Run a request although no slot owner could be asked: it was accepted."""
         run = self.table.active.get(inquiry.subject)
         if run is not None and run.phase is runs.Phase.CLAIMING:
@@ -254,7 +254,7 @@
     def tick(self) -> None:
         """Hand over what is left to hand over."""
         if self.membership.leaving:
-            self._tend_leaving()
+            self._move_runs()
         self._trim_moved()
 
     def _trim_moved(self) -> None:
--- a/plumarch/node/dispatch.py
+++ b/plumarch/node/dispatch.py
@@ -18,7 +18,7 @@
 TOKEN_MS = 30
 """Assumed time between tokens, until the run's own is known."""
 
-ROOM_SHARE = 0.15
+MIN_FREE_FRACTION = 0.15
 """Share of places that a workspace leaves free once it holds its own share."""
 
 LINGER_MS = 2_000
@@ -41,13 +41,13 @@
         self,
         ctx: context.Context,
         table: runs.RunTable,
-        places: placement.Placement,
+        placer: placement.Placement,
         readers: watchers.Watchers,
         config: config_state.ConfigState,
     ) -> None:
         self.ctx = ctx
         self.table = table
-        self.places = places
+        self.placer = placer
         self.readers = readers
         self.config = config
         self.queue = fair_queue.FairQueue()
@@ -65,7 +65,7 @@
     def reason_against(self, run: runs.Run) -> data.Reason | None:
         """Return why a new request has no hope, or None."""
         request = run.request
-        if run.waits() or self.places.has_target(request, self._allowed(request.workspace)):
+        if run.waits() or self.placer.has_target(request, self._allowed(request.workspace)):
             return None
         return data.Reason.NO_ENDPOINT
 
@@ -85,7 +85,7 @@
         run.queued_ms = self.ctx.now()
         if run.points >= quarantine.QUARANTINE_POINTS and not run.not_before_ms:
             # It was held back at its home before, and waits here as long again.
-            self._hold_back(run)
+            self._delay_quarantined(run)
             return True
         cost = float(request.prompt_tokens + request.max_tokens) or 1.0
         entry = fair_queue.Entry(
@@ -126,9 +126,9 @@
             allowed = self._allowed(entry.workspace)
             urgent = entry.request_class is data.RequestClass.LOOKUP
             kind = (entry.target, urgent, allowed)
-            if kind in full or (not urgent and self._must_leave_room(run)):
+            if kind in full or (not urgent and self._must_leave_capacity(run)):
                 return False
-            chosen, considered = self.places.choose(run.request, allowed, frozenset(run.tried))
+            chosen, considered = self.placer.choose(run.request, allowed, frozenset(run.tried))
             if chosen is None:
                 full.add(kind)
             return chosen is not None
@@ -138,25 +138,25 @@
             if entry is None or chosen is None:
                 return
             run = self.table.active[entry.request_id]
-            self._hand_over(run, chosen, considered, run.import_from, run.import_attempt)
+            self._dispatch(run, chosen, considered, run.import_from, run.import_attempt)
             run.import_from = ""
 
-    def _must_leave_room(self, run: runs.Run) -> bool:
+    def _must_leave_capacity(self, run: runs.Run) -> bool:
         """Return whether a workspace that has its share must leave the last places free.
 
         Otherwise one workspace's flood would take every place, and another's request
         would wait for one of its long answers to end.
         """
         request = run.request
-        total, used = self.places.owned_capacity(request)
-        if total - used > total * ROOM_SHARE:
+        total, used = self.placer.owned_capacity(request)
+        if total - used > total * MIN_FREE_FRACTION:
             return False
         weights = self.queue.weights
         share = weights.get(request.workspace, 1.0) / max(1.0, sum(weights.values()))
         held = self.running[(request.target, request.workspace)]
         return held >= max(1.0, total * share)
 
-    def _hand_over(
+    def _dispatch(
         self,
         run: runs.Run,
         endpoint: data.Endpoint,
@@ -173,7 +173,7 @@
         run.endpoint = endpoint.name
         run.started_ms = now
         run.leave_by_ms = 0
-        self.places.started(endpoint.name, request.prefix)
+        self.placer.started(endpoint.name, request.prefix)
         self.running[(request.target, request.workspace)] += 1
         if run.tries == 1:
             wait = float(now - run.accepted_ms)
@@ -216,19 +216,19 @@
             why = "tokens are missing from the stream"
             self._failed(run, events.EndpointFailed(event.request_id, event.attempt, True, why))
             return
-        news = event.tokens[known - event.position :]
+        new_tokens = event.tokens[known - event.position :]
         self._end_superseded(run)
-        if not news:
+        if not new_tokens:
             return
-        self._observe_tokens(run, len(news))
-        run.tokens.extend(news)
+        self._observe_tokens(run, len(new_tokens))
+        run.tokens.extend(new_tokens)
         self.readers.push(run)
 
     def _observe_tokens(self, run: runs.Run, count: int) -> None:
         now = self.ctx.now()
         request = run.request
         if not run.tokens:
-            self.places.measured(run.endpoint, now - run.started_ms)
+            self.placer.measured(run.endpoint, now - run.started_ms)
             wait = float(now - run.accepted_ms)
             self.ctx.act(
                 events.Observe("first_token", request.workspace, request.request_class, wait)
@@ -258,7 +258,7 @@
         if request.kind is data.EndpointKind.ENGINE:
             reply = data.Reply(200, reply.content_type, b"", tuple(run.tokens))
         else:
-            self.places.measured(run.endpoint, self.ctx.now() - run.started_ms)
+            self.placer.measured(run.endpoint, self.ctx.now() - run.started_ms)
         self._free(run)
         run.endpoint = ""
         total = float(self.ctx.now() - run.accepted_ms)
@@ -276,13 +276,13 @@
         run = self._current(event.request_id, event.attempt)
         if run is None:
             return
-        if self.places.rate_announced(run.endpoint, event.per_s, run.started_ms):
+        if self.placer.rate_announced(run.endpoint, event.per_s, run.started_ms):
             rate = "no limit" if event.per_s is None else f"{event.per_s:g} requests a second"
             self.ctx.note(run.request, "rate", run.endpoint, f"it announces {rate}")
 
     def _free(self, run: runs.Run) -> None:
         """Count a run's place as free again."""
-        self.places.ended(run.endpoint)
+        self.placer.ended(run.endpoint)
         self.running[(run.request.target, run.request.workspace)] -= 1
         self.dirty = True
 
@@ -297,9 +297,9 @@
         if not delivered:
             run.handed_over = run.handed_over_before
         if not delivered and event.backoff_ms:
-            self.places.back_off(endpoint, event.backoff_ms)
+            self.placer.back_off(endpoint, event.backoff_ms)
         elif not delivered:
-            self.places.unreachable(endpoint)
+            self.placer.unreachable(endpoint)
         self.ctx.note(request, "fail", f"attempt {run.attempt()}", event.why)
         if event.broken:
             made_tokens = run.last_token_ms >= run.started_ms
@@ -307,13 +307,13 @@
         if delivered and not request.repeatable:
             self.on_end(run, data.Outcome.UNKNOWN, data.Reason.INTERRUPTED, None)
         elif event.broken and run.points >= quarantine.QUARANTINE_POINTS:
-            self._hold_back(run)
+            self._delay_quarantined(run)
         elif run.waits() or self.budget.take(request.workspace):
             self._retry_later(run)
         else:
             self.on_refuse(run, data.Reason.RETRY_BUDGET)
 
-    def _hold_back(self, run: runs.Run) -> None:
+    def _delay_quarantined(self, run: runs.Run) -> None:
         """Try a run again after a long pause, or give it up if its time ends before.
 
         Too many endpoints ended as they began to run it: each further try would cost one more, and
@@ -337,7 +337,7 @@
 
     def engine_of(self, run: runs.Run) -> str:
         """Return the address of the engine that runs a run now, or ""."""
-        endpoint = self.places.endpoints.get(run.endpoint)
+        endpoint = self.placer.endpoints.get(run.endpoint)
         if endpoint is None or endpoint.kind is not data.EndpointKind.ENGINE:
             return ""
         return endpoint.address if run.phase is runs.Phase.RUNNING else ""
@@ -373,12 +373,12 @@
     def endpoint_leaves(self, name: str, left_ms: int) -> None:
         """Move work off an endpoint under a reclaim notice, the dearest to redo first."""
         there = [run for run in self.table.active.values() if run.endpoint == name]
-        there.sort(key=lambda run: (-redo_cost(run), run.request.id))
+        there.sort(key=lambda run: (-recompute_cost(run), run.request.id))
         now = self.ctx.now()
         for run in there:
             if not run.request.repeatable or run.phase is not runs.Phase.RUNNING:
                 continue
-            if left_to_make_ms(run, now) + LEAVE_MARGIN_MS <= left_ms:
+            if remaining_ms(run, now) + LEAVE_MARGIN_MS <= left_ms:
                 self.ctx.note(run.request, "stay", name, "it ends before the endpoint does")
                 continue
             run.leave_by_ms = now + left_ms
@@ -388,17 +388,17 @@
         """Continue a run elsewhere; if there is no room it stays, and is tried again."""
         allowed = self._allowed(run.request.workspace)
         tried = frozenset({run.endpoint})
-        target, considered = self.places.choose(run.request, allowed, tried)
+        target, considered = self.placer.choose(run.request, allowed, tried)
         if target is None or target.name == run.endpoint:
             return
-        old = self.places.endpoints.get(run.endpoint)
+        old = self.placer.endpoints.get(run.endpoint)
         address = old.address if old and run.request.kind is data.EndpointKind.ENGINE else ""
         old_attempt = run.attempt()
         self._free(run)
         self._end_superseded(run)
         run.superseded = old_attempt
         self.ctx.count("moves", run.request.workspace)
-        self._hand_over(run, target, considered, address, old_attempt)
+        self._dispatch(run, target, considered, address, old_attempt)
 
     def tick(self) -> None:
         """Requeue what waited long enough, refuse what waited too long, move what must."""
@@ -428,15 +428,15 @@
             self.on_refuse(run, data.Reason.QUEUE_FULL)
 
 
-def redo_cost(run: runs.Run) -> int:
+def recompute_cost(run: runs.Run) -> int:
     """Return the tokens that would be computed again if a run started over."""
     return run.request.prompt_tokens + len(run.tokens)
 
 
-def left_to_make_ms(run: runs.Run, now: int) -> int:
+def remaining_ms(run: runs.Run, now: int) -> int:
     """Return how long a run still takes, from its own pace so far."""
     made = len(run.tokens)
-    pace = TOKEN_MS
+    token_ms = TOKEN_MS
     if made > 1 and run.last_token_ms > run.started_ms:
-        pace = max(1, (run.last_token_ms - run.started_ms) // made)
-    return max(0, run.request.max_tokens - made) * pace
+        token_ms = max(1, (run.last_token_ms - run.started_ms) // made)
+    return max(0, run.request.max_tokens - made) * token_ms
--- a/plumarch/node/followers.py
+++ b/plumarch/node/followers.py
@@ -30,8 +30,8 @@
     Attributes:
       request: the caller's own copy of the request, if it sent one.
       record: what the slot's owner said last; None while it is asked.
-      quiet_ms: when the home was heard last.
-      homeless_ms: since when the request has had no home, or 0.
+      last_seen_ms: when the home was heard last.
+      home_lost_ms: since when the request has had no home, or 0.
     """
 
     watcher_id: str
@@ -40,9 +40,9 @@
     position: int
     request: data.Request | None = None
     record: data.KeyRecord | None = None
-    quiet_ms: int = 0
-    homeless_ms: int = 0
-    told: bool = False
+    last_seen_ms: int = 0
+    home_lost_ms: int = 0
+    acceptance_sent: bool = False
 
 
 class Followers:
@@ -54,13 +54,13 @@
         self,
         ctx: context.Context,
         membership: members.Membership,
-        questions: inquiries.Inquiries,
+        owner_requests: inquiries.Inquiries,
         table: runs.RunTable,
         readers: watchers.Watchers,
     ) -> None:
         self.ctx = ctx
         self.membership = membership
-        self.questions = questions
+        self.owner_requests = owner_requests
         self.table = table
         self.readers = readers
         self.follows: dict[str, Follow] = {}
@@ -68,7 +68,7 @@
     def attach(self, event: events.Attach) -> None:
         """Find the request that a key stands for, and read it for a caller."""
         follow = Follow(event.watcher_id, event.workspace, event.key, event.position)
-        if self._take(follow):
+        if self._add(follow):
             self._look_up(follow)
 
     def follow_record(
@@ -80,7 +80,7 @@
     ) -> None:
         """Read the request of a known record for a caller."""
         follow = Follow(watcher_id, record.workspace, record.key, position, request)
-        if self._take(follow):
+        if self._add(follow):
             self._use_record(follow, record)
 
     def follow_home(
@@ -96,17 +96,19 @@
             data.KeyState.GRANTED,
             attempt,
         )
-        follow = Follow(watcher_id, request.workspace, request.key, position, request, told=True)
-        if self._take(follow):
+        follow = Follow(
+            watcher_id, request.workspace, request.key, position, request, acceptance_sent=True
+        )
+        if self._add(follow):
             self._use_record(follow, record)
 
-    def _take(self, follow: Follow) -> bool:
+    def _add(self, follow: Follow) -> bool:
         if len(self.follows) >= FOLLOW_LIMIT:
-            self.readers.tell_end(
+            self.readers.send_end(
                 follow.watcher_id, "", data.Outcome.UNKNOWN, data.Reason.RUN_TABLE_FULL
             )
             return False
-        follow.quiet_ms = self.ctx.now()
+        follow.last_seen_ms = self.ctx.now()
         self.follows[follow.watcher_id] = follow
         return True
 
@@ -114,11 +116,11 @@
         follow.record = None
         slot = keys.slot_of(follow.workspace, follow.key)
         message = messages.Lookup(slot, follow.workspace, follow.key, follow.watcher_id)
-        self.questions.ask(inquiries.Kind.LOOKUP, follow.watcher_id, message)
+        self.owner_requests.submit(inquiries.Kind.LOOKUP, follow.watcher_id, message)
 
     def looked_up(self, m: messages.LookupAnswer) -> None:
         """Act on a slot owner's answer about a key."""
-        if self.questions.answered(inquiries.Kind.LOOKUP, m.lookup_id, m.verdict) is None:
+        if self.owner_requests.resolve(inquiries.Kind.LOOKUP, m.lookup_id, m.verdict) is None:
             return
         follow = self.follows.get(m.lookup_id)
         if follow is None:
@@ -130,21 +132,21 @@
         else:
             self._end(follow, data.Outcome.UNKNOWN, data.Reason.SLOT_UNCERTAIN)
 
-    def given_up(self, inquiry: inquiries.Inquiry) -> None:
+    def handle_timeout(self, inquiry: inquiries.Inquiry) -> None:
         """Act on a lookup that nobody answered: ask again, for a while."""
         follow = self.follows.get(inquiry.subject)
         if follow is None:
             return
         now = self.ctx.now()
-        follow.homeless_ms = follow.homeless_ms or now
-        if now - follow.homeless_ms >= LOST_HOME_MS:
+        follow.home_lost_ms = follow.home_lost_ms or now
+        if now - follow.home_lost_ms >= LOST_HOME_MS:
             self._end(follow, data.Outcome.UNKNOWN, data.Reason.NO_OWNER)
         else:
             self._look_up(follow)
 
     def _use_record(self, follow: Follow, record: data.KeyRecord) -> None:
         follow.record = record
-        follow.quiet_ms = self.ctx.now()
+        follow.last_seen_ms = self.ctx.now()
         if record.state is data.KeyState.DONE:
             self._done_by_record(follow, record)
         elif record.state is data.KeyState.REFUSED:
@@ -164,12 +166,12 @@
             return
         tokens = record.reply.tokens[follow.position :]
         if tokens:
-            self._tell(follow, record.request_id, tokens)
+            self._send_tokens(follow, record.request_id, tokens)
         self._end(follow, data.Outcome.DONE, "", record.reply)
 
     def _subscribe(self, follow: Follow, record: data.KeyRecord) -> None:
-        if not follow.told:
-            follow.told = True
+        if not follow.acceptance_sent:
+            follow.acceptance_sent = True
             self.ctx.act(events.TellAccepted(follow.watcher_id, record.request_id, follow.key))
         run = self.table.get(record.request_id)
         if run is not None:
@@ -186,14 +188,14 @@
         follow = self._reading(sender, m.watcher_id, m.request_id)
         if follow is None or follow.record is None:
             return
-        follow.quiet_ms = self.ctx.now()
-        follow.homeless_ms = 0
+        follow.last_seen_ms = self.ctx.now()
+        follow.home_lost_ms = 0
         if m.position > follow.position:
             self._subscribe(follow, follow.record)
             return
         tokens = tuple(m.tokens[follow.position - m.position :])
         if tokens:
-            self._tell(follow, m.request_id, tokens)
+            self._send_tokens(follow, m.request_id, tokens)
 
     def _reading(self, sender: str, watcher_id: str, request_id: str) -> Follow | None:
         follow = self.follows.get(watcher_id)
@@ -203,7 +205,7 @@
         self.ctx.count("stale_replies", label="peer")
         return None
 
-    def _tell(self, follow: Follow, request_id: str, tokens: tuple[str, ...]) -> None:
+    def _send_tokens(self, follow: Follow, request_id: str, tokens: tuple[str, ...]) -> None:
         self.ctx.act(events.TellTokens(follow.watcher_id, request_id, follow.position, tokens))
         follow.position += len(tokens)
 
@@ -227,8 +229,8 @@
             record = dataclasses.replace(follow.record, home=m.home)
             self._use_record(follow, record)
             return
-        follow.homeless_ms = follow.homeless_ms or now
-        follow.quiet_ms = now
+        follow.home_lost_ms = follow.home_lost_ms or now
+        follow.last_seen_ms = now
 
     def _end(
         self,
@@ -241,28 +243,28 @@
         request_id = follow.record.request_id if follow.record else ""
         if outcome is not data.Outcome.DONE:
             self.ctx.note(follow.request, "unanswered", outcome, reason, key=follow.key)
-        self.readers.tell_end(follow.watcher_id, request_id, outcome, reason, reply)
+        self.readers.send_end(follow.watcher_id, request_id, outcome, reason, reply)
 
     def caller_gone(self, watcher_id: str) -> None:
         """Stop reading for a caller that went away."""
         self.follows.pop(watcher_id, None)
-        self.questions.forget(inquiries.Kind.LOOKUP, watcher_id)
+        self.owner_requests.forget(inquiries.Kind.LOOKUP, watcher_id)
 
     def tick(self) -> None:
         """Ask quiet homes again, and decide what to do about lost ones."""
         now = self.ctx.now()
         for follow in list(self.follows.values()):
-            if follow.record is not None and now - follow.quiet_ms >= RESUBSCRIBE_MS:
-                self._tend(follow, follow.record, now)
+            if follow.record is not None and now - follow.last_seen_ms >= RESUBSCRIBE_MS:
+                self._check_home(follow, follow.record, now)
 
-    def _tend(self, follow: Follow, record: data.KeyRecord, now: int) -> None:
-        follow.quiet_ms = now
+    def _check_home(self, follow: Follow, record: data.KeyRecord, now: int) -> None:
+        follow.last_seen_ms = now
         lost = self.membership.state(record.home) is data.NodeState.GONE
-        if not lost and not follow.homeless_ms:
+        if not lost and not follow.home_lost_ms:
             self._subscribe(follow, record)
             return
-        follow.homeless_ms = follow.homeless_ms or now
-        waited = now - follow.homeless_ms
+        follow.home_lost_ms = follow.home_lost_ms or now
+        waited = now - follow.home_lost_ms
         request = follow.request
         left_to_holder = record.copied and waited < LOST_HOME_MS
         if request is not None and request.repeatable and not left_to_holder:
--- a/plumarch/node/home.py
+++ b/plumarch/node/home.py
@@ -8,7 +8,7 @@
 from plumarch.node import dispatch, followers, late_records, runs, watchers
 from plumarch.recovery import inquiries, keys, ledger
 
-PATIENCE_MS = {
+CLAIM_TIMEOUT_MS = {
     data.RequestClass.LOOKUP: 150,
     data.RequestClass.CHAT: 600,
     data.RequestClass.DRAFT: inquiries.GIVE_UP_MS,
@@ -16,7 +16,7 @@
 }
 """How long a repeatable request waits for its key's slot before it runs unrecorded."""
 
-SETTLE_PATIENCE_MS = 30_000
+SETTLE_TIMEOUT_MS = 30_000
 
 COPY_RESEND_MS = 300
 """After this long without answer another node is asked to hold the copy."""
@@ -42,7 +42,7 @@
         ctx: context.Context,
         membership: members.Membership,
         slots: ledger.Ledger,
-        questions: inquiries.Inquiries,
+        owner_requests: inquiries.Inquiries,
         table: runs.RunTable,
         readers: watchers.Watchers,
         dispatcher: dispatch.Dispatch,
@@ -52,13 +52,13 @@
         self.ctx = ctx
         self.membership = membership
         self.slots = slots
-        self.questions = questions
+        self.owner_requests = owner_requests
         self.table = table
         self.readers = readers
         self.dispatcher = dispatcher
         self.follower = follower
         self.config = config
-        self.late_records = late_records.LateRecords(ctx, questions, table)
+        self.late_records = late_records.LateRecords(ctx, owner_requests, table)
         dispatcher.on_end = self.end
         dispatcher.on_refuse = self.refuse
         follower.on_rerun = self.rerun
@@ -145,15 +145,15 @@
             request.repeatable,
             run.waits(),
         )
-        patience = PATIENCE_MS[request.request_class]
+        timeout_ms = CLAIM_TIMEOUT_MS[request.request_class]
         if refuse or not request.repeatable:
-            patience = inquiries.GIVE_UP_MS
-        self.questions.ask(kind, request.id, message, min(patience, request.timeout_ms))
+            timeout_ms = inquiries.GIVE_UP_MS
+        self.owner_requests.submit(kind, request.id, message, min(timeout_ms, request.timeout_ms))
 
     def claim_answered(self, m: messages.ClaimAnswer) -> None:
         """Act on the slot owner's answer to a claim."""
         kind = inquiries.Kind.REFUSE if m.refuse else inquiries.Kind.CLAIM
-        inquiry = self.questions.answered(kind, m.request_id, m.verdict)
+        inquiry = self.owner_requests.resolve(kind, m.request_id, m.verdict)
         run = self.table.get(m.request_id)
         over = (runs.Phase.ENDED,) if m.refuse else (runs.Phase.ENDED, runs.Phase.REFUSING)
         if inquiry is None or run is None or run.phase in over:
@@ -187,7 +187,7 @@
         self.ctx.note(run.request, "grant", f"epoch {epoch}", "the key is new")
         if run.waits():
             run.phase = runs.Phase.COPYING
-            self._ask_for_copy(run)
+            self._request_copy(run)
         else:
             self._accept(run)
 
@@ -205,9 +205,9 @@
             self.ctx.count("weakened", run.request.workspace, "unrecorded")
             self.ctx.note(run.request, "weaken", "run unrecorded", UNRECORDED)
             if run.waits():
-                self.late_records.ask(run)
+                self.late_records.request_record(run)
                 run.phase = runs.Phase.COPYING
-                self._ask_for_copy(run)
+                self._request_copy(run)
             else:
                 self._accept(run)
         else:
@@ -216,9 +216,9 @@
 
     # The copy in another data centre.
 
-    def _ask_for_copy(self, run: runs.Run) -> None:
+    def _request_copy(self, run: runs.Run) -> None:
         now = self.ctx.now()
-        run.copy_asked_ms = now
+        run.copy_requested_ms = now
         holders = self.membership.live(other_than_data_centre=self.ctx.data_centre)
         untried = [node for node in holders if node not in run.copy_tried]
         if not untried or len(run.copy_tried) >= COPY_TRIES:
@@ -236,13 +236,13 @@
         holder = run.copy_holder
         fit = holder in self.membership.live(other_than_data_centre=self.ctx.data_centre)
         if holder and fit:
-            run.copy_asked_ms = self.ctx.now()
+            run.copy_requested_ms = self.ctx.now()
             self.ctx.send(holder, messages.CopyPut(run.request, run.home_attempt))
             return
         if holder and holder != self.ctx.node:
             self.ctx.send(holder, messages.CopyDrop(run.request.id))
         run.copy_holder = ""
-        self._ask_for_copy(run)
+        self._request_copy(run)
 
     def _accept_uncopied(self, run: runs.Run) -> None:
         run.weakened = run.weakened or UNCOPIED
@@ -260,10 +260,10 @@
         if sender != run.copy_holder:
             return
         if not m.held:
-            self._ask_for_copy(run)
+            self._request_copy(run)
             return
         run.copy_tried.clear()
-        run.copy_asked_ms = 0
+        run.copy_requested_ms = 0
         if run.weakened == UNCOPIED:
             run.weakened = ""
         self.ctx.note(run.request, "copy", sender, "another data centre holds the request")
@@ -298,7 +298,7 @@
             self.end(run, data.Outcome.UNKNOWN, reason)
         else:
             run.phase = runs.Phase.REFUSING
-            self.questions.forget(inquiries.Kind.CLAIM, run.request.id)
+            self.owner_requests.forget(inquiries.Kind.CLAIM, run.request.id)
             self._claim(run, refuse=True)
 
     def _refusal_answered(
@@ -357,7 +357,7 @@
         self,
         run: runs.Run,
         state: data.KeyState,
-        patience_ms: int = SETTLE_PATIENCE_MS,
+        timeout_ms: int = SETTLE_TIMEOUT_MS,
     ) -> None:
         request = run.request
         message = messages.Settle(
@@ -369,23 +369,23 @@
             state,
             run.reply,
         )
-        self.questions.ask(inquiries.Kind.SETTLE, request.id, message, patience_ms)
+        self.owner_requests.submit(inquiries.Kind.SETTLE, request.id, message, timeout_ms)
 
     def settle_answered(self, m: messages.SettleAnswer) -> None:
         """Act on the slot owner's answer about the end of a request."""
-        inquiry = self.questions.answered(inquiries.Kind.SETTLE, m.request_id, m.verdict)
+        inquiry = self.owner_requests.resolve(inquiries.Kind.SETTLE, m.request_id, m.verdict)
         run = self.table.get(m.request_id)
         if inquiry is None or run is None or run.phase is not runs.Phase.REFUSING:
             return
         self._refusal_answered(run, m.verdict, m.record)
 
-    def given_up(self, inquiry: inquiries.Inquiry) -> None:
+    def handle_timeout(self, inquiry: inquiries.Inquiry) -> None:
         """Act on a question that nobody answered."""
         run = self.table.active.get(inquiry.subject)
         if run is None:
             return
         if inquiry.kind is inquiries.Kind.RECORD:
-            self.late_records.given_up(run)
+            self.late_records.handle_timeout(run)
         elif inquiry.kind is inquiries.Kind.CLAIM:
             self._not_granted(run, data.Reason.NO_OWNER)
         elif run.phase is runs.Phase.REFUSING:
@@ -440,19 +440,19 @@
         self.table.ended.pop(record.request_id, None)
         self.table.add(run)
         if request.key:
-            self.ask_rehome(run)
+            self.request_rehome(run)
         else:
             self.dispatcher.enqueue(run, bounded=False)
 
-    def ask_rehome(self, run: runs.Run) -> None:
+    def request_rehome(self, run: runs.Run) -> None:
         """Ask the slot's owner to make this node the home of a run."""
         message = late_records.rehome_message(run)
-        self.questions.ask(inquiries.Kind.REHOME, run.request.id, message)
+        self.owner_requests.submit(inquiries.Kind.REHOME, run.request.id, message)
 
     def rehomed(self, run: runs.Run) -> None:
         """Start a run whose home is this node from now on."""
         run.recorded = True
-        run.told_accepted = True
+        run.acceptance_sent = True
         if run.waits():
             run.phase = runs.Phase.QUEUED
             self._renew_copy(run)
@@ -465,21 +465,21 @@
         self.table.tick()
         for run in list(self.table.active.values()):
             if run.waits() and run.phase is not runs.Phase.CLAIMING:
-                self._tend_copy(run, now)
+                self._check_copy(run, now)
             if run.abandoned_ms and now - run.abandoned_ms > ABANDON_MS and not run.watchers:
                 self.cancel(run.request.id)
 
-    def _tend_copy(self, run: runs.Run, now: int) -> None:
+    def _check_copy(self, run: runs.Run, now: int) -> None:
         if run.phase is runs.Phase.REFUSING:
             return
-        if run.copy_asked_ms and run.copy_holder:
-            if now - run.copy_asked_ms >= COPY_RESEND_MS:
-                self._ask_for_copy(run)
+        if run.copy_requested_ms and run.copy_holder:
+            if now - run.copy_requested_ms >= COPY_RESEND_MS:
+                self._request_copy(run)
             return
         lost = run.copy_holder and self.membership.state(run.copy_holder) in (
             data.NodeState.GONE,
             data.NodeState.LEAVING,
         )
-        missing = not run.copy_holder and now - run.copy_asked_ms >= COPY_RETRY_MS
+        missing = not run.copy_holder and now - run.copy_requested_ms >= COPY_RETRY_MS
         if lost or missing:
-            self._ask_for_copy(run)
+            self._request_copy(run)
--- a/plumarch/node/late_records.py
+++ b/plumarch/node/late_records.py
@@ -10,7 +10,7 @@
 from plumarch.node import runs
 from plumarch.recovery import inquiries, keys
 
-PATIENCE_MS = 30_000
+RECORD_TIMEOUT_MS = 30_000
 """How long one question stays open. A judgement: far longer than a slot is without owner (the
 owner's 2.5 s of silence, then a write to the platform); afterwards it is asked anew."""
 
@@ -37,28 +37,30 @@
     """The open questions for records of accepted requests."""
 
     def __init__(
-        self, ctx: context.Context, questions: inquiries.Inquiries, table: runs.RunTable
+        self, ctx: context.Context, owner_requests: inquiries.Inquiries, table: runs.RunTable
     ) -> None:
         self.ctx = ctx
-        self.questions = questions
+        self.owner_requests = owner_requests
         self.table = table
 
-    def ask(self, run: runs.Run, delay_ms: int = 0) -> None:
+    def request_record(self, run: runs.Run, delay_ms: int = 0) -> None:
         """Ask the slot's owner, whoever it will be, for a record that names this home."""
         message = rehome_message(run)
-        self.questions.ask(inquiries.Kind.RECORD, run.request.id, message, PATIENCE_MS, delay_ms)
+        self.owner_requests.submit(
+            inquiries.Kind.RECORD, run.request.id, message, RECORD_TIMEOUT_MS, delay_ms
+        )
 
     def forget(self, run: runs.Run) -> None:
         """Stop asking for a run."""
-        self.questions.forget(inquiries.Kind.RECORD, run.request.id)
+        self.owner_requests.forget(inquiries.Kind.RECORD, run.request.id)
 
-    def awaits(self, request_id: str) -> bool:
+    def is_pending(self, request_id: str) -> bool:
         """Return whether a record is asked for."""
-        return (inquiries.Kind.RECORD, request_id) in self.questions.open
+        return (inquiries.Kind.RECORD, request_id) in self.owner_requests.open
 
-    def answered(self, m: messages.RehomeAnswer) -> None:
+    def handle_answer(self, m: messages.RehomeAnswer) -> None:
         """Act on the slot owner's answer."""
-        inquiry = self.questions.answered(inquiries.Kind.RECORD, m.request_id, m.verdict)
+        inquiry = self.owner_requests.resolve(inquiries.Kind.RECORD, m.request_id, m.verdict)
         run = self.table.active.get(m.request_id)
         if inquiry is None or run is None:
             return
@@ -70,12 +72,12 @@
             home = m.record.home if m.record else ""
             self.ctx.note(run.request, "record", home, "the key stands for another request")
         else:
-            self.ask(run, RETRY_PAUSE_MS)
+            self.request_record(run, RETRY_PAUSE_MS)
 
-    def given_up(self, run: runs.Run) -> None:
+    def handle_timeout(self, run: runs.Run) -> None:
         """Ask anew, since the request is still in progress."""
         self.ctx.note(run.request, "record", "", "no owner of the key's slot has answered yet")
-        self.ask(run)
+        self.request_record(run)
 
 
 def must_settle(run: runs.Run) -> bool:
@@ -84,4 +86,4 @@
     That an accepted request ran is a fact that may be recorded also without a grant; one that was
     never accepted did not run here.
     """
-    return run.waits() and run.told_accepted
+    return run.waits() and run.acceptance_sent
--- a/plumarch/node/node.py
+++ b/plumarch/node/node.py
@@ -19,7 +19,7 @@
 TICK_MS = 50
 """How often the shell must hand a Tick to the node."""
 
-CONFIG_ASK_MS = 1_000
+CONFIG_REQUEST_INTERVAL_MS = 1_000
 LEAVING_RETENTION_MS = 60_000
 
 WATCHERS = 2
@@ -94,9 +94,9 @@
             ctx, self.membership, self.table, self.placement, self.config, self.orders
         )
         self.notices: dict[str, int] = {}
-        self.shared_out: tuple[tuple[str, ...], tuple[str, ...]] = ((), ())
-        self.next_beat_ms = 0
-        self.next_config_ask_ms = 0
+        self.last_assignment: tuple[tuple[str, ...], tuple[str, ...]] = ((), ())
+        self.next_heartbeat_ms = 0
+        self.next_config_request_ms = 0
 
     def handle(self, event: events.Event) -> list[events.Action]:
         """Decide on one event.
@@ -108,9 +108,9 @@
         """
         self._dispatch_event(event)
         self.dispatch.pump()
-        return self._take_actions()
+        return self._collect_actions()
 
-    def _take_actions(self) -> list[events.Action]:
+    def _collect_actions(self) -> list[events.Action]:
         """Return the actions decided, after handling the messages to this node itself."""
         actions: list[events.Action] = []
         while self.ctx.outbox:
@@ -149,7 +149,7 @@
                 self._cancel(event)
             case events.PlatformAnswer():
                 if not self.orders.platform_answered(event):
-                    self.ledger.writer.answered(event)
+                    self.ledger.writer.handle_answer(event)
             case events.CloudAnswer():
                 self.orders.cloud_answered(event)
             case events.OffersSeen():
@@ -165,17 +165,17 @@
                 self._nodes_gone(event.nodes)
             case events.ConfigSeen():
                 if self.config.apply(event.revision, event.manifest, event.documents):
-                    self._beat()
+                    self._send_heartbeat()
             case events.StopAsked():
-                self.adoption.leave(adoption.STOP_PATIENCE_MS, whole_data_centre=False)
-                self._beat()
+                self.adoption.leave(adoption.STOP_GRACE_MS, whole_data_centre=False)
+                self._send_heartbeat()
 
     # Messages.
 
     def _message(self, sender: str, m: messages.AnyMessage) -> None:
         match m:
             case messages.Heartbeat():
-                self._heard(sender, m)
+                self._apply_heartbeat(sender, m)
             case messages.Claim():
                 self.ledger.claim(sender, m)
             case messages.ClaimAnswer():
@@ -230,21 +230,24 @@
             case messages.Cancel():
                 self.home.cancel(m.request_id)
             case messages.ConfigAsk():
-                self._give_config(sender, m.revision)
+                self._send_config(sender, m.revision)
             case messages.ConfigGive():
                 if self.config.take(m):
-                    self._beat()
+                    self._send_heartbeat()
 
-    def _heard(self, sender: str, beat: messages.Heartbeat) -> None:
-        self.membership.heard(sender, beat)
-        self.ledger.heard(sender, beat.owned)
-        for name, left_ms in beat.leaving:
+    def _apply_heartbeat(self, sender: str, heartbeat: messages.Heartbeat) -> None:
+        self.membership.heard(sender, heartbeat)
+        self.ledger.apply_heartbeat(sender, heartbeat.owned)
+        for name, left_ms in heartbeat.leaving:
             self._notice(name, left_ms)
-        if beat.revision > self.config.revision and self.ctx.now() >= self.next_config_ask_ms:
-            self.next_config_ask_ms = self.ctx.now() + CONFIG_ASK_MS
+        if (
+            heartbeat.revision > self.config.revision
+            and self.ctx.now() >= self.next_config_request_ms
+        ):
+            self.next_config_request_ms = self.ctx.now() + CONFIG_REQUEST_INTERVAL_MS
             self.ctx.send(sender, messages.ConfigAsk(self.config.revision))
 
-    def _give_config(self, sender: str, revision: int) -> None:
+    def _send_config(self, sender: str, revision: int) -> None:
         if self.config.revision > revision:
             self.ctx.send(sender, self.config.give(revision))
 
@@ -268,9 +271,9 @@
                 self._notice(endpoint.name, endpoint.leaves_in_ms)
 
     def _reclaim(self, event: events.ReclaimNotice) -> None:
-        news = [self._notice(name, event.left_ms) for name in event.names]
-        if any(news):
-            self._beat()
+        changed = [self._notice(name, event.left_ms) for name in event.names]
+        if any(changed):
+            self._send_heartbeat()
 
     def _notice(self, name: str, left_ms: int) -> bool:
         """Act on a reclaim notice, whoever told of it.
@@ -303,7 +306,7 @@
 
     def _nodes_gone(self, nodes: tuple[str, ...]) -> None:
         for node in self.membership.mark_gone(nodes):
-            self.adoption.take_lost(node)
+            self.adoption.adopt_copies_of(node)
 
     # Time.
 
@@ -311,25 +314,25 @@
         now = self.ctx.now()
         for node in self.membership.tick():
             self.ctx.note(None, "member", node, "silent for too long: counts as gone")
-            self.adoption.take_lost(node)
+            self.adoption.adopt_copies_of(node)
         self.ledger.tick()
         for inquiry in self.inquiries.tick():
-            self._given_up(inquiry)
+            self._handle_timeout(inquiry)
         self.home.tick()
         self.dispatch.tick()
         self.followers.tick()
         self.adoption.tick()
         self.copies.expire()
-        self._tend_fleet()
-        if now >= self.next_beat_ms:
+        self._update_fleet()
+        if now >= self.next_heartbeat_ms:
             self.membership.heartbeat_interval_ms = members.interval_ms(len(self.peers))
-            self.next_beat_ms = now + self.membership.heartbeat_interval_ms
-            self._share_out_endpoints()
+            self.next_heartbeat_ms = now + self.membership.heartbeat_interval_ms
+            self._assign_endpoints()
             self.decider.observe()
-            self._beat()
-            self._take_lost_again()
+            self._send_heartbeat()
+            self._adopt_late_copies()
 
-    def _tend_fleet(self) -> None:
+    def _update_fleet(self) -> None:
         """Decide on VMs, if the cloud's offers are known; without the platform nothing moves."""
         if not self.decider.offers:
             return
@@ -337,38 +340,38 @@
         changes = self.decider.changes() if deciding else []
         self.orders.tick(changes, frozenset(self.placement.endpoints))
 
-    def _share_out_endpoints(self) -> None:
+    def _assign_endpoints(self) -> None:
         """Settle who admits requests to which endpoint, if nodes or endpoints changed."""
         live = self.membership.live()
         staying = [n for n in self.placement.endpoints if n not in self.placement.leaving]
         state = (tuple(live), tuple(staying))
-        if state == self.shared_out:
+        if state == self.last_assignment:
             return
-        self.shared_out = state
+        self.last_assignment = state
         self.placement.assign_owners({name: self.membership.data_centre(name) for name in live})
 
-    def _take_lost_again(self) -> None:
+    def _adopt_late_copies(self) -> None:
         """Take up copies whose home was lost before they arrived here."""
         homes = {copy.home for copy in self.copies.held.values()}
         for home_node in sorted(homes):
             if self.membership.state(home_node) is data.NodeState.GONE:
-                self.adoption.take_lost(home_node)
+                self.adoption.adopt_copies_of(home_node)
 
-    def _given_up(self, inquiry: inquiries.Inquiry) -> None:
+    def _handle_timeout(self, inquiry: inquiries.Inquiry) -> None:
         if inquiry.kind is inquiries.Kind.REHOME:
-            self.adoption.given_up(inquiry)
+            self.adoption.handle_timeout(inquiry)
         elif inquiry.kind is inquiries.Kind.LOOKUP:
-            self.followers.given_up(inquiry)
+            self.followers.handle_timeout(inquiry)
         else:
-            self.home.given_up(inquiry)
+            self.home.handle_timeout(inquiry)
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         now = self.ctx.now()
         state = data.NodeState.LEAVING if self.membership.leaving else data.NodeState.LIVE
         for name in [n for n, at in self.notices.items() if now - at >= LEAVING_RETENTION_MS]:
             del self.notices[name]
         leaving = [(name, max(0, at - now)) for name, at in self.notices.items()]
-        beat = messages.Heartbeat(
+        heartbeat = messages.Heartbeat(
             self.ctx.data_centre,
             state,
             self.address,
@@ -378,7 +381,7 @@
             self.decider.own_demand(),
         )
         for name in self.peers:
-            self.ctx.send(name, beat)
+            self.ctx.send(name, heartbeat)
 
     # What a shell asks besides.
 
@@ -394,8 +397,8 @@
     def drained(self) -> bool:
         """Return whether a stopping node may end: nobody waits for it any more."""
         # A node that is alone has nobody to hand its slots to.
-        handed_off = self.ledger.handed_off() or not self.membership.live()
-        return self.adoption.drained() and handed_off
+        slots_released = self.ledger.has_no_slots() or not self.membership.live()
+        return self.adoption.drained() and slots_released
 
 
 def encode(message: messages.AnyMessage) -> bytes:
--- a/plumarch/node/runs.py
+++ b/plumarch/node/runs.py
@@ -65,7 +65,7 @@
     epoch: int = 0
     handed_over: bool = False
     handed_over_before: bool = False
-    told_accepted: bool = False
+    acceptance_sent: bool = False
     endpoint: str = ""
     tried: set[str] = dataclasses.field(default_factory=set)
     points: int = 0
@@ -81,10 +81,10 @@
     import_attempt: int = 0
     abandoned_ms: int = 0
     copy_holder: str = ""
-    copy_asked_ms: int = 0
+    copy_requested_ms: int = 0
     copy_tried: set[str] = dataclasses.field(default_factory=set)
     adopter: str = ""
-    adopt_asked_ms: int = 0
+    adopt_requested_ms: int = 0
     weakened: str = ""
     refusal: data.Reason | None = None
     outcome: data.Outcome = data.Outcome.RUNNING
--- a/plumarch/node/watchers.py
+++ b/plumarch/node/watchers.py
@@ -20,20 +20,20 @@
         """Attach a reader, and tell it all that it lacks so far."""
         run.watchers[watcher.watcher_id] = watcher
         run.abandoned_ms = 0
-        if not watcher.node and run.told_accepted:
-            self._tell_accepted(run, watcher)
+        if not watcher.node and run.acceptance_sent:
+            self._send_accepted(run, watcher)
         self._push_to(run, watcher)
         if run.phase is runs.Phase.ENDED:
             self._end_to(run, watcher)
 
     def accepted(self, run: runs.Run) -> None:
         """Tell the callers here that the request is accepted, and under which key."""
-        run.told_accepted = True
+        run.acceptance_sent = True
         for watcher in run.watchers.values():
             if not watcher.node:
-                self._tell_accepted(run, watcher)
+                self._send_accepted(run, watcher)
 
-    def _tell_accepted(self, run: runs.Run, watcher: runs.Watcher) -> None:
+    def _send_accepted(self, run: runs.Run, watcher: runs.Watcher) -> None:
         request = run.request
         self.ctx.act(events.TellAccepted(watcher.watcher_id, request.id, request.key, run.weakened))
 
@@ -47,9 +47,9 @@
             position = watcher.position
             chunk = run.tokens[position : position + CHUNK_TOKENS]
             watcher.position += len(chunk)
-            self._tell_tokens(run, watcher, position, chunk)
+            self._send_tokens(run, watcher, position, chunk)
 
-    def _tell_tokens(
+    def _send_tokens(
         self, run: runs.Run, watcher: runs.Watcher, position: int, tokens: list[str]
     ) -> None:
         request_id = run.request.id
@@ -77,9 +77,9 @@
             )
             self.ctx.send(watcher.node, ended)
         else:
-            self.tell_end(watcher.watcher_id, run.request.id, run.outcome, run.reason, run.reply)
+            self.send_end(watcher.watcher_id, run.request.id, run.outcome, run.reason, run.reply)
 
-    def tell_end(
+    def send_end(
         self,
         watcher_id: str,
         request_id: str,
--- a/plumarch/recovery/inquiries.py
+++ b/plumarch/recovery/inquiries.py
@@ -15,7 +15,7 @@
 GIVE_UP_MS = 3_000
 """How long a question stays open: longer than an owner's wait for its permission."""
 
-Question = messages.Claim | messages.Settle | messages.Rehome | messages.Lookup
+OwnerRequest = messages.Claim | messages.Settle | messages.Rehome | messages.Lookup
 
 
 class Kind(enum.StrEnum):
@@ -35,7 +35,7 @@
 
     kind: Kind
     subject: str
-    message: Question
+    message: OwnerRequest
     give_up_ms: int
     next_send_ms: int
     tries: int = 0
@@ -49,12 +49,12 @@
         self.ledger = slots_known
         self.open: dict[tuple[Kind, str], Inquiry] = {}
 
-    def ask(
+    def submit(
         self,
         kind: Kind,
         subject: str,
-        message: Question,
-        patience_ms: int = GIVE_UP_MS,
+        message: OwnerRequest,
+        timeout_ms: int = GIVE_UP_MS,
         delay_ms: int = 0,
     ) -> None:
         """Ask a question.
@@ -63,11 +63,11 @@
           kind: what is asked.
           subject: the request or lookup that it is for.
           message: the question; its slot says whom to ask.
-          patience_ms: after this long it is given up.
+          timeout_ms: after this long it is given up.
           delay_ms: how long to wait before it is sent for the first time.
         """
         now = self.ctx.now()
-        inquiry = Inquiry(kind, subject, message, now + patience_ms, now + delay_ms)
+        inquiry = Inquiry(kind, subject, message, now + timeout_ms, now + delay_ms)
         self.open[(kind, subject)] = inquiry
         if not delay_ms:
             self._send(inquiry)
@@ -82,7 +82,7 @@
         inquiry.tries += 1
         self.ctx.send(route.owner, inquiry.message)
 
-    def answered(self, kind: Kind, subject: str, verdict: messages.Verdict) -> Inquiry | None:
+    def resolve(self, kind: Kind, subject: str, verdict: messages.Verdict) -> Inquiry | None:
         """Take in an answer.
 
         Returns:
--- a/plumarch/recovery/ledger.py
+++ b/plumarch/recovery/ledger.py
@@ -325,7 +325,7 @@
                 return node
         return ""
 
-    def _tend_successor(self, slot: slots.OwnedSlot) -> None:
+    def _update_successor(self, slot: slots.OwnedSlot) -> None:
         now = self.ctx.now()
         if slot.candidate:
             if slot.copied:
@@ -401,16 +401,16 @@
         if self.writer.busy(slot.number) or now - slot.last_store_ms < STORE_INTERVAL_MS:
             return
         state = self.membership.state(slot.successor) if slot.successor else data.NodeState.GONE
-        patience = ACK_WAIT_MS if state is data.NodeState.LIVE else 0
+        ack_wait_ms = ACK_WAIT_MS if state is data.NodeState.LIVE else 0
         waiting = {
             op.number: op.record
             for op in slot.operations.values()
-            if now - op.started_ms >= patience and not op.stored
+            if now - op.started_ms >= ack_wait_ms and not op.stored
         }
         if not waiting:
             return
-        room = STORED_LIMIT - len(slot.object_records)
-        chosen = dict(list(waiting.items())[: max(0, room)])
+        free_records = STORED_LIMIT - len(slot.object_records)
+        chosen = dict(list(waiting.items())[: max(0, free_records)])
         if not chosen:
             return
         slot.last_store_ms = now
@@ -419,7 +419,7 @@
 
     # Taking a slot over.
 
-    def _tend_held(self) -> None:
+    def _check_held(self) -> None:
         for held in list(self.held.values()):
             if held.closed or held.sealed or self.writer.busy(held.number):
                 continue
@@ -429,23 +429,23 @@
             if leaving or state is data.NodeState.GONE:
                 self.writer.load(held.number)
 
-    def _owner_is_out(self, owner: str) -> bool:
+    def _owner_is_unavailable(self, owner: str) -> bool:
         return self.membership.state(owner) in (data.NodeState.GONE, data.NodeState.LEAVING)
 
-    def _tend_takeovers(self) -> None:
+    def _check_takeovers(self) -> None:
         now = self.ctx.now()
         if now < self.next_orphan_check_ms:
             return
         self.next_orphan_check_ms = now + ORPHAN_CHECK_MS
-        self._tend_held()
+        self._check_held()
         if not self.membership.leaving:
-            self._tend_ownerless()
+            self._check_ownerless()
 
-    def _tend_ownerless(self) -> None:
+    def _check_ownerless(self) -> None:
         live = self.membership.live()
         for number in range(keys.SLOTS):
             route = self.routes.get(number)
-            served = route is not None and not self._owner_is_out(route.owner)
+            served = route is not None and not self._owner_is_unavailable(route.owner)
             if served or number in self.owned:
                 continue
             first = hashing.rendezvous(slots.object_name(number), live)[0]
@@ -458,19 +458,19 @@
             return
         if found is None:
             first = data.SlotObject(1, self.ctx.node, "")
-            self.writer.write(number, slots.Purpose.TAKE, first, 0)
+            self.writer.write(number, slots.Purpose.TAKE_OVER, first, 0)
             return
         held = self.held.get(number)
         if held is not None and held.epoch < found.epoch:
             held.closed = True
             held = None
-        if not self._owner_is_out(found.owner):
+        if not self._owner_is_unavailable(found.owner):
             self._learn_route(number, found.epoch, found.owner)
             return
         if held is not None and not held.closed and found.successor == self.ctx.node:
-            self._take_as_successor(held, version, found)
+            self._take_over_as_successor(held, version, found)
         elif self._is_orphan(found) and not self.membership.leaving:
-            self._take_as_stranger(number, version, found)
+            self._take_over_orphan(number, version, found)
 
     def _is_orphan(self, found: data.SlotObject) -> bool:
         """Return whether neither owner nor successor can act any more, by proof.
@@ -481,7 +481,7 @@
         pair = (found.owner, found.successor)
         return all(self.membership.confirmed_gone(node) for node in pair if node)
 
-    def _take_as_successor(
+    def _take_over_as_successor(
         self, held: slots.HeldSlot, version: int, found: data.SlotObject
     ) -> None:
         # Sealed before the write leaves: an acknowledgement after it would be a
@@ -490,12 +490,12 @@
         wanted = dataclasses.replace(
             found, epoch=found.epoch + 1, owner=self.ctx.node, successor=""
         )
-        self.writer.write(held.number, slots.Purpose.TAKE, wanted, version)
+        self.writer.write(held.number, slots.Purpose.TAKE_OVER, wanted, version)
 
-    def _take_as_stranger(self, number: int, version: int, found: data.SlotObject) -> None:
+    def _take_over_orphan(self, number: int, version: int, found: data.SlotObject) -> None:
         epoch = found.epoch + 1
         wanted = data.SlotObject(epoch, self.ctx.node, "", epoch, found.records)
-        self.writer.write(number, slots.Purpose.TAKE, wanted, version)
+        self.writer.write(number, slots.Purpose.TAKE_OVER, wanted, version)
 
     def load_failed(self, number: int) -> None:
         """A read failed: nothing was started, the next tick tries again."""
@@ -504,8 +504,8 @@
         self, number: int, purpose: slots.Purpose, version: int, landed: data.SlotObject
     ) -> None:
         """Act on a write that took effect."""
-        if purpose is slots.Purpose.TAKE:
-            self._taken(number, version, landed)
+        if purpose is slots.Purpose.TAKE_OVER:
+            self._start_owning(number, version, landed)
             return
         slot = self.owned.get(number)
         if slot is None:
@@ -522,7 +522,7 @@
                     operation.stored = True
         self._release_permitted(slot, list(slot.operations.values()))
 
-    def _taken(self, number: int, version: int, landed: data.SlotObject) -> None:
+    def _start_owning(self, number: int, version: int, landed: data.SlotObject) -> None:
         held = self.held.pop(number, None)
         records: list[data.KeyRecord] = []
         # A table of another epoch is no part of this slot's truth.
@@ -548,18 +548,18 @@
         self.ctx.count("slot_takeovers", label="uncertain" if landed.uncertain_epoch else "whole")
         why = "it had no owner yet" if landed.epoch == 1 else "its owner is out"
         self.ctx.note(None, "slot", f"own slot {number} at epoch {landed.epoch}", why)
-        self._tend_successor(slot)
+        self._update_successor(slot)
 
-    def lost(
+    def conflicted(
         self, number: int, purpose: slots.Purpose, version: int, found: data.SlotObject
     ) -> None:
         """Act on a write that another one came before."""
-        if purpose is slots.Purpose.TAKE:
+        if purpose is slots.Purpose.TAKE_OVER:
             held = self.held.get(number)
             if held is not None:
                 held.sealed = False
                 held.closed = held.closed or held.epoch < found.epoch
-            if not self._owner_is_out(found.owner):
+            if not self._owner_is_unavailable(found.owner):
                 self._learn_route(number, found.epoch, found.owner)
             return
         slot = self.owned.get(number)
@@ -572,9 +572,9 @@
             slot.version = version
             slot.successor = found.successor
 
-    def unreached(self, number: int, purpose: slots.Purpose) -> None:
+    def not_written(self, number: int, purpose: slots.Purpose) -> None:
         """Act on a write that certainly did not take effect."""
-        if purpose is slots.Purpose.TAKE:
+        if purpose is slots.Purpose.TAKE_OVER:
             held = self.held.get(number)
             if held is not None:
                 held.sealed = False
@@ -591,7 +591,7 @@
         )
         self.ctx.note(None, "slot", f"gave up slot {number}", "a higher epoch rules it")
 
-    def _tend_uncertainty(self, slot: slots.OwnedSlot) -> None:
+    def _end_uncertainty(self, slot: slots.OwnedSlot) -> None:
         """End the uncertainty once no caller may ask again for a key of before."""
         if slot.uncertain_epoch and self.ctx.now() >= slot.certain_at_ms:
             slot.uncertain_epoch = 0
@@ -603,7 +603,7 @@
         if known is None or epoch >= known.epoch:
             self.routes[number] = slots.Route(epoch, owner, self.ctx.now())
 
-    def heard(self, sender: str, owned: list[tuple[int, int]]) -> None:
+    def apply_heartbeat(self, sender: str, owned: list[tuple[int, int]]) -> None:
         """Learn from a heartbeat which slots its sender owns."""
         for number, epoch in owned:
             mine = self.owned.get(number)
@@ -622,7 +622,7 @@
         """Return this node's slots and their epochs, for its heartbeat."""
         return [(slot.number, slot.epoch) for slot in self.owned.values()]
 
-    def handed_off(self) -> bool:
+    def has_no_slots(self) -> bool:
         """Return whether this node owns no slot any more."""
         return not self.owned
 
@@ -636,16 +636,16 @@
         for slot in list(self.owned.values()):
             # A slot at rest is looked at only now and then: most are, most of the time.
             if resend or slot.operations or slot.candidate:
-                self._tend_owned(slot, resend)
-        self._tend_takeovers()
+                self._update_owned(slot, resend)
+        self._check_takeovers()
 
-    def _tend_owned(self, slot: slots.OwnedSlot, resend: bool) -> None:
+    def _update_owned(self, slot: slots.OwnedSlot, resend: bool) -> None:
         if resend:
             slot.table.expire(self.ctx.now())
-            self._tend_uncertainty(slot)
+            self._end_uncertainty(slot)
             self._resend(slot)
         self._fail_old_operations(slot)
-        self._tend_successor(slot)
+        self._update_successor(slot)
         self._store_records(slot)
 
     def _resend(self, slot: slots.OwnedSlot) -> None:
--- a/plumarch/recovery/slot_writer.py
+++ b/plumarch/recovery/slot_writer.py
@@ -32,12 +32,12 @@
     ) -> None:
         """A write took effect."""
 
-    def lost(
+    def conflicted(
         self, number: int, purpose: slots.Purpose, version: int, found: data.SlotObject
     ) -> None:
         """A write can't take effect any more: another one came before it."""
 
-    def unreached(self, number: int, purpose: slots.Purpose) -> None:
+    def not_written(self, number: int, purpose: slots.Purpose) -> None:
         """A write certainly did not take effect: the platform was not reached."""
 
 
@@ -94,7 +94,7 @@
         value = msgspec.json.encode(marked)
         self.ctx.act(events.PlatformPut(write.call_id, name, value, write.expected_version))
 
-    def answered(self, answer: events.PlatformAnswer) -> bool:
+    def handle_answer(self, answer: events.PlatformAnswer) -> bool:
         """Take in an answer of the platform.
 
         Returns:
@@ -129,14 +129,14 @@
         if answer.status is events.PlatformStatus.OK:
             del self.writes[write.number]
             self.listener.written(write.number, write.purpose, answer.version, write.object)
-        elif answer.status is events.PlatformStatus.UNREACHED and not write.unsure:
+        elif answer.status is events.PlatformStatus.UNREACHED and not write.may_have_landed:
             del self.writes[write.number]
-            self.listener.unreached(write.number, write.purpose)
+            self.listener.not_written(write.number, write.purpose)
         elif answer.status is events.PlatformStatus.CONFLICT:
             write.reading_back = True
             self._get(write)
         else:
-            write.unsure = True
+            write.may_have_landed = True
             write.reading_back = True
             write.retry_at_ms = self.ctx.now() + RETRY_MS
 
@@ -157,7 +157,7 @@
             self._put(write)
         else:
             del self.writes[write.number]
-            self.listener.lost(write.number, write.purpose, answer.version, found)
+            self.listener.conflicted(write.number, write.purpose, answer.version, found)
 
     def tick(self) -> None:
         """Try unresolved writes again."""
--- a/plumarch/recovery/slots.py
+++ b/plumarch/recovery/slots.py
@@ -11,7 +11,7 @@
     """Why a slot's object is read or written."""
 
     LOAD = "load"
-    TAKE = "take"
+    TAKE_OVER = "take"
     STORE = "store"
     SWITCH = "switch"
     CERTAIN = "certain"
@@ -110,7 +110,7 @@
     call_id: int
     object: data.SlotObject | None = None
     tokens: dict[str, data.SlotObject] = dataclasses.field(default_factory=dict)
-    unsure: bool = False
+    may_have_landed: bool = False
     reading_back: bool = False
     retry_at_ms: int = -1
 
--- a/tests/ledger_test.py
+++ b/tests/ledger_test.py
@@ -140,7 +140,7 @@
     again = world.call(other(scene), handover_test.ticket(scene, other(scene)))
     world.run(3_000)
     assert ends(again) == ["done"]
-    assert world.hosts[scene.successor].node.ledger.handed_off()
+    assert world.hosts[scene.successor].node.ledger.has_no_slots()
     assert one_owner_each(world) == []
 
 
@@ -187,7 +187,7 @@
         return True
 
     world.interfere = keep_from_candidate
-    for action in world.hosts[scene.owner].node._take_actions():
+    for action in world.hosts[scene.owner].node._collect_actions():
         world._perform(world.hosts[scene.owner], action)
     world.run(100)
     caller = world.call(HOME, handover_test.ticket(scene, HOME))
