--- a/plumarch/recovery/__init__.py
+++ b/plumarch/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Keys that run at most once, copies of accepted requests, and their takeover."""
+"""At-most-once execution by key, copies of accepted requests, and failover."""
--- a/plumarch/recovery/copies.py
+++ b/plumarch/recovery/copies.py
@@ -1,7 +1,7 @@
-"""Copies of accepted requests that this node holds for nodes in other data centres.
+"""Copies of accepted requests held for homes in other data centres.
 
-A copy is the request, not its tokens. When its home is gone, the holder becomes
-the home, if the owner of the key's slot agrees.
+A copy is the request without its tokens. If the home is lost, the holder becomes the home, with
+the consent of the slot's owner.
 """
 
 import dataclasses
@@ -9,18 +9,18 @@
 from plumarch.core import context, data, messages
 
 COPY_LIMIT = 2_000
-"""Copies held at most; a further one is declined, and its home asks another node."""
+"""Maximum number of copies; the home of a declined one tries another node."""
 
 COPY_BYTES_LIMIT = 16 * 1024 * 1024
-"""Bytes of request bodies held in copies at most."""
+"""Maximum total size of the request bodies held."""
 
 RETENTION_MS = 3_600_000
-"""A copy whose home lives on but never drops it is dropped after this long."""
+"""Age at which a copy is dropped although its home did not release it."""
 
 
 @dataclasses.dataclass(slots=True)
 class Copy:
-    """A request held for its home."""
+    """A copy of a request and the home it is held for."""
 
     request: data.Request
     home: str
@@ -37,7 +37,7 @@
         self.bytes = 0
 
     def put(self, sender: str, m: messages.CopyPut) -> None:
-        """Hold a copy, or decline it at the limit."""
+        """Store a copy, or decline it at the limit."""
         known = self.held.get(m.request.id)
         if known is not None:
             if m.attempt >= known.attempt:
@@ -55,7 +55,7 @@
         self.ctx.send(sender, messages.CopyAck(m.request.id, True))
 
     def drop(self, request_id: str) -> None:
-        """Forget a copy."""
+        """Remove a copy."""
         copy = self.held.pop(request_id, None)
         if copy is not None:
             self.bytes -= len(copy.request.body)
@@ -65,7 +65,7 @@
         return [copy for copy in self.held.values() if copy.home == node]
 
     def expire(self) -> None:
-        """Drop copies that nobody has asked for in a long time."""
+        """Drop copies older than RETENTION_MS."""
         now = self.ctx.now()
         old = [c.request.id for c in self.held.values() if now - c.since_ms > RETENTION_MS]
         for request_id in old:
--- a/plumarch/recovery/inquiries.py
+++ b/plumarch/recovery/inquiries.py
@@ -1,7 +1,6 @@
-"""Questions to slot owners, repeated until answered or given up.
+"""Requests to slot owners, resent until they are answered or time out.
 
-Owners change and messages get lost. Every question may therefore be asked more
-than once, of different nodes; owners answer a repeated question as the first.
+A request may reach several owners or one of them twice; owners handle it idempotently.
 """
 
 import dataclasses
@@ -13,13 +12,13 @@
 RESEND_MS = 300
 MOVED_WAIT_MS = 100
 GIVE_UP_MS = 3_000
-"""How long a question stays open: longer than an owner's wait for its permission."""
+"""Default timeout; longer than ledger.OPERATION_TIMEOUT_MS, so that the owner can answer."""
 
 OwnerRequest = messages.Claim | messages.Settle | messages.Rehome | messages.Lookup
 
 
 class Kind(enum.StrEnum):
-    """What is asked."""
+    """Kind of request to a slot owner."""
 
     CLAIM = "claim"
     REFUSE = "refuse"
@@ -31,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Inquiry:
-    """A question on its way."""
+    """A pending request to a slot owner."""
 
     kind: Kind
     subject: str
@@ -42,7 +41,7 @@
 
 
 class Inquiries:
-    """The open questions of this node, by kind and subject."""
+    """This node's pending requests, by kind and subject."""
 
     def __init__(self, ctx: context.Context, slots_known: ledger.Ledger) -> None:
         self.ctx = ctx
@@ -57,14 +56,12 @@
         timeout_ms: int = GIVE_UP_MS,
         delay_ms: int = 0,
     ) -> None:
-        """Ask a question.
+        """Send a message to the owner of its slot and track it until answered.
 
         Args:
-          kind: what is asked.
-          subject: the request or lookup that it is for.
-          message: the question; its slot says whom to ask.
-          timeout_ms: after this long it is given up.
-          delay_ms: how long to wait before it is sent for the first time.
+          subject: id of the caller's request or lookup that it is for.
+          timeout_ms: time until it is given up.
+          delay_ms: delay before it is first sent.
         """
         now = self.ctx.now()
         inquiry = Inquiry(kind, subject, message, now + timeout_ms, now + delay_ms)
@@ -83,11 +80,11 @@
         self.ctx.send(route.owner, inquiry.message)
 
     def resolve(self, kind: Kind, subject: str, verdict: messages.Verdict) -> Inquiry | None:
-        """Take in an answer.
+        """Match an answer to its pending request.
 
         Returns:
-          The inquiry that it ends, or None if it ends none: it is late, or the owner
-          has moved and the question is asked again.
+          The completed inquiry, or None if the answer is late or the slot has moved, after which
+          the message is sent again.
         """
         inquiry = self.open.get((kind, subject))
         if inquiry is None:
@@ -99,14 +96,14 @@
         return self.open.pop((kind, subject))
 
     def forget(self, kind: Kind, subject: str) -> None:
-        """Stop asking."""
+        """Cancel a pending request."""
         self.open.pop((kind, subject), None)
 
     def tick(self) -> list[Inquiry]:
-        """Repeat unanswered questions.
+        """Resend unanswered requests.
 
         Returns:
-          Those that were given up just now.
+          Those that have just timed out.
         """
         now = self.ctx.now()
         given_up = []
--- a/plumarch/recovery/keys.py
+++ b/plumarch/recovery/keys.py
@@ -1,26 +1,26 @@
-"""The key space: which slot a key falls into, and the table of one slot's records."""
+"""Mapping of keys to slots, and the table of a slot's records."""
 
 import dataclasses
 
 from plumarch.core import data, hashing
 
 SLOTS = 32
-"""Slots a region. A deployment never changes it: the same key must keep its slot."""
+"""Number of slots per region; fixed, since a key must always map to the same slot."""
 
 RETENTION_MS = 600_000
-"""How long a key's record outlives its last change: callers may retry that long."""
+"""How long a record is kept after its last change, and so how long callers may retry."""
 
 TABLE_LIMIT = 20_000
-"""Records a slot holds at most; a claim past it is refused as not run."""
+"""Maximum records per slot; claims beyond it are refused as not run."""
 
 REPLY_LIMIT = 65_536
-"""Bytes of one reply kept beside its record; a longer one isn't kept."""
+"""Maximum bytes of a reply kept with its record; longer ones are not kept."""
 
 ISSUED = "pk"
 
 
 def slot_of(workspace: str, key: str) -> int:
-    """Return the slot of a key. Keys that plumarch issued name their slot."""
+    """Return the slot of a key; issued keys contain theirs."""
     issued = issued_parts(key)
     if issued is not None:
         return issued[0]
@@ -28,10 +28,7 @@
 
 
 def issue(slot: int, epoch: int, unique: str) -> str:
-    """Make a key that proves by its epoch that it is not older than that epoch.
-
-    It holds only characters that need no quoting in a URL.
-    """
+    """Build a URL-safe key whose epoch proves that it is not older than that epoch."""
     plain = "".join(c if c.isalnum() else "-" for c in unique)
     return f"{ISSUED}.{slot}.{epoch}.{plain}"
 
@@ -54,7 +51,7 @@
 
 
 class Table:
-    """The records of one slot, bounded in number, each kept RETENTION_MS past its last change."""
+    """The records of one slot, ordered by their last change."""
 
     def __init__(self, records: list[data.KeyRecord] | None = None) -> None:
         self.records: dict[tuple[str, str], data.KeyRecord] = {}
@@ -62,45 +59,41 @@
             self.put(record, record.written_ms)
 
     def get(self, workspace: str, key: str) -> data.KeyRecord | None:
-        """Return the record of a key, if there is one."""
+        """Return the record of a key, or None."""
         return self.records.get((workspace, key))
 
     def put(self, record: data.KeyRecord, now: int) -> data.KeyRecord:
-        """Put a record in, dated now by this node's own clock; its reply is bounded.
+        """Store a record with the local time now, dropping an oversized reply.
 
         Returns:
-          The record as kept.
+          The record as stored.
         """
         reply = record.reply
         if reply is not None and reply_size(reply) > REPLY_LIMIT:
             reply = None
         kept = dataclasses.replace(record, written_ms=now, reply=reply)
-        # Taking the key out first moves it to the end: the dict stays in order of age.
+        # Removing the key first moves it to the end, which keeps the dict ordered by age.
         self.records.pop((record.workspace, record.key), None)
         self.records[(record.workspace, record.key)] = kept
         return kept
 
     def drop(self, workspace: str, key: str) -> None:
-        """Forget a key."""
+        """Remove the record of a key."""
         self.records.pop((workspace, key), None)
 
     def merge(self, records: list[data.KeyRecord], now: int) -> None:
-        """Take in another copy's records; of two for a key the more final one stays."""
+        """Merge records of another copy; the higher rank wins."""
         for record in records:
             mine = self.get(record.workspace, record.key)
             if mine is None or rank(record) > rank(mine):
                 self.put(record, now)
 
     def full(self) -> bool:
-        """Return whether no more keys fit in."""
+        """Return whether the table is full."""
         return len(self.records) >= TABLE_LIMIT
 
     def expire(self, now: int) -> int:
-        """Drop records that are past their time, oldest first.
-
-        Returns:
-          How many were dropped.
-        """
+        """Drop records older than RETENTION_MS and return how many."""
         old = []
         for name, record in self.records.items():
             if now - record.written_ms <= RETENTION_MS:
@@ -116,11 +109,11 @@
 
 
 def rank(record: data.KeyRecord) -> tuple[int, int]:
-    """Return how far a record has got; a settled one goes before a granted one."""
+    """Return the precedence of a record: settled before granted, then by attempt."""
     settled = 0 if record.state is data.KeyState.GRANTED else 1
     return (settled, record.attempt)
 
 
 def reply_size(reply: data.Reply) -> int:
-    """Return the bytes that a kept reply takes, roughly."""
+    """Return the approximate size of a reply in bytes."""
     return len(reply.body) + sum(len(token) for token in reply.tokens)
--- a/plumarch/recovery/ledger.py
+++ b/plumarch/recovery/ledger.py
@@ -1,10 +1,8 @@
-"""The slot protocol: who may hand a request over, once, without a consensus group.
+"""The slot protocol, which grants at-most-once dispatch of a key without a consensus group.
 
-The key space is cut into slots. A slot's owner serialises its keys. A permission
-is a record that outlives the owner: its successor, in another data centre, holds
-it, or the slot's object on the platform does. Safety rests on no clock; silence
-and leases only decide when a successor takes over. docs/design/once-only.md
-gives the argument and what was weighed.
+A slot's owner serialises its keys and replicates each grant to a successor in another data centre
+or to the slot's object on the platform. Timeouts only decide when a successor takes over; safety
+does not depend on clocks. See docs/design/once-only.md.
 """
 
 import dataclasses
@@ -16,31 +14,31 @@
 from plumarch.recovery import keys, slot_writer, slots
 
 ACK_WAIT_MS = 250
-"""After this long without the successor's acknowledgement the platform is asked."""
+"""Time without the successor's acknowledgement after which a record is stored on the platform."""
 
 RESEND_MS = 200
-"""Time between repeats of an unacknowledged message."""
+"""Resend interval of unacknowledged messages."""
 
 OPERATION_TIMEOUT_MS = 2_000
-"""After this long without permission the claimant hears that there is none."""
+"""Time after which an operation that is not durable fails."""
 
 STORE_INTERVAL_MS = 100
-"""Shortest time between two grouped writes of one slot's records."""
+"""Minimum interval between batched writes of a slot's records."""
 
 STORED_LIMIT = 500
-"""Records that a slot's object holds at most, to stay far below 1 MB."""
+"""Maximum records in a slot's object, to keep it far below 1 MB."""
 
 COPY_TIMEOUT_MS = 3_000
-"""After this long a candidate that has not taken the table is passed over."""
+"""Time after which a candidate that has not acknowledged the table is dropped."""
 
 ORPHAN_CHECK_MS = 500
-"""Time between looks for slots without owner."""
+"""Interval of the check for slots without an owner."""
 
 JOIN_MS = 1_500
-"""How long a new node listens before it takes any slot."""
+"""Delay after start before a node takes over slots."""
 
 OPERATIONS_LIMIT = 2_000
-"""Operations of one slot that may wait for permission at once."""
+"""Maximum pending operations per slot."""
 
 Failable = (
     messages.ClaimAnswer | messages.SettleAnswer | messages.RehomeAnswer | messages.LookupAnswer
@@ -48,7 +46,7 @@
 
 
 class Ledger:
-    """The slots that this node owns or holds for another, and the way to all others."""
+    """Slots that this node owns or replicates, and the known owners of all others."""
 
     def __init__(self, ctx: context.Context, membership: members.Membership) -> None:
         self.ctx = ctx
@@ -61,10 +59,10 @@
         self.next_resend_ms = 0
         self.next_orphan_check_ms = ctx.now() + JOIN_MS
 
-    # What an owner answers.
+    # Requests handled as owner.
 
     def claim(self, sender: str, m: messages.Claim) -> None:
-        """Grant a request's hand-over, settle it as refused, or say what stands."""
+        """Grant a request's dispatch, settle its key as refused, or answer with its record."""
 
         def answer(
             verdict: messages.Verdict, record: data.KeyRecord | None = None
@@ -82,7 +80,7 @@
                 self.ctx.send(sender, answer(messages.Verdict.MOVED))
                 return
             if m.refuse and _is_granted_to(record, sender, m.request_id):
-                # Its home gives it up unrun: only the home could have run it.
+                # Only the home could have run it, and the home reports that it did not.
                 refused = dataclasses.replace(record, state=data.KeyState.REFUSED)
                 granted = answer(messages.Verdict.GRANTED)
                 self._commit(slot, refused, sender, granted, answer(messages.Verdict.CANNOT))
@@ -124,8 +122,8 @@
             return
         known = slot.table.get(m.workspace, m.key)
         if known is None:
-            # Only facts may be written for a key whose record was lost: that the
-            # request ran, or may have run. That it did not is no fact of the sender's.
+            # Without a record the sender can only vouch that the request ran or may have run,
+            # not that no other node ran it.
             if m.state is data.KeyState.REFUSED:
                 self.ctx.send(sender, answer(messages.Verdict.UNCERTAIN))
                 return
@@ -149,7 +147,7 @@
         self._commit(slot, record, sender, granted, answer(messages.Verdict.CANNOT))
 
     def rehome(self, sender: str, m: messages.Rehome) -> None:
-        """Make the sender the home of a repeatable request in progress."""
+        """Make the sender the home of a repeatable request."""
 
         def answer(
             verdict: messages.Verdict, record: data.KeyRecord | None = None
@@ -186,7 +184,7 @@
         self._commit(slot, record, sender, granted, answer(messages.Verdict.CANNOT))
 
     def lookup(self, sender: str, m: messages.Lookup) -> None:
-        """Say what is known of a key."""
+        """Answer with the record of a key."""
         slot = self.owned.get(m.slot)
         record = slot.table.get(m.workspace, m.key) if slot else None
         if slot is None or (record is not None and self._is_pending(slot, record)):
@@ -203,7 +201,7 @@
     def _is_pending(self, slot: slots.OwnedSlot, record: data.KeyRecord) -> bool:
         return (record.workspace, record.key) in slot.pending
 
-    # How a record becomes permanent.
+    # Replication of records.
 
     def _commit(
         self,
@@ -231,10 +229,9 @@
                 self.ctx.send(node, message)
 
     def _required(self, slot: slots.OwnedSlot) -> set[str]:
-        """Return the nodes that must hold a record; empty if acknowledgements don't do.
+        """Return the nodes that must acknowledge a record; empty without a successor.
 
-        While a change of successor is unresolved, either of the two may be the
-        one that will take over, so both must hold it.
+        While a change of successor is unresolved, either node may take over, so both must.
         """
         if not slot.successor:
             return set()
@@ -246,8 +243,8 @@
     def _release_permitted(self, slot: slots.OwnedSlot, operations: list[slots.Operation]) -> None:
         required = self._required(slot)
         for operation in operations:
-            held = bool(required) and required <= operation.acks
-            if held or operation.stored:
+            acknowledged = bool(required) and required <= operation.acks
+            if acknowledged or operation.stored:
                 self._finish(slot, operation)
                 self.ctx.send(operation.to_node, operation.answer)
 
@@ -256,7 +253,7 @@
         slot.pending.discard((operation.record.workspace, operation.record.key))
 
     def replicate(self, sender: str, m: messages.Replicate) -> None:
-        """Hold a record for a slot's owner, unless this node can't vouch for it."""
+        """Store a record for a slot's owner, unless this node lacks the matching table."""
         held = self.held.get(m.slot)
         if held is None or held.epoch != m.epoch or held.owner != sender:
             self.ctx.send(sender, messages.NoTable(m.slot, m.epoch))
@@ -267,7 +264,7 @@
         self.ctx.send(sender, messages.Replicated(m.slot, m.epoch, m.operation))
 
     def replicated(self, sender: str, m: messages.Replicated) -> None:
-        """Count an acknowledgement."""
+        """Register a successor's acknowledgement."""
         slot = self.owned.get(m.slot)
         if slot is None or slot.epoch != m.epoch:
             return
@@ -277,14 +274,14 @@
             self._release_permitted(slot, [operation])
 
     def no_table(self, sender: str, m: messages.NoTable) -> None:
-        """Copy the table to a successor or candidate that says it has none."""
+        """Copy the table to a successor that lacks it."""
         slot = self.owned.get(m.slot)
         if slot is None or slot.epoch != m.epoch or sender != slot.successor or slot.candidate:
             return
         self._start_copy(slot, sender)
 
     def table_copy(self, sender: str, m: messages.TableCopy) -> None:
-        """Take a slot's table in, to become its successor."""
+        """Store a slot's table, to become its successor."""
         held = self.held.get(m.slot)
         if held is not None:
             if held.epoch > m.epoch or (held.epoch == m.epoch and held.closed):
@@ -306,7 +303,7 @@
         self.ctx.send(sender, messages.TableCopied(m.slot, m.epoch, m.copy))
 
     def table_copied(self, sender: str, m: messages.TableCopied) -> None:
-        """Make a candidate that holds the table the successor."""
+        """Promote a candidate that holds the table to successor."""
         slot = self.owned.get(m.slot)
         if slot is None or slot.epoch != m.epoch:
             return
@@ -371,8 +368,7 @@
         if slot.candidate == slot.successor and settled and not slot.object_records:
             self._drop_candidate(slot)
             return
-        # Records of before the copy are part of the copied table. Later ones stay
-        # in the object: the candidate may have missed them.
+        # Earlier records are part of the copied table; the candidate may lack later ones.
         kept = {n: r for n, r in slot.object_records.items() if n >= slot.copy_first_operation}
         self._write(slot, slots.Purpose.SWITCH, successor=slot.candidate, records=kept)
 
@@ -396,7 +392,7 @@
         self.writer.write(slot.number, purpose, wanted, slot.version)
 
     def _store_records(self, slot: slots.OwnedSlot) -> None:
-        """Ask the platform for what the successor did not acknowledge, in one write."""
+        """Store records that the successor did not acknowledge in the slot's object."""
         now = self.ctx.now()
         if self.writer.busy(slot.number) or now - slot.last_store_ms < STORE_INTERVAL_MS:
             return
@@ -417,14 +413,14 @@
         records = {**slot.object_records, **chosen}
         self._write(slot, slots.Purpose.STORE, slot.successor, records)
 
-    # Taking a slot over.
+    # Takeover.
 
     def _check_held(self) -> None:
         for held in list(self.held.values()):
             if held.closed or held.sealed or self.writer.busy(held.number):
                 continue
             state = self.membership.state(held.owner)
-            # A leaving successor takes over from a lost owner, to pass the slot on.
+            # A leaving successor takes over from a lost owner in order to hand the slot on.
             leaving = state is data.NodeState.LEAVING and not self.membership.leaving
             if leaving or state is data.NodeState.GONE:
                 self.writer.load(held.number)
@@ -453,7 +449,7 @@
                 self.writer.load(number)
 
     def loaded(self, number: int, version: int, found: data.SlotObject | None) -> None:
-        """Decide what to do with a slot after reading its object."""
+        """Decide on a takeover after reading a slot's object."""
         if number in self.owned:
             return
         if found is None:
@@ -473,10 +469,10 @@
             self._take_over_orphan(number, version, found)
 
     def _is_orphan(self, found: data.SlotObject) -> bool:
-        """Return whether neither owner nor successor can act any more, by proof.
+        """Return whether owner and successor are both confirmed gone.
 
-        Silence is no proof: in a data centre cut off from them, both seem lost while
-        they go on serving the slot. Taking it over there would make keys uncertain.
+        Being unreachable is not enough: both may be serving the slot beyond a network partition,
+        and a takeover would make its keys uncertain.
         """
         pair = (found.owner, found.successor)
         return all(self.membership.confirmed_gone(node) for node in pair if node)
@@ -484,8 +480,8 @@
     def _take_over_as_successor(
         self, held: slots.HeldSlot, version: int, found: data.SlotObject
     ) -> None:
-        # Sealed before the write leaves: an acknowledgement after it would be a
-        # permission that this node, as next owner, might not have in its table.
+        # Sealed before the write, since records acknowledged after it might be missing from the
+        # table of the new epoch.
         held.sealed = True
         wanted = dataclasses.replace(
             found, epoch=found.epoch + 1, owner=self.ctx.node, successor=""
@@ -498,12 +494,12 @@
         self.writer.write(number, slots.Purpose.TAKE_OVER, wanted, version)
 
     def load_failed(self, number: int) -> None:
-        """A read failed: nothing was started, the next tick tries again."""
+        """Do nothing; the next check reads again."""
 
     def written(
         self, number: int, purpose: slots.Purpose, version: int, landed: data.SlotObject
     ) -> None:
-        """Act on a write that took effect."""
+        """Apply a write that took effect."""
         if purpose is slots.Purpose.TAKE_OVER:
             self._start_owning(number, version, landed)
             return
@@ -525,7 +521,7 @@
     def _start_owning(self, number: int, version: int, landed: data.SlotObject) -> None:
         held = self.held.pop(number, None)
         records: list[data.KeyRecord] = []
-        # A table of another epoch is no part of this slot's truth.
+        # A table of any other epoch may be stale.
         if held is not None and held.epoch == landed.epoch - 1:
             records = held.table.listing()
         table = keys.Table(records)
@@ -553,7 +549,7 @@
     def conflicted(
         self, number: int, purpose: slots.Purpose, version: int, found: data.SlotObject
     ) -> None:
-        """Act on a write that another one came before."""
+        """Handle a write that was preempted by another one."""
         if purpose is slots.Purpose.TAKE_OVER:
             held = self.held.get(number)
             if held is not None:
@@ -573,14 +569,14 @@
             slot.successor = found.successor
 
     def not_written(self, number: int, purpose: slots.Purpose) -> None:
-        """Act on a write that certainly did not take effect."""
+        """Unseal the slot after a takeover that did not reach the platform."""
         if purpose is slots.Purpose.TAKE_OVER:
             held = self.held.get(number)
             if held is not None:
                 held.sealed = False
 
     def _depose(self, number: int) -> None:
-        """Stop owning a slot; its table is kept for the new owner to ask for."""
+        """Stop owning a slot, keeping its table closed."""
         slot = self.owned.pop(number)
         for operation in slot.operations.values():
             assert isinstance(operation.failure, Failable)
@@ -592,7 +588,7 @@
         self.ctx.note(None, "slot", f"gave up slot {number}", "a higher epoch rules it")
 
     def _end_uncertainty(self, slot: slots.OwnedSlot) -> None:
-        """End the uncertainty once no caller may ask again for a key of before."""
+        """End the uncertainty once the retry period of older keys has passed."""
         if slot.uncertain_epoch and self.ctx.now() >= slot.certain_at_ms:
             slot.uncertain_epoch = 0
 
@@ -604,7 +600,7 @@
             self.routes[number] = slots.Route(epoch, owner, self.ctx.now())
 
     def apply_heartbeat(self, sender: str, owned: list[tuple[int, int]]) -> None:
-        """Learn from a heartbeat which slots its sender owns."""
+        """Update slot owners from a heartbeat."""
         for number, epoch in owned:
             mine = self.owned.get(number)
             if mine is not None and mine.epoch < epoch:
@@ -615,26 +611,26 @@
             self._learn_route(number, epoch, sender)
 
     def owner_of(self, slot: int) -> slots.Route | None:
-        """Return who owns a slot, or None while no owner is known."""
+        """Return the owner of a slot, or None if unknown."""
         return self.routes.get(slot)
 
     def owned_list(self) -> list[tuple[int, int]]:
-        """Return this node's slots and their epochs, for its heartbeat."""
+        """Return this node's slots with their epochs."""
         return [(slot.number, slot.epoch) for slot in self.owned.values()]
 
     def has_no_slots(self) -> bool:
-        """Return whether this node owns no slot any more."""
+        """Return whether this node owns no slot."""
         return not self.owned
 
     def tick(self) -> None:
-        """Repeat what is unanswered, give up what is too old, take over what is free."""
+        """Resend, time out operations, and check for takeovers."""
         now = self.ctx.now()
         self.writer.tick()
         resend = now >= self.next_resend_ms
         if resend:
             self.next_resend_ms = now + RESEND_MS
         for slot in list(self.owned.values()):
-            # A slot at rest is looked at only now and then: most are, most of the time.
+            # Idle slots are updated only at the resend interval.
             if resend or slot.operations or slot.candidate:
                 self._update_owned(slot, resend)
         self._check_takeovers()
@@ -665,10 +661,10 @@
             self.ctx.send(operation.to_node, operation.failure)
 
     def _undo(self, slot: slots.OwnedSlot, operation: slots.Operation) -> None:
-        """Take back a record that did not become permanent.
+        """Roll back a record that did not become durable.
 
-        That a request ran is a fact and stays; a grant or a refusal that nobody
-        else holds must not be answered with later.
+        That a request ran, or may have run, stays recorded. An unreplicated grant or refusal must
+        not be reported later, since it may be lost with this node.
         """
         record = operation.record
         if record.state in (data.KeyState.DONE, data.KeyState.UNKNOWN):
@@ -685,7 +681,7 @@
 
 
 def _verdict_on_known(record: data.KeyRecord, sender: str, m: messages.Claim) -> messages.Verdict:
-    """Return what a claim on a recorded key is answered."""
+    """Return the verdict on a claim whose key has a record."""
     if record.request_id != m.request_id:
         known = record.fingerprint and m.fingerprint
         if known and record.fingerprint != m.fingerprint:
--- a/plumarch/recovery/slot_writer.py
+++ b/plumarch/recovery/slot_writer.py
@@ -1,9 +1,7 @@
-"""Conditional writes to slot objects that come to a certain end.
+"""Conditional writes to slot objects with a definite outcome.
 
-An answer from the platform can be lost after the write took effect. A write is
-therefore never reported as failed while it might still land: the object is read
-back and compared by the writer's own token, and an unchanged object is written
-again at the same expected version, so that at most one of the tries can land.
+If the platform's answer is lost, the object is read back and its writer token compared. An
+unchanged object is written again at the same version, so that at most one try takes effect.
 """
 
 import dataclasses
@@ -15,34 +13,34 @@
 from plumarch.recovery import slots
 
 RETRY_MS = 500
-"""Time between tries while a write is unresolved."""
+"""Time between retries of an unresolved write."""
 
 
 class Listener(Protocol):
-    """Who is told how reads and writes of slot objects ended."""
+    """Callbacks for the outcome of reads and writes of slot objects."""
 
     def loaded(self, number: int, version: int, found: data.SlotObject | None) -> None:
-        """A read succeeded; found is None if there is no object."""
+        """Handle a successful read; found is None if the object does not exist."""
 
     def load_failed(self, number: int) -> None:
-        """A read failed."""
+        """Handle a failed read."""
 
     def written(
         self, number: int, purpose: slots.Purpose, version: int, landed: data.SlotObject
     ) -> None:
-        """A write took effect."""
+        """Handle a write that took effect."""
 
     def conflicted(
         self, number: int, purpose: slots.Purpose, version: int, found: data.SlotObject
     ) -> None:
-        """A write can't take effect any more: another one came before it."""
+        """Handle a write that was preempted by another one."""
 
     def not_written(self, number: int, purpose: slots.Purpose) -> None:
-        """A write certainly did not take effect: the platform was not reached."""
+        """Handle a write that did not reach the platform."""
 
 
 class SlotWriter:
-    """One platform call at a time for each slot."""
+    """Reads and writes slot objects, one call per slot at a time."""
 
     def __init__(self, ctx: context.Context, listener: Listener) -> None:
         self.ctx = ctx
@@ -52,11 +50,11 @@
         self.sequence = 0
 
     def busy(self, number: int) -> bool:
-        """Return whether a call for the slot is in progress or unresolved."""
+        """Return whether a call for the slot is unresolved."""
         return number in self.writes
 
     def purpose(self, number: int) -> slots.Purpose | None:
-        """Return what the call in progress for a slot is for."""
+        """Return the purpose of the slot's call in progress, if any."""
         write = self.writes.get(number)
         return write.purpose if write else None
 
@@ -95,11 +93,7 @@
         self.ctx.act(events.PlatformPut(write.call_id, name, value, write.expected_version))
 
     def handle_answer(self, answer: events.PlatformAnswer) -> bool:
-        """Take in an answer of the platform.
-
-        Returns:
-          Whether the call was one of this writer's.
-        """
+        """Handle a platform answer and return whether the call was this writer's."""
         number = self.by_call.pop(answer.call_id, None)
         if number is None:
             return False
@@ -160,7 +154,7 @@
             self.listener.conflicted(write.number, write.purpose, answer.version, found)
 
     def tick(self) -> None:
-        """Try unresolved writes again."""
+        """Retry unresolved writes."""
         now = self.ctx.now()
         for write in list(self.writes.values()):
             if 0 <= write.retry_at_ms <= now:
--- a/plumarch/recovery/slots.py
+++ b/plumarch/recovery/slots.py
@@ -1,4 +1,4 @@
-"""Types of the slot protocol: what an owner and a successor keep for a slot."""
+"""State that owners and successors keep per slot."""
 
 import dataclasses
 import enum
@@ -19,12 +19,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Operation:
-    """A record on its way to being permanent, and the answer that waits for it.
+    """A record being replicated, and the answer to send once it is durable.
 
     Attributes:
-      acks: the nodes that hold the record.
-      stored: whether the slot's object holds it.
-      previous: the record that it replaced in the owner's table.
+      acks: nodes that hold the record.
+      stored: whether the slot's object contains it.
+      previous: the record that it replaced, if any.
     """
 
     number: int
@@ -43,15 +43,15 @@
     """A slot that this node owns.
 
     Attributes:
-      version: version of the slot's object as this node last knew it.
-      uncertain_epoch: as in data.SlotObject, for this node's own answers.
-      persisted_uncertain_epoch: the same as the object has it; it follows only when the
-        successor holds the tables that ended the uncertainty.
-      pending: keys of records that are not permanent yet.
-      candidate: the node that gets the table to become successor, or "".
+      version: last known version of the slot's object.
+      uncertain_epoch: as in data.SlotObject, as applied by this node.
+      persisted_uncertain_epoch: the value in the object, updated once the successor holds the
+        full table.
+      pending: keys of records that are not durable yet.
+      candidate: the node being made successor, or "".
       copied: whether the candidate holds the table.
-      copy_first_operation: operations from this number on are not part of that table.
-      object_records: permissions that the object holds and the successor may not.
+      copy_first_operation: first operation not included in the copied table.
+      object_records: permissions in the object that the successor may lack.
     """
 
     number: int
@@ -76,12 +76,12 @@
 
 @dataclasses.dataclass(slots=True)
 class HeldSlot:
-    """A slot that this node holds a copy of, as successor or as candidate for it.
+    """A slot's table held as successor or candidate.
 
     Attributes:
-      copy: number of the table copy that it came from; an older copy is ignored.
-      sealed: this node tries to take over, so it acknowledges nothing for the epoch.
-      closed: a higher epoch rules; nothing is acknowledged ever again for this one.
+      copy: number of the table copy received; older ones are ignored.
+      sealed: a takeover is in progress, so records of the epoch are not acknowledged.
+      closed: a higher epoch exists, so records of this one are never acknowledged again.
     """
 
     number: int
@@ -98,10 +98,10 @@
     """A platform call in progress for a slot.
 
     Attributes:
-      object: what is to be written; None for a read.
-      tokens: the objects whose writes may have taken effect, by writer token.
-      unsure: whether any of them may have.
-      retry_at_ms: when to call again; -1 while a call is under way.
+      object: the object to write; None for a read.
+      tokens: objects whose writes may have taken effect, by writer token.
+      may_have_landed: whether one of the writes may have taken effect.
+      retry_at_ms: time of the next try; -1 while a call is in progress.
     """
 
     number: int
@@ -117,7 +117,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Who serves a slot, as far as this node knows."""
+    """A slot's owner, as last reported."""
 
     epoch: int
     owner: str
