--- a/plumarch/core/traffic.py
+++ b/plumarch/core/traffic.py
@@ -166,7 +166,7 @@
         """Return the endpoint's name, which is stable across restarts."""
         return self.name or self.id
 
-    def may_have_answered(self, asked: str, alive_ms: int) -> bool:
+    def may_have_answered(self, sent_to: str, alive_ms: int) -> bool:
         """Return whether an answer received for this name may come from this incarnation.
 
         The process may have restarted since the request's registry entry. An incarnation born
@@ -176,7 +176,7 @@
           asked: identifier of the incarnation that the request was sent to.
           alive_ms: time of day at which the connection was established.
         """
-        return self.id == asked or 0 < self.born_ms <= alive_ms
+        return self.id == sent_to or 0 < self.born_ms <= alive_ms
 
 
 DIGITS = "0123456789abcdefghijklmnopqrstuvwxyz"
--- a/plumarch/node/__init__.py
+++ b/plumarch/node/__init__.py
@@ -1,1 +1,1 @@
-"""One entry node: its decisions, put together."""
+"""The decision logic of an entry node."""
--- a/plumarch/node/adoption.py
+++ b/plumarch/node/adoption.py
@@ -1,4 +1,4 @@
-"""Requests that change their home: handed over by a leaving node, or taken from a lost one."""
+"""Moving requests to a new home, from a leaving or a lost node."""
 
 from plumarch.core import context, data, messages
 from plumarch.membership import members
@@ -6,13 +6,13 @@
 from plumarch.recovery import copies, inquiries
 
 RESEND_MS = 300
-ADOPT_TRIES_MS = 1_200
-"""After this long without answer another node is asked to adopt."""
+ADOPT_TIMEOUT_MS = 1_200
+"""Time without an answer after which another adopter is chosen."""
 
 RETRY_MS = 1_000
 
 STOP_GRACE_MS = 2_000
-"""At a planned stop, requests that take longer than this are handed over."""
+"""At a planned stop, requests that need longer than this are handed over."""
 
 
 class Adoption:
@@ -42,14 +42,14 @@
         self.leaves_at_ms = 0
         self.data_centre_leaves = False
 
-    # Giving requests away.
+    # Handing requests over.
 
     def leave(self, left_ms: int, whole_data_centre: bool) -> None:
-        """Begin to hand this node's requests over.
+        """Start handing over this node's requests.
 
         Args:
           left_ms: time until the node is gone.
-          whole_data_centre: whether the other nodes here leave as well.
+          whole_data_centre: whether all nodes of the data centre leave.
         """
         at = self.ctx.now() + left_ms
         if self.membership.leaving:
@@ -91,7 +91,7 @@
         adopters = self._adopters()
         if not adopters:
             return
-        stale = now - run.adopt_requested_ms >= ADOPT_TRIES_MS
+        stale = now - run.adopt_requested_ms >= ADOPT_TIMEOUT_MS
         if not run.adopter or run.adopter not in adopters or stale:
             prefer = run.copy_holder if run.copy_holder in adopters else ""
             if not prefer or run.adopter == prefer:
@@ -112,7 +112,7 @@
         self.ctx.send(run.adopter, message)
 
     def adopted(self, sender: str, m: messages.Adopted) -> None:
-        """Let a request go whose new home has answered; its callers here read on."""
+        """Release a request to its new home and redirect its readers there."""
         run = self.table.active.get(m.request_id)
         if run is None or m.attempt <= run.home_attempt:
             return
@@ -130,10 +130,10 @@
                     watcher.watcher_id, watcher.position, run.request, sender, m.attempt
                 )
 
-    # Taking requests in.
+    # Adopting requests.
 
     def adopt(self, sender: str, m: messages.Adopt) -> None:
-        """Become the home of a request that its home hands over."""
+        """Become the home of a request offered by its current home."""
         if self.membership.leaving:
             return
         request = m.request
@@ -171,7 +171,7 @@
             self.ctx.send(sender, messages.Adopted(request.id, m.attempt))
 
     def adopt_copies_of(self, node: str) -> None:
-        """Become the home of the requests that a lost node had a copy of here."""
+        """Become the home of a lost node's requests, from the copies held here."""
         for copy in self.copies.of_home(node):
             request = copy.request
             if request.id in self.table.active or self.membership.leaving:
@@ -188,7 +188,7 @@
             self.home.request_rehome(run)
 
     def rehome_answered(self, m: messages.RehomeAnswer) -> None:
-        """Act on the slot owner's answer about a change of home."""
+        """Handle the slot owner's answer to a change of home."""
         if self.home.late_records.is_pending(m.request_id):
             self.home.late_records.handle_answer(m)
             return
@@ -217,16 +217,16 @@
         self.home.late_records.request_record(run, late_records.RETRY_PAUSE_MS)
 
     def _yield_to(self, run: runs.Run, record: data.KeyRecord) -> None:
-        """Leave a request to the home that its record names."""
+        """Leave a request to the home named in its record."""
         copy = self.copies.held.get(run.request.id)
         in_progress = record.state is data.KeyState.GRANTED
         if in_progress and self.membership.state(record.home) is data.NodeState.GONE:
-            # The home that the record names is lost as well.
+            # That home is lost as well.
             run.home_attempt = record.attempt + 1
             self.home.request_rehome(run)
             return
         if self._answer_is_lost(record):
-            self.ctx.note(run.request, "rerun", self.ctx.node, "its answer is lost with its home")
+            self.ctx.note(run.request, "rerun", self.ctx.node, "the answer was lost with its home")
             self._start_unrecorded(run)
             return
         if in_progress and copy is not None:
@@ -240,19 +240,19 @@
             self.follower.follow_record(watcher.watcher_id, watcher.position, record, run.request)
 
     def _answer_is_lost(self, record: data.KeyRecord) -> bool:
-        """Return whether a request ended whole, but nobody has its answer any more."""
+        """Return whether a request completed but its answer was lost with its home."""
         if record.state is not data.KeyState.DONE or record.reply is not None:
             return False
         return self.membership.state(record.home) is data.NodeState.GONE
 
     def handle_timeout(self, inquiry: inquiries.Inquiry) -> None:
-        """Run a request although no slot owner could be asked: it was accepted."""
+        """Run an accepted request although no slot owner answered."""
         run = self.table.active.get(inquiry.subject)
         if run is not None and run.phase is runs.Phase.CLAIMING:
             self._start_unrecorded(run)
 
     def tick(self) -> None:
-        """Hand over what is left to hand over."""
+        """Continue the hand-over while this node leaves."""
         if self.membership.leaving:
             self._move_runs()
         self._trim_moved()
@@ -262,7 +262,7 @@
             del self.moved[next(iter(self.moved))]
 
     def drained(self) -> bool:
-        """Return whether nothing that callers wait for is left on this node."""
+        """Return whether no caller waits for this node."""
         return not self.table.active and not self.follower.follows
 
 
@@ -274,7 +274,7 @@
     sender: str,
     m: messages.Subscribe,
 ) -> None:
-    """Let a caller of another node read a run of this one."""
+    """Subscribe a caller of another node to a run of this one."""
     run = table.get(m.request_id)
     if run is None or run.phase is runs.Phase.CLAIMING:
         home_now = moved.get(m.request_id, "")
--- a/plumarch/node/dispatch.py
+++ b/plumarch/node/dispatch.py
@@ -1,4 +1,4 @@
-"""From the queue to an endpoint, and what comes back from there."""
+"""Queueing, dispatch to endpoints, and handling of their answers."""
 
 import collections
 from collections.abc import Callable
@@ -10,29 +10,29 @@
 from plumarch.routing import placement
 
 QUEUE_WAIT_MS = {data.RequestClass.LOOKUP: 100, data.RequestClass.CHAT: 2_000}
-"""How long a class that can't wait stays queued before it is refused."""
+"""Maximum time in the queue by class; other classes have no limit."""
 
 BACKOFF_MS = 20
 BACKOFF_LIMIT_MS = 2_000
 
 TOKEN_MS = 30
-"""Assumed time between tokens, until the run's own is known."""
+"""Assumed time between tokens until the run's own is known."""
 
 MIN_FREE_FRACTION = 0.15
-"""Share of places that a workspace leaves free once it holds its own share."""
+"""Fraction of capacity kept free from workspaces that already use their share."""
 
 LINGER_MS = 2_000
-"""How long the call of a run that moved to another home is kept up."""
+"""How long the endpoint call of a run that moved to another home stays open."""
 
 LEAVE_MARGIN_MS = 1_000
-"""A request is left to finish at a leaving endpoint only with this much to spare."""
+"""Minimum margin for letting a request finish at a leaving endpoint."""
 
 EndCallback = Callable[[runs.Run, data.Outcome, str, data.Reply | None], None]
 RefuseCallback = Callable[[runs.Run, data.Reason], None]
 
 
 class Dispatch:
-    """Requests of this home that wait for an endpoint or run on one."""
+    """Requests of this home that are queued for or running on an endpoint."""
 
     on_end: EndCallback
     on_refuse: RefuseCallback
@@ -55,7 +55,7 @@
         self.delayed: dict[str, runs.Run] = {}
         self.running: collections.Counter[tuple[str, str]] = collections.Counter()
         self.lingering: list[tuple[int, str, int]] = []
-        # Whether a queued request may find room that it did not find before.
+        # Whether capacity may have become free since the queue was last processed.
         self.dirty = False
 
     def _allowed(self, workspace: str) -> frozenset[str]:
@@ -63,7 +63,7 @@
         return known.data_centres if known else frozenset()
 
     def reason_against(self, run: runs.Run) -> data.Reason | None:
-        """Return why a new request has no hope, or None."""
+        """Return why a new request can't be served, or None."""
         request = run.request
         if run.waits() or self.placer.has_target(request, self._allowed(request.workspace)):
             return None
@@ -75,16 +75,15 @@
         """Queue a run for an endpoint.
 
         Args:
-          run: the run.
-          bounded: False for work that was accepted before and must not be refused now.
+          bounded: False for requests already accepted, which must not be refused.
         Returns:
-          False if its line is full.
+          False if its queue is full.
         """
         request = run.request
         run.phase = runs.Phase.QUEUED
         run.queued_ms = self.ctx.now()
         if run.points >= quarantine.QUARANTINE_POINTS and not run.not_before_ms:
-            # It was held back at its home before, and waits here as long again.
+            # It was quarantined at its previous home.
             self._delay_quarantined(run)
             return True
         cost = float(request.prompt_tokens + request.max_tokens) or 1.0
@@ -110,7 +109,7 @@
         return True
 
     def pump(self) -> None:
-        """Hand over every queued request that has an endpoint, if any could have got one."""
+        """Dispatch queued requests for which an endpoint has capacity."""
         if not self.dirty:
             return
         self.dirty = False
@@ -142,10 +141,9 @@
             run.import_from = ""
 
     def _must_leave_capacity(self, run: runs.Run) -> bool:
-        """Return whether a workspace that has its share must leave the last places free.
+        """Return whether the remaining capacity is reserved for other workspaces.
 
-        Otherwise one workspace's flood would take every place, and another's request
-        would wait for one of its long answers to end.
+        It keeps a workspace that floods the endpoints from delaying the others' requests.
         """
         request = run.request
         total, used = self.placer.owned_capacity(request)
@@ -194,10 +192,10 @@
             )
         )
 
-    # What endpoints say.
+    # Endpoint events.
 
     def _current(self, request_id: str, attempt: int) -> runs.Run | None:
-        """Return the run that an endpoint's event belongs to, or None if it is stale."""
+        """Return the run of an endpoint's event, or None if the event is stale."""
         run = self.table.active.get(request_id)
         if run is not None and run.phase is runs.Phase.RUNNING and run.attempt() == attempt:
             return run
@@ -206,7 +204,7 @@
         return None
 
     def tokens(self, event: events.EndpointTokens) -> None:
-        """Take in tokens of the attempt in progress; those known already are passed over."""
+        """Append new tokens of the attempt in progress; duplicates are ignored."""
         run = self._current(event.request_id, event.attempt)
         if run is None:
             return
@@ -246,7 +244,7 @@
             run.superseded = 0
 
     def done(self, event: events.EndpointDone) -> None:
-        """Take in the end of the attempt in progress."""
+        """Handle the completion of the attempt in progress."""
         run = self._current(event.request_id, event.attempt)
         if run is None:
             return
@@ -266,13 +264,13 @@
         self.on_end(run, data.Outcome.DONE, "", reply)
 
     def failed(self, event: events.EndpointFailed) -> None:
-        """Take in the failure of the attempt in progress."""
+        """Handle the failure of the attempt in progress."""
         run = self._current(event.request_id, event.attempt)
         if run is not None:
             self._failed(run, event)
 
     def rate_announced(self, event: events.EndpointRate) -> None:
-        """Apply the rate that the attempt's answer announces, or that it announces none."""
+        """Apply the rate limit announced with the attempt's answer, or its absence."""
         run = self._current(event.request_id, event.attempt)
         if run is None:
             return
@@ -281,7 +279,7 @@
             self.ctx.note(run.request, "rate", run.endpoint, f"it announces {rate}")
 
     def _free(self, run: runs.Run) -> None:
-        """Count a run's place as free again."""
+        """Release a run's capacity at its endpoint."""
         self.placer.ended(run.endpoint)
         self.running[(run.request.target, run.request.workspace)] -= 1
         self.dirty = True
@@ -314,15 +312,14 @@
             self.on_refuse(run, data.Reason.RETRY_BUDGET)
 
     def _delay_quarantined(self, run: runs.Run) -> None:
-        """Try a run again after a long pause, or give it up if its time ends before.
+        """Retry a suspect after the quarantine's pause, or end it if its timeout comes first.
 
-        Too many endpoints ended as they began to run it: each further try would cost one more, and
-        all that runs there.
+        Each try may crash another endpoint, with all requests that run there.
         """
         trials = (run.points - quarantine.QUARANTINE_POINTS) // quarantine.EARLY_POINTS
         pause_ms = quarantine.pause_ms(trials)
         self.ctx.count("held_back", run.request.workspace)
-        self.ctx.note(run.request, "hold", f"{pause_ms} ms", "its endpoints ended under it")
+        self.ctx.note(run.request, "hold", f"{pause_ms} ms", "endpoints crashed while running it")
         if pause_ms >= run.left_ms(self.ctx.now()):
             self.on_end(run, data.Outcome.UNKNOWN, data.Reason.INTERRUPTED, None)
             return
@@ -336,17 +333,17 @@
         self.delayed[run.request.id] = run
 
     def engine_of(self, run: runs.Run) -> str:
-        """Return the address of the engine that runs a run now, or ""."""
+        """Return the address of the engine that a run is on, or ""."""
         endpoint = self.placer.endpoints.get(run.endpoint)
         if endpoint is None or endpoint.kind is not data.EndpointKind.ENGINE:
             return ""
         return endpoint.address if run.phase is runs.Phase.RUNNING else ""
 
     def linger(self, run: runs.Run) -> None:
-        """Let go of a run that another home continues.
+        """Release a run that continues at another home.
 
-        Its call here is kept up for a while: ending it would drop the KV cache that
-        the next engine is about to import.
+        Its endpoint call stays open for LINGER_MS, since aborting it would drop the KV cache that
+        the next engine imports.
         """
         if run.phase is runs.Phase.RUNNING and run.endpoint:
             self._free(run)
@@ -356,7 +353,7 @@
         self.forget(run)
 
     def forget(self, run: runs.Run) -> None:
-        """Take a run out of the queue and off its endpoint."""
+        """Remove a run from the queue and abort its endpoint call."""
         request_id = run.request.id
         self.delayed.pop(request_id, None)
         if run.phase is runs.Phase.QUEUED:
@@ -371,7 +368,7 @@
     # Leaving endpoints.
 
     def endpoint_leaves(self, name: str, left_ms: int) -> None:
-        """Move work off an endpoint under a reclaim notice, the dearest to redo first."""
+        """Move runs off an endpoint under a reclaim notice, the costliest to recompute first."""
         there = [run for run in self.table.active.values() if run.endpoint == name]
         there.sort(key=lambda run: (-recompute_cost(run), run.request.id))
         now = self.ctx.now()
@@ -379,13 +376,13 @@
             if not run.request.repeatable or run.phase is not runs.Phase.RUNNING:
                 continue
             if remaining_ms(run, now) + LEAVE_MARGIN_MS <= left_ms:
-                self.ctx.note(run.request, "stay", name, "it ends before the endpoint does")
+                self.ctx.note(run.request, "stay", name, "it finishes before the endpoint leaves")
                 continue
             run.leave_by_ms = now + left_ms
             self._move(run)
 
     def _move(self, run: runs.Run) -> None:
-        """Continue a run elsewhere; if there is no room it stays, and is tried again."""
+        """Continue a run at another endpoint; without capacity it stays until the next tick."""
         allowed = self._allowed(run.request.workspace)
         tried = frozenset({run.endpoint})
         target, considered = self.placer.choose(run.request, allowed, tried)
@@ -401,7 +398,7 @@
         self._dispatch(run, target, considered, address, old_attempt)
 
     def tick(self) -> None:
-        """Requeue what waited long enough, refuse what waited too long, move what must."""
+        """Requeue delayed runs, refuse late ones, and move runs off leaving endpoints."""
         now = self.ctx.now()
         self.dirty = True
         while self.lingering and self.lingering[0][0] <= now:
@@ -429,12 +426,12 @@
 
 
 def recompute_cost(run: runs.Run) -> int:
-    """Return the tokens that would be computed again if a run started over."""
+    """Return the number of tokens to recompute if a run started over."""
     return run.request.prompt_tokens + len(run.tokens)
 
 
 def remaining_ms(run: runs.Run, now: int) -> int:
-    """Return how long a run still takes, from its own pace so far."""
+    """Estimate a run's remaining time from its time per token so far."""
     made = len(run.tokens)
     token_ms = TOKEN_MS
     if made > 1 and run.last_token_ms > run.started_ms:
--- a/plumarch/node/followers.py
+++ b/plumarch/node/followers.py
@@ -1,4 +1,4 @@
-"""Callers of this node who read a request whose home is another node."""
+"""Local callers that read requests of other homes."""
 
 import dataclasses
 from collections.abc import Callable
@@ -9,28 +9,28 @@
 from plumarch.recovery import inquiries, keys
 
 FOLLOW_LIMIT = 5_000
-"""Callers followed for at most; a further one is told to come back."""
+"""Maximum followed callers; further ones are asked to retry."""
 
 RESUBSCRIBE_MS = 1_000
-"""After this long without a word the home is asked again."""
+"""Time without a message from the home after which the subscription is sent again."""
 
 LOST_HOME_MS = 10_000
-"""How long a lost home's request is left to the holder of its copy."""
+"""Time for which the holder of its copy may take over a lost home's request."""
 
 GIVE_UP_MS = 45_000
-"""After this long without a home, the caller hears that the outcome is unknown."""
+"""Time without a home after which the outcome is reported as unknown."""
 
 RerunCallback = Callable[[data.Request, data.KeyRecord, str, int], None]
 
 
 @dataclasses.dataclass(slots=True)
 class Follow:
-    """One caller, and the request it reads.
+    """A caller and the request that it reads.
 
     Attributes:
-      request: the caller's own copy of the request, if it sent one.
-      record: what the slot's owner said last; None while it is asked.
-      last_seen_ms: when the home was heard last.
+      request: the request as sent by the caller, if it sent one.
+      record: the key's last reported record; None during a lookup.
+      last_seen_ms: time of the home's last message or of the last check.
       home_lost_ms: since when the request has had no home, or 0.
     """
 
@@ -46,7 +46,7 @@
 
 
 class Followers:
-    """The callers that this node reads for from other homes."""
+    """Local callers with requests at other homes."""
 
     on_rerun: RerunCallback
 
@@ -66,7 +66,7 @@
         self.follows: dict[str, Follow] = {}
 
     def attach(self, event: events.Attach) -> None:
-        """Find the request that a key stands for, and read it for a caller."""
+        """Look up a key's request and read it for a caller."""
         follow = Follow(event.watcher_id, event.workspace, event.key, event.position)
         if self._add(follow):
             self._look_up(follow)
@@ -78,7 +78,7 @@
         record: data.KeyRecord,
         request: data.Request | None = None,
     ) -> None:
-        """Read the request of a known record for a caller."""
+        """Read a recorded request for a caller."""
         follow = Follow(watcher_id, record.workspace, record.key, position, request)
         if self._add(follow):
             self._use_record(follow, record)
@@ -86,7 +86,7 @@
     def follow_home(
         self, watcher_id: str, position: int, request: data.Request, home: str, attempt: int
     ) -> None:
-        """Go on reading a request that has just moved to another home."""
+        """Continue reading a request that moved to another home."""
         record = data.KeyRecord(
             request.workspace,
             request.key,
@@ -119,7 +119,7 @@
         self.owner_requests.submit(inquiries.Kind.LOOKUP, follow.watcher_id, message)
 
     def looked_up(self, m: messages.LookupAnswer) -> None:
-        """Act on a slot owner's answer about a key."""
+        """Handle the answer to a lookup."""
         if self.owner_requests.resolve(inquiries.Kind.LOOKUP, m.lookup_id, m.verdict) is None:
             return
         follow = self.follows.get(m.lookup_id)
@@ -133,7 +133,7 @@
             self._end(follow, data.Outcome.UNKNOWN, data.Reason.SLOT_UNCERTAIN)
 
     def handle_timeout(self, inquiry: inquiries.Inquiry) -> None:
-        """Act on a lookup that nobody answered: ask again, for a while."""
+        """Repeat an unanswered lookup, or give up after LOST_HOME_MS."""
         follow = self.follows.get(inquiry.subject)
         if follow is None:
             return
@@ -184,7 +184,7 @@
             self.ctx.send(record.home, message)
 
     def chunk(self, sender: str, m: messages.Chunk) -> None:
-        """Pass tokens on that the caller lacks; a gap is asked for again."""
+        """Forward tokens that the caller lacks; subscribe again after a gap."""
         follow = self._reading(sender, m.watcher_id, m.request_id)
         if follow is None or follow.record is None:
             return
@@ -210,7 +210,7 @@
         follow.position += len(tokens)
 
     def ended(self, sender: str, m: messages.Ended) -> None:
-        """Pass the final answer on once the caller has all tokens."""
+        """Forward the final answer once the caller has all tokens."""
         follow = self._reading(sender, m.watcher_id, m.request_id)
         if follow is None or follow.record is None:
             return
@@ -220,7 +220,7 @@
         self._end(follow, m.outcome, m.reason, m.reply)
 
     def not_here(self, sender: str, m: messages.NotHere) -> None:
-        """Look the key up again: the node asked is not the home of the request."""
+        """Switch to the home named in the answer, or start waiting for a new one."""
         follow = self._reading(sender, m.watcher_id, m.request_id)
         if follow is None or follow.record is None:
             return
@@ -246,12 +246,12 @@
         self.readers.send_end(follow.watcher_id, request_id, outcome, reason, reply)
 
     def caller_gone(self, watcher_id: str) -> None:
-        """Stop reading for a caller that went away."""
+        """Stop reading for a caller that disconnected."""
         self.follows.pop(watcher_id, None)
         self.owner_requests.forget(inquiries.Kind.LOOKUP, watcher_id)
 
     def tick(self) -> None:
-        """Ask quiet homes again, and decide what to do about lost ones."""
+        """Renew subscriptions to unresponsive homes, and handle lost ones."""
         now = self.ctx.now()
         for follow in list(self.follows.values()):
             if follow.record is not None and now - follow.last_seen_ms >= RESUBSCRIBE_MS:
--- a/plumarch/node/home.py
+++ b/plumarch/node/home.py
@@ -1,4 +1,4 @@
-"""The life of a request at its home, from the claim of its key to its end."""
+"""Lifecycle of a request at its home, from the claim of its key to its end."""
 
 import dataclasses
 
@@ -14,21 +14,21 @@
     data.RequestClass.DRAFT: inquiries.GIVE_UP_MS,
     data.RequestClass.REVIEW: inquiries.GIVE_UP_MS,
 }
-"""How long a repeatable request waits for its key's slot before it runs unrecorded."""
+"""Timeout of a claim, after which a repeatable request runs unrecorded."""
 
 SETTLE_TIMEOUT_MS = 30_000
 
 COPY_RESEND_MS = 300
-"""After this long without answer another node is asked to hold the copy."""
+"""Time without an answer after which the copy is sent to another node."""
 
 COPY_TRIES = 3
-"""Nodes asked for a copy before the request is accepted without one."""
+"""Nodes tried for a copy before the request is accepted without one."""
 
 COPY_RETRY_MS = 2_000
-"""Time between later tries to place a copy of a request accepted without one."""
+"""Interval of further tries to place a copy of such a request."""
 
 ABANDON_MS = 10_000
-"""How long a keyed stream goes on without a reader before it is cancelled."""
+"""Time without a reader after which a keyed stream is cancelled."""
 
 UNCOPIED = "no node in another data centre could be reached to hold a copy"
 UNRECORDED = "the owner of the key's slot could not be reached"
@@ -66,7 +66,7 @@
     # Arrival.
 
     def start(self, event: events.Arrived) -> None:
-        """Take a caller's request in."""
+        """Start handling a caller's request."""
         request = event.request
         run = runs.Run(request, self.ctx.now())
         run.watchers[event.watcher_id] = runs.Watcher(event.watcher_id, "", event.position)
@@ -99,12 +99,12 @@
         return True
 
     def issue_key(self, unique: str) -> tuple[str, int] | None:
-        """Make a key that proves itself not older than its slot's epoch.
+        """Issue a key bound to its slot's epoch.
 
         Args:
-          unique: a text that no other key of this node has.
+          unique: text that is unique among this node's keys.
         Returns:
-          The key and its epoch, or None if no slot's owner is known.
+          The key and its epoch, or None if no slot owner is known.
         """
         own = self.slots.owned_list()
         if own:
@@ -118,7 +118,7 @@
         return keys.issue(slot, epoch, unique), epoch
 
     def _reason_against(self, run: runs.Run) -> data.Reason | None:
-        """Return why a new request is refused before anything is asked, if it is."""
+        """Return why a new request is refused immediately, or None."""
         if self.table.full():
             return data.Reason.RUN_TABLE_FULL
         return self.dispatcher.reason_against(run)
@@ -129,7 +129,7 @@
         self._count_refusal(run)
         self.readers.end(run)
 
-    # The claim of the key.
+    # Claims.
 
     def _claim(self, run: runs.Run, refuse: bool) -> None:
         request = run.request
@@ -151,7 +151,7 @@
         self.owner_requests.submit(kind, request.id, message, min(timeout_ms, request.timeout_ms))
 
     def claim_answered(self, m: messages.ClaimAnswer) -> None:
-        """Act on the slot owner's answer to a claim."""
+        """Handle the slot owner's answer to a claim."""
         kind = inquiries.Kind.REFUSE if m.refuse else inquiries.Kind.CLAIM
         inquiry = self.owner_requests.resolve(kind, m.request_id, m.verdict)
         run = self.table.get(m.request_id)
@@ -175,7 +175,7 @@
             self._not_granted(run, data.Reason.NO_PERMISSION)
 
     def _late_grant(self, run: runs.Run | None, m: messages.ClaimAnswer) -> None:
-        """Settle a key whose grant came after the request was given up unrun."""
+        """Settle a key whose grant arrived after the request was given up without running."""
         if run is None or m.refuse or m.verdict is not messages.Verdict.GRANTED:
             return
         if run.phase is runs.Phase.ENDED and not run.handed_over and not run.recorded:
@@ -192,14 +192,14 @@
             self._accept(run)
 
     def _join_existing(self, run: runs.Run, record: data.KeyRecord) -> None:
-        """Make the callers readers of the request that the key stands for already."""
+        """Attach the callers to the request that already has the key."""
         self.ctx.note(run.request, "join", record.home, f"the key is known: {record.state}")
         self.table.remove(run.request.id)
         for watcher in run.watchers.values():
             self.follower.follow_record(watcher.watcher_id, watcher.position, record, run.request)
 
     def _not_granted(self, run: runs.Run, reason: data.Reason) -> None:
-        """Go on without a grant where that is safe, else give the final answer."""
+        """Continue without a grant if the request is repeatable, else end it."""
         if run.request.repeatable:
             run.weakened = UNRECORDED
             self.ctx.count("weakened", run.request.workspace, "unrecorded")
@@ -214,7 +214,7 @@
             outcome = data.Outcome.NOT_RUN if run.own_key else data.Outcome.UNKNOWN
             self.end(run, outcome, reason)
 
-    # The copy in another data centre.
+    # Copies in other data centres.
 
     def _request_copy(self, run: runs.Run) -> None:
         now = self.ctx.now()
@@ -232,7 +232,7 @@
         self.ctx.send(run.copy_holder, messages.CopyPut(run.request, run.home_attempt))
 
     def _renew_copy(self, run: runs.Run) -> None:
-        """Tell the holder of the copy who the home is now, or find another holder."""
+        """Announce the new home to the copy's holder, or choose another holder."""
         holder = run.copy_holder
         fit = holder in self.membership.live(other_than_data_centre=self.ctx.data_centre)
         if holder and fit:
@@ -251,7 +251,7 @@
         self._accept(run)
 
     def copy_answered(self, sender: str, m: messages.CopyAck) -> None:
-        """Act on a node's answer to a request to hold a copy."""
+        """Handle the answer to a request to hold a copy."""
         run = self.table.active.get(m.request_id)
         if run is None:
             if m.held:
@@ -280,12 +280,12 @@
         if not self.dispatcher.enqueue(run):
             self.refuse(run, data.Reason.QUEUE_FULL)
 
-    # Refusing.
+    # Refusals.
 
     def refuse(self, run: runs.Run, reason: data.Reason) -> None:
-        """Give a request up. "Not run" is told only once it is proven and recorded."""
+        """Refuse a request; "not run" is reported only once it is certain and recorded."""
         run.refusal = reason
-        # A place that frees while the refusal is being recorded must not be given to it.
+        # It must not be dispatched while its refusal is being recorded.
         self.dispatcher.forget(run)
         if run.handed_over:
             self.end(run, data.Outcome.UNKNOWN, reason)
@@ -314,7 +314,7 @@
         else:
             self.end(run, data.Outcome.UNKNOWN, reason)
 
-    # The end.
+    # Completion.
 
     def end(
         self,
@@ -323,7 +323,7 @@
         reason: str = "",
         reply: data.Reply | None = None,
     ) -> None:
-        """End a run: tell its readers, record how it ended, let its copy go."""
+        """End a run: answer its readers, settle its key and release its copy."""
         if run.phase is runs.Phase.ENDED:
             return
         self.dispatcher.forget(run)
@@ -372,7 +372,7 @@
         self.owner_requests.submit(inquiries.Kind.SETTLE, request.id, message, timeout_ms)
 
     def settle_answered(self, m: messages.SettleAnswer) -> None:
-        """Act on the slot owner's answer about the end of a request."""
+        """Handle the slot owner's answer to a Settle."""
         inquiry = self.owner_requests.resolve(inquiries.Kind.SETTLE, m.request_id, m.verdict)
         run = self.table.get(m.request_id)
         if inquiry is None or run is None or run.phase is not runs.Phase.REFUSING:
@@ -380,7 +380,7 @@
         self._refusal_answered(run, m.verdict, m.record)
 
     def handle_timeout(self, inquiry: inquiries.Inquiry) -> None:
-        """Act on a question that nobody answered."""
+        """Handle an inquiry that timed out."""
         run = self.table.active.get(inquiry.subject)
         if run is None:
             return
@@ -391,7 +391,7 @@
         elif run.phase is runs.Phase.REFUSING:
             self.end(run, data.Outcome.UNKNOWN, run.refusal or data.Reason.NO_OWNER)
 
-    # Other callers of the same request.
+    # Cancellation and other callers.
 
     def cancel(self, request_id: str) -> bool:
         """Cancel a request at its home.
@@ -411,7 +411,7 @@
         return True
 
     def caller_gone(self, watcher_id: str) -> None:
-        """Take a reader away; a stream that nobody reads is cancelled."""
+        """Detach a reader; a stream without readers is cancelled."""
         for run in list(self.table.active.values()):
             if run.watchers.pop(watcher_id, None) is None or run.watchers:
                 continue
@@ -445,12 +445,12 @@
             self.dispatcher.enqueue(run, bounded=False)
 
     def request_rehome(self, run: runs.Run) -> None:
-        """Ask the slot's owner to make this node the home of a run."""
+        """Request that the slot's owner make this node the home of a run."""
         message = late_records.rehome_message(run)
         self.owner_requests.submit(inquiries.Kind.REHOME, run.request.id, message)
 
     def rehomed(self, run: runs.Run) -> None:
-        """Start a run whose home is this node from now on."""
+        """Start a run that this node became the home of."""
         run.recorded = True
         run.acceptance_sent = True
         if run.waits():
@@ -460,7 +460,7 @@
             self.refuse(run, data.Reason.QUEUE_FULL)
 
     def tick(self) -> None:
-        """Place missing copies, and cancel streams that nobody reads."""
+        """Place missing copies and cancel abandoned streams."""
         now = self.ctx.now()
         self.table.tick()
         for run in list(self.table.active.values()):
--- a/plumarch/node/node.py
+++ b/plumarch/node/node.py
@@ -1,7 +1,6 @@
-"""One entry node's decisions: events in, actions out.
+"""Decision logic of an entry node, without I/O: events in, actions out.
 
-Nothing here opens a socket, awaits, or reads a clock of its own. docs/SEAMS.md
-shows how to drive a node.
+docs/SEAMS.md shows how to drive a node.
 """
 
 import random
@@ -17,16 +16,16 @@
 from plumarch.routing import placement
 
 TICK_MS = 50
-"""How often the shell must hand a Tick to the node."""
+"""Interval at which the shell must deliver a Tick."""
 
 CONFIG_REQUEST_INTERVAL_MS = 1_000
 LEAVING_RETENTION_MS = 60_000
 
 WATCHERS = 2
-"""Nodes of a data centre that watch the platform; the others hear it from peers."""
+"""Nodes per data centre that watch the platform; the others get its state from peers."""
 
 NOTICE_SLACK_MS = 2_000
-"""A repeated notice is news only if it leaves at least this much less time."""
+"""Minimum reduction of the time left for a repeated notice to count as a change."""
 
 
 class Node:
@@ -34,11 +33,9 @@
 
     Args:
       identity: "name#incarnation"; the incarnation must be higher after each restart.
-      data_centre: where it runs.
-      time: its clock.
-      rng: its only source of chance.
+      rng: the only source of randomness.
       peers: configured names of the other entry nodes.
-      address: where peers reach it, told in heartbeats.
+      address: its address for peers, announced in heartbeats.
     """
 
     def __init__(
@@ -99,19 +96,13 @@
         self.next_config_request_ms = 0
 
     def handle(self, event: events.Event) -> list[events.Action]:
-        """Decide on one event.
-
-        Args:
-          event: what happened.
-        Returns:
-          The actions to carry out, in order.
-        """
+        """Process one event and return the actions to perform, in order."""
         self._dispatch_event(event)
         self.dispatch.pump()
         return self._collect_actions()
 
     def _collect_actions(self) -> list[events.Action]:
-        """Return the actions decided, after handling the messages to this node itself."""
+        """Drain the outbox, handling messages to this node itself directly."""
         actions: list[events.Action] = []
         while self.ctx.outbox:
             batch = self.ctx.outbox
@@ -276,10 +267,10 @@
             self._send_heartbeat()
 
     def _notice(self, name: str, left_ms: int) -> bool:
-        """Act on a reclaim notice, whoever told of it.
+        """Apply a reclaim notice from any source.
 
         Returns:
-          Whether it is news. A second notice counts if it leaves less time.
+          Whether it is new or leaves less time than a previous one.
         """
         now = self.ctx.now()
         at = now + left_ms
@@ -333,7 +324,7 @@
             self._adopt_late_copies()
 
     def _update_fleet(self) -> None:
-        """Decide on VMs, if the cloud's offers are known; without the platform nothing moves."""
+        """Order and release VMs, if the cloud's offers are known."""
         if not self.decider.offers:
             return
         deciding = self.orders.decides() and self.ctx.now() >= self.orders.next_round_ms
@@ -341,7 +332,7 @@
         self.orders.tick(changes, frozenset(self.placement.endpoints))
 
     def _assign_endpoints(self) -> None:
-        """Settle who admits requests to which endpoint, if nodes or endpoints changed."""
+        """Reassign endpoints to nodes if either changed."""
         live = self.membership.live()
         staying = [n for n in self.placement.endpoints if n not in self.placement.leaving]
         state = (tuple(live), tuple(staying))
@@ -351,7 +342,7 @@
         self.placement.assign_owners({name: self.membership.data_centre(name) for name in live})
 
     def _adopt_late_copies(self) -> None:
-        """Take up copies whose home was lost before they arrived here."""
+        """Adopt requests whose copies arrived after their home was lost."""
         homes = {copy.home for copy in self.copies.held.values()}
         for home_node in sorted(homes):
             if self.membership.state(home_node) is data.NodeState.GONE:
@@ -383,7 +374,7 @@
         for name in self.peers:
             self.ctx.send(name, heartbeat)
 
-    # What a shell asks besides.
+    # Queries by the shell.
 
     def is_watcher(self) -> bool:
         """Return whether this node watches the platform for its data centre."""
@@ -395,8 +386,8 @@
         return self.ctx.node in here[:WATCHERS] or not here
 
     def drained(self) -> bool:
-        """Return whether a stopping node may end: nobody waits for it any more."""
-        # A node that is alone has nobody to hand its slots to.
+        """Return whether a stopping node may exit."""
+        # Without other live nodes there is no successor for its slots.
         slots_released = self.ledger.has_no_slots() or not self.membership.live()
         return self.adoption.drained() and slots_released
 
@@ -413,6 +404,6 @@
     """Decode a message from the wire.
 
     Raises:
-      msgspec.ValidationError: it is of no known kind, or a field has a wrong type.
+      msgspec.ValidationError: unknown type of message, or a field of the wrong type.
     """
     return DECODER.decode(frame)
--- a/plumarch/node/runs.py
+++ b/plumarch/node/runs.py
@@ -1,4 +1,4 @@
-"""The requests whose home is this node, running and ended."""
+"""Requests whose home is this node, active and ended."""
 
 import dataclasses
 import enum
@@ -7,19 +7,19 @@
 from plumarch.recovery import keys
 
 RUNS_LIMIT = 5_000
-"""Requests in progress at most; a further one is refused as not run."""
+"""Maximum active requests; further ones are refused as not run."""
 
 ENDED_LIMIT = 5_000
 ENDED_BYTES_LIMIT = 16 * 1024 * 1024
 ENDED_RETENTION_MS = 120_000
-"""How long, and how much, of ended requests is kept for callers that reattach here."""
+"""Retention of ended requests, for callers that reattach."""
 
 TRIES_PER_HOME = 1_000
-"""Attempt numbers set aside for each home that a request has."""
+"""Range of attempt numbers reserved for each home of a request."""
 
 
 class Phase(enum.StrEnum):
-    """How far a request has got."""
+    """Phase of a request at its home."""
 
     CLAIMING = "claiming"
     COPYING = "copying"
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Watcher:
-    """Somebody who reads a request's answer; node is "" for a caller of this node."""
+    """A reader of a request's answer; node is "" for a caller of this node."""
 
     watcher_id: str
     node: str
@@ -43,16 +43,16 @@
     """A request at its home.
 
     Attributes:
-      home_attempt: counts the homes that the request has had.
+      home_attempt: number of this home among all that the request has had.
       tries: endpoint calls made by this home.
-      own_key: this node issued the key and has not told it to anybody.
-      recorded: a slot holds a record of the key that names this home.
-      handed_over: a byte of it may have reached an endpoint, here or at an earlier home.
-      handed_over_before: the same before the attempt in progress.
-      points: what the ends of endpoints that ran it speak against it, as in limits.quarantine.
-      superseded: attempt that goes on at a leaving endpoint until the next one answers.
-      import_from: address of the engine at which its former home ran it, for its KV cache.
-      weakened: which promise does not hold for it, or "".
+      own_key: whether this node issued the key and has not sent it to anyone yet.
+      recorded: whether a slot's record names this node as home.
+      handed_over: whether a byte may have reached an endpoint, here or at an earlier home.
+      handed_over_before: value of handed_over before the attempt in progress.
+      points: suspicion of crashing endpoints, as in limits.quarantine.
+      superseded: attempt that continues at a leaving endpoint until the next one answers.
+      import_from: engine of the previous home that can export the KV cache, or "".
+      weakened: the guarantee that does not hold for the request, or "".
     """
 
     request: data.Request
@@ -93,20 +93,20 @@
     ended_ms: int = 0
 
     def attempt(self) -> int:
-        """Return the number of the endpoint call in progress; unique over all homes."""
+        """Return the number of the current endpoint call, unique across homes."""
         return self.home_attempt * TRIES_PER_HOME + self.tries
 
     def waits(self) -> bool:
-        """Return whether the request is of a class that waits and is copied."""
+        """Return whether the request's class may wait for long and is copied."""
         return self.request.request_class in data.WAITING_CLASSES
 
     def left_ms(self, now: int) -> int:
-        """Return how much of the caller's time is left."""
+        """Return the time left until the caller's timeout."""
         return self.accepted_ms + self.request.timeout_ms - now
 
 
 class RunTable:
-    """Runs by request id; ended ones are kept for a while, within bounds."""
+    """Active and recently ended runs, by request id."""
 
     def __init__(self, ctx: context.Context) -> None:
         self.ctx = ctx
@@ -119,19 +119,19 @@
         return self.active.get(request_id) or self.ended.get(request_id)
 
     def full(self) -> bool:
-        """Return whether no more runs fit in."""
+        """Return whether the limit of active runs is reached."""
         return len(self.active) >= RUNS_LIMIT
 
     def add(self, run: Run) -> None:
-        """Take a run in."""
+        """Add an active run."""
         self.active[run.request.id] = run
 
     def remove(self, request_id: str) -> None:
-        """Forget an active run: it never was, or has another home."""
+        """Remove an active run that moved to another home or joined another request."""
         self.active.pop(request_id, None)
 
     def end(self, run: Run) -> None:
-        """Move a run to the ended ones."""
+        """Mark a run as ended."""
         self.active.pop(run.request.id, None)
         run.phase = Phase.ENDED
         run.ended_ms = self.ctx.now()
@@ -150,7 +150,7 @@
             self.ended_bytes -= _size(oldest)
 
     def tick(self) -> None:
-        """Drop ended runs that are past their time."""
+        """Drop expired ended runs."""
         self._trim()
 
 
--- a/plumarch/node/watchers.py
+++ b/plumarch/node/watchers.py
@@ -1,13 +1,13 @@
-"""Telling callers, here and at other nodes, what becomes of a request."""
+"""Delivery of acceptance, tokens and answers to callers at this and other nodes."""
 
 from plumarch.core import context, data, events, messages
 from plumarch.node import runs
 
 REFUSAL_RETRY_MS = 1_000
-"""When a refused caller is told to come back, before jitter."""
+"""Suggested retry delay for refused callers, before jitter."""
 
 CHUNK_TOKENS = 2_000
-"""Tokens sent to another node in one message at most."""
+"""Maximum tokens per message to another node."""
 
 
 class Watchers:
@@ -17,7 +17,7 @@
         self.ctx = ctx
 
     def add(self, run: runs.Run, watcher: runs.Watcher) -> None:
-        """Attach a reader, and tell it all that it lacks so far."""
+        """Attach a reader and send what it lacks so far."""
         run.watchers[watcher.watcher_id] = watcher
         run.abandoned_ms = 0
         if not watcher.node and run.acceptance_sent:
@@ -27,7 +27,7 @@
             self._end_to(run, watcher)
 
     def accepted(self, run: runs.Run) -> None:
-        """Tell the callers here that the request is accepted, and under which key."""
+        """Notify local callers that the request is accepted, with its key."""
         run.acceptance_sent = True
         for watcher in run.watchers.values():
             if not watcher.node:
@@ -38,7 +38,7 @@
         self.ctx.act(events.TellAccepted(watcher.watcher_id, request.id, request.key, run.weakened))
 
     def push(self, run: runs.Run) -> None:
-        """Tell every reader the tokens that it lacks."""
+        """Send every reader the tokens that it lacks."""
         for watcher in run.watchers.values():
             self._push_to(run, watcher)
 
@@ -60,7 +60,7 @@
             self.ctx.act(events.TellTokens(watcher.watcher_id, request_id, position, tuple(tokens)))
 
     def end(self, run: runs.Run) -> None:
-        """Tell every reader the final answer."""
+        """Send every reader the final answer."""
         self.push(run)
         for watcher in run.watchers.values():
             self._end_to(run, watcher)
@@ -87,7 +87,7 @@
         reason: str,
         reply: data.Reply | None = None,
     ) -> None:
-        """Tell a caller of this node its final answer, with when to come back."""
+        """Send a local caller its final answer, with a retry delay if it failed."""
         retry_after = 0
         if outcome is not data.Outcome.DONE:
             retry_after = REFUSAL_RETRY_MS + self.ctx.rng.randrange(REFUSAL_RETRY_MS)
