--- a/plumarch/core/backoff_test.py
+++ b/plumarch/core/backoff_test.py
@@ -1,4 +1,4 @@
-"""Pauses double up to a limit, and differ between nodes."""
+"""Growth, cap and jitter of backoff pauses."""
 
 import random
 
@@ -7,7 +7,7 @@
 BACKOFF = backoff.Backoff(100.0, 1_000.0)
 
 
-def test_pauses_double_up_to_the_longest_and_stay_there():
+def test_pauses_double_up_to_the_maximum():
     rng = random.Random(1)
     for failures, longest in ((1, 100.0), (2, 200.0), (4, 800.0), (5, 1_000.0), (10_000, 1_000.0)):
         for _ in range(100):
@@ -15,12 +15,12 @@
             assert backoff.MIN_JITTER * longest <= pause <= longest
 
 
-def test_nodes_that_failed_together_call_again_at_different_times():
+def test_jitter_spreads_retries_of_simultaneous_failures():
     pauses = {round(BACKOFF.pause_ms(1, random.Random(seed))) for seed in range(100)}
     assert len(pauses) > 30
 
 
-def test_kinds_of_work_wait_for_themselves_only_and_until_they_are_done_once():
+def test_kinds_back_off_independently_and_a_success_resets():
     time = clock.ManualClock(5_000)
     retries = backoff.Retries(time, random.Random(1), BACKOFF)
     for _ in range(6):
--- a/plumarch/core/event_loop_test.py
+++ b/plumarch/core/event_loop_test.py
@@ -1,4 +1,4 @@
-"""Timers that were set before the machine was suspended."""
+"""Timers across a suspension of the machine."""
 
 import asyncio
 import time
@@ -9,7 +9,7 @@
 
 
 class Suspended:
-    """The host's steady clock, with suspensions."""
+    """The host's monotonic clock with simulated suspensions."""
 
     def __init__(self) -> None:
         self.real = time.clock_gettime
@@ -19,7 +19,7 @@
         return self.real(which) + self.for_s
 
 
-def test_what_is_due_after_a_suspension_comes_at_the_first_wake(monkeypatch: pytest.MonkeyPatch):
+def test_timers_overdue_after_a_suspension_fire_at_the_first_wake(monkeypatch: pytest.MonkeyPatch):
     machine = Suspended()
     monkeypatch.setattr(time, "clock_gettime", machine.clock_gettime)
 
@@ -36,15 +36,15 @@
     assert event_loop.run(work()) == ["an hour"]
 
 
-def test_our_clock_and_the_timers_count_alike(monkeypatch: pytest.MonkeyPatch):
-    asked = []
+def test_monotonic_clock_and_event_loop_use_the_same_clock(monkeypatch: pytest.MonkeyPatch):
+    clock_ids = []
 
-    def noted(which: int) -> int:
-        asked.append(which)
+    def record_clock_id(which: int) -> int:
+        clock_ids.append(which)
         return 12_000_000_000
 
-    monkeypatch.setattr(time, "clock_gettime_ns", noted)
+    monkeypatch.setattr(time, "clock_gettime_ns", record_clock_id)
     assert clock.MonotonicClock().now() == 12_000
-    assert asked == [clock.CLOCK_ID]
+    assert clock_ids == [clock.CLOCK_ID]
     if clock.COUNTS_SUSPENSIONS:
         assert clock.CLOCK_ID == time.CLOCK_BOOTTIME
--- a/plumarch/core/request_rate_test.py
+++ b/plumarch/core/request_rate_test.py
@@ -1,4 +1,4 @@
-"""A rate is a plain decimal number, or none."""
+"""Parsing of announced request rates."""
 
 import pytest
 from hypothesis import given, strategies
@@ -10,7 +10,7 @@
     ("text", "rate"),
     [("1", 1.0), ("0.25", 0.25), (".5", 0.5), ("3.", 3.0), (" 2 ", 2.0), ("0", 0.0)],
 )
-def test_plain_decimals(text: str, rate: float):
+def test_plain_decimals_are_parsed(text: str, rate: float):
     assert request_rate.per_second(text) == rate
 
 
@@ -18,7 +18,7 @@
     "text",
     ["", "-1", "+1", "1,5", "1e9", "nan", "inf", "0x1", "1 2", "1;2", ".", "9" * 13, "\u0661"],
 )
-def test_all_else_is_none(text: str):
+def test_other_formats_are_rejected(text: str):
     assert request_rate.per_second(text) is None
 
 
--- a/plumarch/core/retry_after_test.py
+++ b/plumarch/core/retry_after_test.py
@@ -1,4 +1,4 @@
-"""A Retry-After names seconds, or nothing."""
+"""Parsing of Retry-After in seconds."""
 
 import pytest
 from hypothesis import given, strategies
@@ -20,7 +20,7 @@
         ("", 0.0),
     ],
 )
-def test_seconds(text: str, ms: float):
+def test_only_positive_finite_seconds_are_accepted(text: str, ms: float):
     assert retry_after.milliseconds(text) == ms
 
 
--- a/plumarch/core/suspension_test.py
+++ b/plumarch/core/suspension_test.py
@@ -1,9 +1,9 @@
-"""Suspensions are told by looks that come late."""
+"""Detection of suspensions by late checks."""
 
 from plumarch.core import clock, suspension
 
 
-def test_looks_in_time_tell_nothing_and_late_ones_tell_how_long():
+def test_only_a_late_check_counts_as_a_suspension_and_adds_its_duration():
     time = clock.ManualClock(1_000)
     known = suspension.Suspensions(time)
     for _ in range(20):
@@ -16,7 +16,7 @@
     assert not known.since(time.now())
 
 
-def test_a_part_that_nobody_has_look_tells_nothing():
+def test_no_suspension_is_reported_before_the_first_check():
     time = clock.ManualClock(1_000)
     known = suspension.Suspensions(time)
     time.advance_to(60_000)
--- a/tests/handover_test.py
+++ b/tests/handover_test.py
@@ -1,7 +1,6 @@
-"""A hand-over interrupted at each of its points, by each kind of failure.
+"""Failures injected at each step of a dispatch: the request runs at most once.
 
-Whatever happens, the ticket runs at most once, and nobody who heard "not run"
-heard wrong. The caller asks again at once through two other nodes.
+Each caller retries through two other nodes, and "not run" must never be reported wrongly.
 """
 
 import dataclasses
@@ -21,7 +20,7 @@
 
 @dataclasses.dataclass
 class Scene:
-    """A ticket on its way from its home, with the owner of its slot elsewhere."""
+    """A non-repeatable request whose slot is owned in another data centre than its home."""
 
     world: virtual.World
     key: str
@@ -49,7 +48,7 @@
     return isinstance(action, events.HandOver)
 
 
-# Point: which action, and whether the action itself still happens.
+# Step name to a predicate on the action, and whether the action is still performed.
 POINTS: dict[str, tuple[Callable[[events.Action], bool], bool]] = {
     "before the claim": (is_claim, False),
     "claim sent": (is_claim, True),
@@ -63,8 +62,8 @@
 }
 
 
-def nothing(scene: Scene) -> None:
-    """Only the point's own action may be lost."""
+def no_failure(scene: Scene) -> None:
+    """Inject no failure beyond the possible loss of the step's own action."""
 
 
 def kill_home(scene: Scene) -> None:
@@ -139,7 +138,7 @@
 
 
 FAILURES = [
-    nothing,
+    no_failure,
     kill_home,
     replace_home,
     pause_home,
@@ -174,7 +173,7 @@
 
 
 def interrupt(scene: Scene, point: str, failure: Callable[[Scene], None]) -> list[bool]:
-    """Arrange for a failure at a point; the list tells later whether it was reached."""
+    """Inject a failure at a point; the returned list is non-empty once it was reached."""
     matches, happens = POINTS[point]
     reached: list[bool] = []
 
@@ -201,7 +200,7 @@
 @pytest.mark.parametrize("checks_fencing", [False, True], ids=["unfenced", "fenced"])
 @pytest.mark.parametrize("failure", FAILURES, ids=lambda f: f.__name__)
 @pytest.mark.parametrize("point", POINTS)
-def test_interrupted_hand_over(
+def test_interrupted_dispatch_runs_at_most_once(
     point: str, failure: Callable[[Scene], None], checks_fencing: bool
 ) -> None:
     scene = scene_with_remote_owner(checks_fencing)
@@ -228,7 +227,7 @@
 
 
 @pytest.mark.parametrize("place", ["connect", "sent", "ran"])
-def test_a_broken_connection_is_retried_only_before_the_first_byte(place: str) -> None:
+def test_broken_connection_is_retried_only_before_the_first_byte(place: str) -> None:
     scene = scene_with_remote_owner(checks_fencing=False)
     for endpoint in scene.world.endpoints.values():
         endpoint.break_at = place
--- a/tests/isolation_test.py
+++ b/tests/isolation_test.py
@@ -1,5 +1,4 @@
-"""What each class of request gets in a data centre that is cut off. The same table is in
-docs/OPERATIONS.md; a test there keeps both in step."""
+"""Outcome by class of request in an isolated data centre, as documented in docs/OPERATIONS.md."""
 
 import pathlib
 
@@ -14,7 +13,7 @@
 PAGE = pathlib.Path(__file__).parent.parent / "docs" / "OPERATIONS.md"
 
 LOOKUP = data.RequestClass.LOOKUP
-# Name: class, where the owner of the key's slot is ("" for no key), repeatable.
+# Name to class, data centre of the slot's owner ("" for no key), and whether it is repeatable.
 CALLS = {
     "lookup, no key": (LOOKUP, "", True),
     "chat, no key": (data.RequestClass.CHAT, "", True),
@@ -27,7 +26,7 @@
     "not repeatable, slot owned elsewhere": (LOOKUP, "b", False),
 }
 CUTS = ("platform", "others", "both")
-# What is told 10 s after the cut from the platform, the other data centres, or both.
+# Outcome 10 s after losing the platform, the other data centres, or both.
 TABLE = {
     "lookup, no key": ("done", "done", "done"),
     "chat, no key": ("done", "done", "done"),
@@ -49,7 +48,7 @@
         world.network.platform_cuts.add("a")
 
 
-def told(caller: invariants.CallerView) -> str:
+def reported_outcome(caller: invariants.CallerView) -> str:
     outcome = str(caller.ends[0]).replace("_", " ") if caller.ends else "pending"
     return outcome + (", weakened" if caller.weakened else "")
 
@@ -60,7 +59,7 @@
         slot = keys.slot_of("okefenokee", key)
         for name, host in world.hosts.items():
             owned = host.node.ledger.owned.get(slot)
-            # Neither owner nor successor are in data centre a, or the owner is.
+            # Either the owner is in data centre a, or neither owner nor successor is.
             if owned is not None and NODES[name] == centre:
                 successor = owned.successor.partition("#")[0]
                 if centre == "a" or NODES[successor] != "a":
@@ -70,7 +69,7 @@
 
 @pytest.mark.parametrize("cut", CUTS)
 @pytest.mark.parametrize("call", CALLS)
-def test_cut_off(call: str, cut: str) -> None:
+def test_outcome_in_an_isolated_data_centre(call: str, cut: str) -> None:
     request_class, owner, repeatable = CALLS[call]
     world = virtual.build(NODES)
     key = key_with_owner(world, owner) if owner else ""
@@ -79,13 +78,13 @@
     request = virtual.request(world, "a1", request_class, key, repeatable)
     caller = world.call("a1", request)
     world.run(10_000)
-    assert told(caller) == TABLE[call][CUTS.index(cut)]
+    assert reported_outcome(caller) == TABLE[call][CUTS.index(cut)]
     world.heal()
     world.run(10_000)
     assert invariants.violations(world.journal) == []
 
 
-def test_the_operators_page_has_the_same_table() -> None:
+def test_operations_page_has_the_same_table() -> None:
     page = PAGE.read_text()
     for call, cells in TABLE.items():
         assert f"| {call} | {' | '.join(cells)} |" in page
--- a/tests/lost_answer_test.py
+++ b/tests/lost_answer_test.py
@@ -1,4 +1,4 @@
-"""A request that ended whole, and whose answer is lost with its home, is run again on demand."""
+"""A repeatable request whose answer was lost with its home runs again when the caller retries."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 
 def forget_answers(world: virtual.World) -> None:
-    """Leave the records of ended requests without their answers, as the platform's object does."""
+    """Remove the answers from all records, as in the platform's slot objects."""
     for host in world.hosts.values():
         ledger = host.node.ledger
         for slot in (*ledger.owned.values(), *ledger.held.values()):
@@ -15,7 +15,7 @@
                 slot.table.put(dataclasses.replace(record, reply=None), world.clock.now())
 
 
-def test_a_caller_that_asks_again_gets_the_answer_though_its_home_is_lost():
+def test_retry_gets_an_answer_after_the_home_was_lost():
     world = virtual.build({"a1": "a", "b1": "b", "c1": "c"})
     review = virtual.request(world, "c1", data.RequestClass.REVIEW, "r7")
     first = world.call("c1", review)
--- a/tests/refusal_test.py
+++ b/tests/refusal_test.py
@@ -1,4 +1,4 @@
-"""A refusal under way is final: what waits for its record is not handed over any more."""
+"""A request whose refusal is being recorded must not be dispatched any more."""
 
 import dataclasses
 
@@ -9,11 +9,11 @@
 from plumarch.standins import virtual
 
 LONG_MS = 300
-"""How long the only place is taken: longer than a call waits for one (100 ms)."""
+"""Duration of the call that occupies the endpoint; longer than the queue limit of 100 ms."""
 
 
 def world_with_one_place() -> virtual.World:
-    """Return a world with a single plain service that runs one call at a time."""
+    """Build a world with a single plain service of capacity 1."""
     world = virtual.build({"a1": "a", "b1": "b", "c1": "c"}, services_each=1)
     for name in ("b-tickets-0", "c-tickets-0"):
         world.kill_endpoint(name)
@@ -26,12 +26,12 @@
 
 
 def key_owned_elsewhere(world: virtual.World) -> str:
-    """Return a key whose slot another node than a1 owns."""
+    """Return a key whose slot is not owned by a1."""
     mine = {slot for slot, _ in world.hosts["a1"].node.ledger.owned_list()}
     return next(key for key in map(str, range(100)) if keys.slot_of("okefenokee", key) not in mine)
 
 
-def test_a_call_whose_refusal_waits_for_its_record_is_not_handed_over():
+def test_request_is_not_dispatched_while_its_refusal_is_being_recorded():
     world = world_with_one_place()
     key = key_owned_elsewhere(world)
     world.call("a1", virtual.request(world, "a1", data.RequestClass.LOOKUP, "first", False))
@@ -55,7 +55,7 @@
 
 
 def settles_of(world: virtual.World, request_id: str) -> list[data.KeyState]:
-    """Return a list that gets the ends that are told to slot owners for a request."""
+    """Return a list that collects the states reported to slot owners for a request."""
     states: list[data.KeyState] = []
 
     def note_settles(_: virtual.Host, action: events.Action) -> bool:
@@ -68,8 +68,8 @@
     return states
 
 
-def test_a_draft_that_was_never_accepted_is_not_settled_as_run():
-    """It was given up unrun: once its late grant comes, a retry hears "not run"."""
+def test_draft_that_was_never_accepted_is_not_settled_as_run():
+    """After a late grant, a retry must get "not run"."""
     world = virtual.build({"a1": "a", "b1": "b", "c1": "c"})
     key = key_owned_elsewhere(world)
     slot = keys.slot_of("okefenokee", key)
@@ -90,7 +90,7 @@
     assert set(states) == {data.KeyState.REFUSED}
 
 
-def test_a_draft_whose_key_stands_for_another_one_settles_nothing():
+def test_draft_with_a_conflicting_key_settles_nothing():
     world = virtual.build({"a1": "a", "b1": "b", "c1": "c"})
     key = key_owned_elsewhere(world)
     world.call("b1", virtual.request(world, "b1", data.RequestClass.DRAFT, key))
--- a/tests/replies_test.py
+++ b/tests/replies_test.py
@@ -1,4 +1,4 @@
-"""Replies that are late, crossed, doubled or for an earlier attempt are dropped and counted."""
+"""Stale, duplicate and misdirected replies are dropped and counted."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 def running(max_tokens: int = 10) -> tuple[virtual.World, invariants.CallerView, str, int]:
-    """Return a world with one chat in progress, moved once, so that it has an earlier attempt."""
+    """Build a world with a chat in progress that was moved once, so that attempt 1 is stale."""
     world = virtual.build(NODES)
     request = virtual.request(world, "a1", data.RequestClass.CHAT, max_tokens=max_tokens)
     caller = world.call("a1", request)
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("number", range(3))
-def test_a_reply_for_an_earlier_attempt_is_dropped(number: int) -> None:
+def test_reply_for_an_earlier_attempt_is_dropped(number: int) -> None:
     world, caller, request_id, attempt = running(60)
     assert attempt == 1_002
     before = world.counts["stale_replies"]
@@ -41,7 +41,7 @@
     assert invariants.violations(world.journal) == []
 
 
-def test_a_reply_for_a_request_of_a_former_incarnation_is_dropped() -> None:
+def test_reply_for_a_former_incarnation_is_dropped() -> None:
     world, _, request_id, attempt = running(60)
     world.kill("a1")
     world.restart("a1")
@@ -50,7 +50,7 @@
     assert world.counts["stale_replies"] == before + 1
 
 
-def test_doubled_tokens_are_told_once() -> None:
+def test_duplicate_tokens_are_sent_once() -> None:
     world, caller, request_id, attempt = running(60)
     seed = caller.request.seed if caller.request else 0
     for _ in range(3):
@@ -61,7 +61,7 @@
     assert invariants.violations(world.journal) == []
 
 
-def test_missing_tokens_are_fetched_again() -> None:
+def test_gap_in_tokens_causes_a_retry() -> None:
     world, caller, request_id, attempt = running(60)
     world.deliver(world.hosts["a1"], events.EndpointTokens(request_id, attempt, 50, ("wrong ",)))
     world.run(8_000)
@@ -70,7 +70,7 @@
     assert invariants.violations(world.journal) == []
 
 
-def test_tokens_lost_between_nodes_are_asked_for_again() -> None:
+def test_tokens_lost_between_nodes_are_sent_again() -> None:
     world = virtual.build(NODES)
     request = virtual.request(world, "a1", data.RequestClass.CHAT, "k", max_tokens=60)
     world.call("a1", request)
@@ -85,8 +85,8 @@
     assert invariants.violations(world.journal) == []
 
 
-def test_not_run_is_not_told_once_bytes_were_written() -> None:
-    """The first try reached an engine; the last failed before its first byte."""
+def test_not_run_is_not_reported_after_bytes_were_written() -> None:
+    """The first try reached an engine, the last one failed before its first byte."""
     world = virtual.build(NODES)
     request = virtual.request(world, "a1", data.RequestClass.CHAT, "k", max_tokens=60)
     caller = world.call("a1", request)
@@ -102,7 +102,7 @@
     assert invariants.violations(world.journal) == []
 
 
-def test_not_run_is_told_if_every_try_failed_before_its_first_byte() -> None:
+def test_not_run_is_reported_if_every_try_failed_before_its_first_byte() -> None:
     world = virtual.build(NODES)
     for endpoint in world.endpoints.values():
         endpoint.alive = False
--- a/tests/sessions_test.py
+++ b/tests/sessions_test.py
@@ -1,7 +1,6 @@
-"""Every session in tests/sessions holds, and its transcript is the recorded one.
+"""Replays the sessions in tests/sessions and compares their transcripts with the recorded ones.
 
-To record transcripts after a change that is meant to change them:
-PLUMARCH_RECORD=1 make test, and read the difference before committing it.
+To record new transcripts, run PLUMARCH_RECORD=1 make test and review the difference.
 """
 
 import hashlib
@@ -19,7 +18,7 @@
 
 
 @pytest.mark.parametrize("script", SCRIPTS, ids=lambda path: path.stem)
-def test_session(script: pathlib.Path) -> None:
+def test_session_matches_its_recorded_transcript(script: pathlib.Path) -> None:
     session = sessions.play(script.read_text())
     assert session.failures == []
     golden = script.with_suffix(".golden")
@@ -29,7 +28,7 @@
     assert transcript == golden.read_text()
 
 
-def test_unknown_steps_are_errors() -> None:
+def test_unknown_steps_are_rejected() -> None:
     with pytest.raises(ValueError, match="unknown action"):
         sessions.play("nodes a1=a\nat 0 dance a1")
 
