--- a/tests/bounds_test.py
+++ b/tests/bounds_test.py
@@ -1,4 +1,4 @@
-"""Every table and queue has a limit: past it a clear refusal, and nothing accepted is lost."""
+"""Limits of tables and queues: requests beyond them are refused, accepted ones complete."""
 
 import asyncio
 
@@ -31,8 +31,8 @@
     return [str(caller.ends[0]) if caller.ends else "pending" for caller in callers]
 
 
-def settle(world: virtual.World, callers: list[invariants.CallerView]) -> None:
-    """Let everything end; whatever was accepted is done."""
+def run_to_completion(world: virtual.World, callers: list[invariants.CallerView]) -> None:
+    """Run until all requests end, and check that accepted ones completed."""
     world.run(60_000)
     assert invariants.violations(world.journal) == []
     assert all(len(caller.ends) == 1 for caller in callers)
@@ -41,25 +41,25 @@
             assert caller.ends == [data.Outcome.DONE]
 
 
-def test_requests_in_progress(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_beyond_the_run_limit_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     world = virtual.build(NODES)
     monkeypatch.setattr(runs, "RUNS_LIMIT", LIMIT)
     callers = calls(world, 10, data.RequestClass.CHAT, keyed=False)
-    settle(world, callers)
+    run_to_completion(world, callers)
     assert outcomes(callers).count("not_run") == 6
     assert all(c.reasons in ([""], ["run_table_full"]) for c in callers)
 
 
-def test_a_line_of_waiting_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_beyond_the_queue_limit_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     world = virtual.build(NODES, engines_each=1)
     monkeypatch.setattr(fair_queue, "LINE_LIMIT", LIMIT)
     callers = calls(world, 60, data.RequestClass.CHAT, keyed=False)
-    settle(world, callers)
+    run_to_completion(world, callers)
     assert outcomes(callers).count("not_run") > 0
     assert {r for c in callers for r in c.reasons} == {"", "queue_full"}
 
 
-def test_records_of_a_slot(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_claims_beyond_the_table_limit_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     world = virtual.build(NODES)
     monkeypatch.setattr(keys, "TABLE_LIMIT", 0)
     own = world.call("a1", virtual.request(world, "a1", data.RequestClass.LOOKUP, repeatable=False))
@@ -72,7 +72,7 @@
     assert world.journal.executions == []
 
 
-def test_records_expire_by_age_and_not_before() -> None:
+def test_records_expire_after_the_retention_time() -> None:
     table = keys.Table()
     for number in range(3):
         record = data.KeyRecord("w", str(number), "r", "a1#1", 1, data.KeyState.DONE)
@@ -82,7 +82,7 @@
     assert [record.key for record in table.listing()] == ["2"]
 
 
-def test_a_long_reply_is_not_kept_but_its_key_is() -> None:
+def test_record_with_an_oversized_reply_is_kept_without_it() -> None:
     table = keys.Table()
     reply = data.Reply(body=b"x" * (keys.REPLY_LIMIT + 1))
     record = data.KeyRecord("w", "k", "r", "a1#1", 1, data.KeyState.DONE, reply=reply)
@@ -90,17 +90,17 @@
     assert (kept.reply, kept.state) == (None, data.KeyState.DONE)
 
 
-def test_copies(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_copies_beyond_the_limit_are_declined(monkeypatch: pytest.MonkeyPatch) -> None:
     world = virtual.build(NODES)
     monkeypatch.setattr(copies, "COPY_LIMIT", LIMIT)
     callers = calls(world, 20, data.RequestClass.REVIEW)
     world.run(1_000)
     assert all(len(host.node.copies.held) <= LIMIT for host in world.hosts.values())
     assert sum(1 for c in callers if c.weakened) > 0
-    settle(world, callers)
+    run_to_completion(world, callers)
 
 
-def test_copies_by_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_copies_are_limited_by_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(copies, "COPY_BYTES_LIMIT", 10)
     world = virtual.build({"a1": "a"})
     held = world.hosts["a1"].node.copies
@@ -115,7 +115,7 @@
     assert held.bytes == 5
 
 
-def test_callers_followed_to_other_nodes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_followed_callers_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     world = virtual.build(NODES)
     monkeypatch.setattr(followers, "FOLLOW_LIMIT", 1)
     first = world.call("a1", virtual.request(world, "a1", data.RequestClass.CHAT, "k"))
@@ -126,7 +126,7 @@
     assert invariants.violations(world.journal) == []
 
 
-def test_ended_requests_are_forgotten_oldest_first(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_oldest_ended_requests_are_dropped_first(monkeypatch: pytest.MonkeyPatch) -> None:
     world = virtual.build(NODES)
     monkeypatch.setattr(runs, "ENDED_LIMIT", LIMIT)
     calls(world, 10, data.RequestClass.LOOKUP, keyed=False)
@@ -136,7 +136,7 @@
     assert table.ended_bytes == 4 * len(b"a1#1/9")
 
 
-def test_operations_of_a_slot(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_claims_beyond_the_operations_limit_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     world = virtual.build(NODES)
     monkeypatch.setattr(ledger, "OPERATIONS_LIMIT", 0)
     caller = world.call(
@@ -146,8 +146,8 @@
     assert caller.ends == [data.Outcome.NOT_RUN]
 
 
-def test_records_stored_in_a_slots_object(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With no successor, permissions are written to the object: only so many at a time."""
+def test_records_in_a_slot_object_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Without a successor, all permissions are written to the slot's object."""
     monkeypatch.setattr(ledger, "STORED_LIMIT", LIMIT)
     world = virtual.build({"a1": "a"})
     callers = calls(world, 400, data.RequestClass.LOOKUP)
@@ -159,18 +159,18 @@
     assert invariants.violations(world.journal) == []
 
 
-def test_prefixes_remembered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cached_prefixes_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(placement, "CACHE_ENTRIES", 2)
     monkeypatch.setattr(placement, "PREFIXES_LIMIT", 3)
     world = virtual.build(NODES)
-    places = world.hosts["a1"].node.placement
+    placer = world.hosts["a1"].node.placement
     for prefix in range(1, 10):
-        places.started("a-engine-0", prefix)
-    assert list(places.stats["a-engine-0"].cached) == [8, 9]
-    assert list(places.by_prefix) == [7, 8, 9]
+        placer.started("a-engine-0", prefix)
+    assert list(placer.stats["a-engine-0"].cached) == [8, 9]
+    assert list(placer.by_prefix) == [7, 8, 9]
 
 
-def test_frames_between_nodes() -> None:
+def test_oversized_frames_are_rejected() -> None:
     async def read() -> None:
         reader = asyncio.StreamReader()
         reader.feed_data(frames.HEAD.pack(wire.FRAME_LIMIT + 1))
@@ -180,7 +180,7 @@
     asyncio.run(read())
 
 
-def test_messages_waiting_for_a_peer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_messages_beyond_the_peer_queue_limit_are_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(wire, "QUEUE_LIMIT", LIMIT)
 
     async def send() -> list[str]:
@@ -195,7 +195,7 @@
     assert asyncio.run(send()) == ["queue full"] * 6
 
 
-def test_a_stranger_on_the_network_gets_nothing_in() -> None:
+def test_messages_with_a_wrong_key_are_rejected() -> None:
     async def attack() -> tuple[list[str], list[str]]:
         received: list[str] = []
         dropped: list[str] = []
@@ -203,18 +203,18 @@
             "a1#1", b"right-key-of-the-nodes", lambda s, m: received.append(s), dropped.append
         )
         port = await server.listen("127.0.0.1", 0)
-        stranger = wire.WireTransport("b1#1", b"wrong", lambda s, m: None, dropped.append)
-        stranger.add_peer("a1", f"127.0.0.1:{port}")
-        stranger.send("a1", messages.CopyDrop("x"))
-        friend = wire.WireTransport(
+        intruder = wire.WireTransport("b1#1", b"wrong", lambda s, m: None, dropped.append)
+        intruder.add_peer("a1", f"127.0.0.1:{port}")
+        intruder.send("a1", messages.CopyDrop("x"))
+        peer = wire.WireTransport(
             "c1#1", b"right-key-of-the-nodes", lambda s, m: None, dropped.append
         )
-        friend.add_peer("a1", f"127.0.0.1:{port}")
-        friend.send("a1", messages.CopyDrop("x"))
+        peer.add_peer("a1", f"127.0.0.1:{port}")
+        peer.send("a1", messages.CopyDrop("x"))
         while not (received and dropped):
             await asyncio.sleep(0.01)
-        for end in (server, stranger, friend):
-            await end.close()
+        for transport in (server, intruder, peer):
+            await transport.close()
         return received, dropped
 
     received, dropped = asyncio.run(attack())
@@ -222,7 +222,7 @@
     assert "Check the key" in dropped[0]
 
 
-def test_a_changed_frame_is_not_taken() -> None:
+def test_tampered_frame_is_rejected() -> None:
     sender = wire.Session(b"key", "a1#1")
     receiver = wire.Session(b"key", "b1#1")
     frame = bytearray(sender.seal(b"c", b"body")[frames.HEAD.size :])
@@ -231,23 +231,23 @@
         receiver.open(b"c", bytes(frame))
 
 
-def test_a_refused_caller_is_told_when_to_come_back() -> None:
+def test_refused_caller_gets_a_retry_delay() -> None:
     world = virtual.build(NODES)
     world.hosts["a1"].node.placement.update(())
-    told = []
+    retry_delays = []
 
-    def look(host: virtual.Host, action: events.Action) -> bool:
+    def record_delay(host: virtual.Host, action: events.Action) -> bool:
         if isinstance(action, events.TellEnd):
-            told.append(action.retry_after_ms)
+            retry_delays.append(action.retry_after_ms)
         return True
 
-    world.interfere = look
+    world.interfere = record_delay
     caller = world.call("a1", virtual.request(world, "a1", data.RequestClass.CHAT))
     assert caller.ends == [data.Outcome.NOT_RUN]
-    assert told[0] > 0
+    assert retry_delays[0] > 0
 
 
-def test_a_node_that_is_alone_stops_without_waiting_for_others() -> None:
+def test_node_without_peers_stops_immediately() -> None:
     world = virtual.build({"a1": "a"})
     one = world.hosts["a1"]
     world.deliver(one, events.StopAsked())
--- a/tests/ledger_test.py
+++ b/tests/ledger_test.py
@@ -1,4 +1,4 @@
-"""The slot protocol at the places where a missing guard would let a ticket run twice."""
+"""Guards of the slot protocol that prevent a request from running twice."""
 
 import handover_test
 import pytest
@@ -12,8 +12,8 @@
 HOME = handover_test.HOME
 
 
-def one_owner_each(world: virtual.World) -> list[int]:
-    """Return the slots that not exactly one live node owns."""
+def slots_without_single_owner(world: virtual.World) -> list[int]:
+    """Return the slots that have no live owner or several."""
     count = dict.fromkeys(range(keys.SLOTS), 0)
     for host in world.hosts.values():
         if host.alive:
@@ -26,7 +26,7 @@
     return [str(end) for end in caller.ends]
 
 
-def test_a_refusal_settles_the_key_for_all_nodes() -> None:
+def test_refusal_settles_the_key_for_all_nodes() -> None:
     scene = handover_test.scene_with_remote_owner(checks_fencing=False)
     world = scene.world
     world.hosts[HOME].node.placement.update(())
@@ -38,7 +38,7 @@
     assert world.journal.executions == []
 
 
-def test_a_refusal_that_nobody_else_holds_is_not_told_later() -> None:
+def test_unreplicated_refusal_is_not_reported_later() -> None:
     world = virtual.build({"a1": "a", "b1": "b", "c1": "c"}, engines_each=0)
     key = key_owned_by(world, "a1")
     world.cut("a", "b")
@@ -67,7 +67,7 @@
     return world.call(name, request)
 
 
-def test_keys_are_uncertain_after_owner_successor_and_home_are_lost() -> None:
+def test_keys_are_uncertain_after_loss_of_owner_successor_and_home() -> None:
     scene = handover_test.scene_with_remote_owner(checks_fencing=False)
     world = scene.world
     done = world.call(HOME, handover_test.ticket(scene, HOME))
@@ -83,7 +83,7 @@
     assert ends(again) == ["unknown"]
     assert ends(issued) == ["done"]
     assert invariants.violations(world.journal) == []
-    assert one_owner_each(world) == []
+    assert slots_without_single_owner(world) == []
 
 
 def other(scene: handover_test.Scene) -> str:
@@ -92,7 +92,7 @@
     return next(name for name in scene.world.hosts if name not in busy)
 
 
-def test_a_slot_whose_owner_and_successor_are_only_silent_is_left_to_them() -> None:
+def test_slot_is_not_taken_over_while_owner_and_successor_are_only_unresponsive() -> None:
     scene = handover_test.scene_with_remote_owner(checks_fencing=False)
     world = scene.world
     world.call(HOME, handover_test.ticket(scene, HOME))
@@ -115,7 +115,7 @@
     assert invariants.violations(world.journal) == []
 
 
-def test_the_uncertainty_ends_when_no_caller_may_ask_again() -> None:
+def test_uncertainty_ends_after_the_retention_of_records() -> None:
     scene = handover_test.scene_with_remote_owner(checks_fencing=False)
     world = scene.world
     for name in (scene.owner, scene.successor):
@@ -129,7 +129,7 @@
     assert ends(late) == ["done"]
 
 
-def test_a_leaving_successor_takes_over_from_a_lost_owner_and_passes_the_slot_on() -> None:
+def test_leaving_successor_takes_over_from_a_lost_owner_and_hands_the_slot_on() -> None:
     scene = handover_test.scene_with_remote_owner(checks_fencing=False)
     world = scene.world
     world.call(HOME, handover_test.ticket(scene, HOME))
@@ -141,11 +141,11 @@
     world.run(3_000)
     assert ends(again) == ["done"]
     assert world.hosts[scene.successor].node.ledger.has_no_slots()
-    assert one_owner_each(world) == []
+    assert slots_without_single_owner(world) == []
 
 
-def test_permissions_in_the_object_reach_the_next_owner() -> None:
-    """The successor can't be reached, so the platform holds the record; the owner dies."""
+def test_permissions_in_the_slot_object_reach_the_next_owner() -> None:
+    """The successor is unreachable, so the record is stored in the object; the owner is killed."""
     scene = handover_test.scene_with_remote_owner(checks_fencing=False)
     world = scene.world
     world.cut(scene.owner, scene.successor)
@@ -160,12 +160,12 @@
     world.run(3_000)
     assert ends(again) == ["unknown"]
     assert invariants.violations(world.journal) == []
-    assert one_owner_each(world) == []
+    assert slots_without_single_owner(world) == []
 
 
-@pytest.mark.parametrize("lost_on_the_way", [True, False])
-def test_while_a_change_of_successor_is_unresolved_both_must_hold(lost_on_the_way: bool) -> None:
-    """The change landed but its answer was lost; the candidate misses a record."""
+@pytest.mark.parametrize("answer_lost", [True, False])
+def test_unresolved_change_of_successor_needs_both_acknowledgements(answer_lost: bool) -> None:
+    """The change took effect, its answer may be lost, and the candidate misses a record."""
     scene = handover_test.scene_with_remote_owner(checks_fencing=False)
     world = scene.world
     number = keys.slot_of("okefenokee", scene.key)
@@ -176,14 +176,14 @@
         if handover_test.NODES[name] not in ("a", handover_test.NODES[scene.owner])
         and name != scene.successor
     )
-    world.store.faults.lose_answers = 1.0 if lost_on_the_way else 0.0
+    world.store.faults.lose_answers = 1.0 if answer_lost else 0.0
     world.hosts[scene.owner].node.ledger._start_copy(slot, candidate)
 
     def keep_from_candidate(host: virtual.Host, action: events.Action) -> bool:
         if isinstance(action, events.Send) and isinstance(action.message, messages.Replicate):
             return action.node != candidate
         if host.name == scene.owner and isinstance(action, events.PlatformGet):
-            return not lost_on_the_way
+            return not answer_lost
         return True
 
     world.interfere = keep_from_candidate
@@ -202,16 +202,16 @@
     assert len(ends(caller)) == 1
     assert len(ends(again)) == 1
     assert invariants.violations(world.journal) == []
-    assert one_owner_each(world) == []
+    assert slots_without_single_owner(world) == []
 
 
-def test_a_takeover_whose_answer_was_lost_is_found_by_reading_back() -> None:
+def test_takeover_with_a_lost_answer_is_confirmed_by_reading_back() -> None:
     scene = handover_test.scene_with_remote_owner(checks_fencing=False)
     world = scene.world
     world.store.faults.lose_answers = 1.0
     world.kill(scene.owner)
     world.run(20_000)
-    assert one_owner_each(world) == []
+    assert slots_without_single_owner(world) == []
     assert world.counts["ambiguous_writes_resolved"] > 0
 
 
@@ -228,7 +228,7 @@
 RECORD = data.KeyRecord("w", "k", "a1#1/1", "a1#1", 1, data.KeyState.GRANTED)
 
 
-def test_a_holder_acknowledges_only_the_epoch_and_owner_of_its_table() -> None:
+def test_holder_acknowledges_only_the_epoch_and_owner_of_its_table() -> None:
     holder = lone_node()
     copy = messages.TableCopy(3, 2, 1, [])
     assert sent(holder.handle(events.PeerMessage("c1#1", copy))) == [messages.TableCopied(3, 2, 1)]
@@ -238,12 +238,12 @@
     assert sent(holder.handle(events.PeerMessage("a1#1", other))) == [messages.NoTable(3, 2)]
     right = sent(holder.handle(events.PeerMessage("c1#1", other)))
     assert right == [messages.Replicated(3, 2, 7)]
-    beat = messages.Heartbeat("a", data.NodeState.LIVE, owned=[(3, 3)])
-    holder.handle(events.PeerMessage("a1#1", beat))
+    heartbeat = messages.Heartbeat("a", data.NodeState.LIVE, owned=[(3, 3)])
+    holder.handle(events.PeerMessage("a1#1", heartbeat))
     assert sent(holder.handle(events.PeerMessage("c1#1", other))) == []
 
 
-def test_an_older_table_copy_that_arrives_late_changes_nothing() -> None:
+def test_late_older_table_copy_is_ignored() -> None:
     holder = lone_node()
     holder.handle(events.PeerMessage("c1#1", messages.TableCopy(3, 2, 2, [RECORD])))
     late = holder.handle(events.PeerMessage("c1#1", messages.TableCopy(3, 2, 1, [])))
--- a/tests/promises_test.py
+++ b/tests/promises_test.py
@@ -1,6 +1,6 @@
-"""Random interleavings of calls and failures: no promise is ever broken.
+"""Random interleavings of calls and failures must not violate any invariant.
 
-CI plays a fixed set of them. To search further:
+CI runs a fixed set of examples. For more:
 PLUMARCH_EXAMPLES=2000 PLUMARCH_SEED=7 .venv/bin/python -m pytest tests/promises_test.py
 """
 
