--- a/tests/ledger_test.py
+++ b/tests/ledger_test.py
@@ -163,8 +163,8 @@
     assert slots_without_single_owner(world) == []
 
 
-@pytest.mark.parametrize("answer_lost", [True, False])
-def test_unresolved_change_of_successor_needs_both_acknowledgements(answer_lost: bool) -> None:
+@pytest.mark.parametrize("lost_on_the_way", [True, False])
+def test_unresolved_change_of_successor_needs_both_acknowledgements(lost_on_the_way: bool) -> None:
     """The change took effect, its answer may be lost, and the candidate misses a record."""
     scene = handover_test.scene_with_remote_owner(checks_fencing=False)
     world = scene.world
@@ -176,14 +176,14 @@
         if handover_test.NODES[name] not in ("a", handover_test.NODES[scene.owner])
         and name != scene.successor
     )
-    world.store.faults.lose_answers = 1.0 if answer_lost else 0.0
+    world.store.faults.lose_answers = 1.0 if lost_on_the_way else 0.0
     world.hosts[scene.owner].node.ledger._start_copy(slot, candidate)
 
     def keep_from_candidate(host: virtual.Host, action: events.Action) -> bool:
         if isinstance(action, events.Send) and isinstance(action.message, messages.Replicate):
             return action.node != candidate
         if host.name == scene.owner and isinstance(action, events.PlatformGet):
-            return not answer_lost
+            return not lost_on_the_way
         return True
 
     world.interfere = keep_from_candidate
