--- a/plumarch/core/errors.py
+++ b/plumarch/core/errors.py
@@ -70,4 +70,4 @@
 
 
 class NoneToBeHad(PlatformError):
-    """No reclaimable VMs are available in that data centre. Order firm ones, or wait."""
+    """No reclaimable VMs are available in that data centre. Order others, or wait."""
