--- a/plumarch/core/context.py
+++ b/plumarch/core/context.py
@@ -51,11 +51,8 @@
         """Record a decision.
 
         Args:
-          request: the request concerned, if any.
           kind: category, one word.
-          choice: what was chosen.
           why: the reason, one short sentence.
-          considered: the candidates and their scores.
           key: idempotency key, if the request itself is not available.
         """
         request_id = request.id if request else ""
--- a/plumarch/core/data.py
+++ b/plumarch/core/data.py
@@ -58,7 +58,6 @@
 
     Attributes:
       id: globally unique; contains the accepting node's incarnation.
-      target: the requested model or plain service.
       key: idempotency key, or "".
       minted_epoch: slot epoch in which plumarch issued the key; 0 for a caller's own key.
       fingerprint: hash of the content, to detect a key reused for another request.
@@ -110,11 +109,9 @@
 
     Attributes:
       address: base URL.
-      targets: models or services that it serves.
       capacity: maximum concurrent requests.
       price: VM price per hour in the platform's currency.
       checks_fencing: whether it rejects orders with a stale fencing token.
-      reclaimable: whether the cloud may reclaim the VM on notice.
     """
 
     name: str
@@ -230,7 +227,6 @@
 
     Attributes:
       token_digest: SHA-256 of the callers' token, in hexadecimal.
-      weight: relative share under contention.
       data_centres: where its requests may run; empty means anywhere.
       vm_classes: VM classes that may be ordered for it.
     """
--- a/plumarch/core/events.py
+++ b/plumarch/core/events.py
@@ -18,7 +18,6 @@
     """A caller's request arrived.
 
     Attributes:
-      watcher_id: id of the caller's connection.
       position: number of tokens that the caller already has (Last-Event-ID).
     """
 
--- a/plumarch/core/hashing.py
+++ b/plumarch/core/hashing.py
@@ -35,8 +35,6 @@
 
     Args:
       subject: 64-bit hash of the item to assign.
-      names: the candidates.
-      count: number of names to return.
     """
     prefix = subject.to_bytes(8, "big")
     ranked = [(-xxhash.xxh3_64_intdigest(prefix + name.encode()), name) for name in names]
--- a/plumarch/core/messages.py
+++ b/plumarch/core/messages.py
@@ -20,7 +20,6 @@
     Attributes:
       owned: pairs of slot number and epoch.
       leaving: VMs (endpoints or nodes) under a reclaim notice, with milliseconds left.
-      revision: revision of the configuration in force.
       demand: target, capacity in use or queued for, and the part of it in urgent classes.
     """
 
--- a/plumarch/core/records.py
+++ b/plumarch/core/records.py
@@ -21,10 +21,8 @@
     """An object in the store that can't be parsed and is ignored.
 
     Attributes:
-      kind: kind of object, as named to operators.
       name: name of the object; "" if unreadable too.
       revision: revision of its last change, or 0.
-      why: the invalid field and the fault.
     """
 
     kind: str
--- a/plumarch/core/rollouts.py
+++ b/plumarch/core/rollouts.py
@@ -22,7 +22,6 @@
     Attributes:
       version: version to move to; its endpoints start beside the current ones.
       duration_ms: time limit for completing it, after which it is rolled back.
-      revision: revision of the order's last change in the store.
       state: last reported state of this version; None for a new order.
     """
 
--- a/plumarch/core/suspension.py
+++ b/plumarch/core/suspension.py
@@ -20,9 +20,7 @@
     """Suspensions of this process.
 
     Attributes:
-      checked_ms: time of the last check, or None.
       resumed_ms: when the last suspension was noticed, or None.
-      total_ms: total duration of all suspensions.
     """
 
     clock: clock.Clock
--- a/plumarch/core/token_bucket.py
+++ b/plumarch/core/token_bucket.py
@@ -9,7 +9,6 @@
 
     Attributes:
       per_s: refill rate, tokens per second.
-      most: maximum level.
       filled_ms: time of the last refill.
     """
 
--- a/plumarch/core/traffic.py
+++ b/plumarch/core/traffic.py
@@ -36,7 +36,6 @@
     """Services and limits for requests that match a host and path prefix.
 
     Attributes:
-      timeout_ms: maximum duration of a request.
       target_ms: target time to the answer, or to a stream's first event.
       target_gap_ms: target for the longest gap between events of a stream.
       priority: 0 is the most urgent.
@@ -69,7 +68,6 @@
 
     Attributes:
       slots: maximum concurrent requests.
-      cache_tokens: size of its KV cache in tokens.
     """
 
     slots: int
@@ -143,7 +141,6 @@
       id: identifier of the incarnation; addresses may be reused.
       address: IP:port.
       slots: maximum concurrent requests.
-      spot: whether it may be reclaimed.
       leaves_in_ms: time left when it announced its shutdown, or None.
       version: software version; several may serve at once during a roll-out.
       born_ms: start of the process by its own time of day; 0 if not announced.
@@ -173,7 +170,7 @@
         after the connection was established did not send the answer.
 
         Args:
-          asked: identifier of the incarnation that the request was sent to.
+          sent_to: identifier of the incarnation that the request was sent to.
           alive_ms: time of day at which the connection was established.
         """
         return self.id == sent_to or 0 < self.born_ms <= alive_ms
--- a/plumarch/node/runs.py
+++ b/plumarch/node/runs.py
@@ -44,9 +44,7 @@
 
     Attributes:
       home_attempt: number of this home among all that the request has had.
-      tries: endpoint calls made by this home.
       own_key: whether this node issued the key and has not sent it to anyone yet.
-      recorded: whether a slot's record names this node as home.
       handed_over: whether a byte may have reached an endpoint, here or at an earlier home.
       handed_over_before: value of handed_over before the attempt in progress.
       points: suspicion of crashing endpoints, as in limits.quarantine.
--- a/plumarch/recovery/slots.py
+++ b/plumarch/recovery/slots.py
@@ -23,7 +23,6 @@
 
     Attributes:
       acks: nodes that hold the record.
-      stored: whether the slot's object contains it.
       previous: the record that it replaced, if any.
     """
 
@@ -43,13 +42,11 @@
     """A slot that this node owns.
 
     Attributes:
-      version: last known version of the slot's object.
       uncertain_epoch: as in data.SlotObject, as applied by this node.
       persisted_uncertain_epoch: the value in the object, updated once the successor holds the
         full table.
       pending: keys of records that are not durable yet.
       candidate: the node being made successor, or "".
-      copied: whether the candidate holds the table.
       copy_first_operation: first operation not included in the copied table.
       object_records: permissions in the object that the successor may lack.
     """
@@ -100,7 +97,6 @@
     Attributes:
       object: the object to write; None for a read.
       tokens: objects whose writes may have taken effect, by writer token.
-      may_have_landed: whether one of the writes may have taken effect.
       retry_at_ms: time of the next try; -1 while a call is in progress.
     """
 
