--- a/plumarch/core/suspension.py
+++ b/plumarch/core/suspension.py
@@ -1,50 +1,46 @@
-"""When this process did not run: its machine was suspended, or the process was stopped.
+"""Detection of times when this process did not run, by the delay of a periodic check.
 
-A look is taken every LOOK_MS. One that comes much later than that tells that nothing ran between,
-whatever the cause. What was awaited over that time says nothing about those it was awaited of.
+A timeout that spans a suspension says nothing about the peer.
 """
 
 import dataclasses
 
 from plumarch.core import clock
 
-LOOK_MS = 100
-"""Time between two looks: a timer that was set before a suspension may be late by this."""
+CHECK_INTERVAL_MS = 100
+"""Interval between checks; also how late a suspension may be noticed."""
 
 MIN_MS = 400
-"""Looks that are further apart tell of a suspension: a busy process is late by less. Half of what
-an endpoint in the same data centre is given to accept a connection."""
+"""Shortest gap between checks that counts as a suspension; load alone causes shorter ones. Half
+of the connect timeout within a data centre."""
 
 
 @dataclasses.dataclass(slots=True)
 class Suspensions:
-    """The suspensions of this process.
+    """Suspensions of this process.
 
     Attributes:
-      looked_ms: when the last look was taken; None before the first one.
-      woke_ms: when the last suspension was noticed; None without any.
-      count: how many there were.
-      total_ms: how long they were together.
+      resumed_ms: when the last suspension was noticed, or None.
     """
 
     clock: clock.Clock
-    looked_ms: int | None = None
-    woke_ms: int | None = None
+    checked_ms: int | None = None
+    resumed_ms: int | None = None
     count: int = 0
     total_ms: int = 0
 
-    def look(self) -> None:
-        """Note that the process runs."""
+    def check(self) -> None:
+        """Record that the process is running."""
         now = self.clock.now()
-        if self.looked_ms is not None and now - self.looked_ms >= MIN_MS:
-            self.woke_ms = now
+        if self.checked_ms is not None and now - self.checked_ms >= MIN_MS:
+            self.resumed_ms = now
             self.count += 1
-            self.total_ms += now - self.looked_ms
-        self.looked_ms = now
+            self.total_ms += now - self.checked_ms
+        self.checked_ms = now
 
     def since(self, at_ms: float) -> bool:
-        """Return whether the process was suspended since a time; never before the first look."""
-        if self.looked_ms is None:
+        """Return whether the process was suspended since at_ms; False before the first check."""
+        if self.checked_ms is None:
             return False
-        self.look()
-        return self.woke_ms is not None and self.woke_ms > at_ms
+        self.check()
+        return self.resumed_ms is not None and self.resumed_ms > at_ms
--- a/plumarch/node/node.py
+++ b/plumarch/node/node.py
@@ -1,7 +1,6 @@
-"""One entry node's decisions: events in, actions out.
+"""Decision logic of an entry node, without I/O: events in, actions out.
 
-Nothing here opens a socket, awaits, or reads a clock of its own. docs/SEAMS.md
-shows how to drive a node.
+docs/SEAMS.md shows how to drive a node.
 """
 
 import random
@@ -17,16 +16,16 @@
 from plumarch.routing import placement
 
 TICK_MS = 50
-"""How often the shell must hand a Tick to the node."""
+"""Interval at which the shell must deliver a Tick."""
 
-CONFIG_ASK_MS = 1_000
+CONFIG_REQUEST_INTERVAL_MS = 1_000
 LEAVING_RETENTION_MS = 60_000
 
 WATCHERS = 2
-"""Nodes of a data centre that watch the platform; the others hear it from peers."""
+"""Nodes per data centre that watch the platform; the others get its state from peers."""
 
 NOTICE_SLACK_MS = 2_000
-"""A repeated notice is news only if it leaves at least this much less time."""
+"""Minimum reduction of the time left for a repeated notice to count as a change."""
 
 
 class Node:
@@ -34,11 +33,9 @@
 
     Args:
       identity: "name#incarnation"; the incarnation must be higher after each restart.
-      data_centre: where it runs.
-      time: its clock.
-      rng: its only source of chance.
+      rng: the only source of randomness.
       peers: configured names of the other entry nodes.
-      address: where peers reach it, told in heartbeats.
+      address: its address for peers, announced in heartbeats.
     """
 
     def __init__(
@@ -94,24 +91,18 @@
             ctx, self.membership, self.table, self.placement, self.config, self.orders
         )
         self.notices: dict[str, int] = {}
-        self.shared_out: tuple[tuple[str, ...], tuple[str, ...]] = ((), ())
-        self.next_beat_ms = 0
-        self.next_config_ask_ms = 0
+        self.last_assignment: tuple[tuple[str, ...], tuple[str, ...]] = ((), ())
+        self.next_heartbeat_ms = 0
+        self.next_config_request_ms = 0
 
     def handle(self, event: events.Event) -> list[events.Action]:
-        """Decide on one event.
-
-        Args:
-          event: what happened.
-        Returns:
-          The actions to carry out, in order.
-        """
+        """Process one event and return the actions to perform, in order."""
         self._dispatch_event(event)
         self.dispatch.pump()
-        return self._take_actions()
+        return self._collect_actions()
 
-    def _take_actions(self) -> list[events.Action]:
-        """Return the actions decided, after handling the messages to this node itself."""
+    def _collect_actions(self) -> list[events.Action]:
+        """Drain the outbox, handling messages to this node itself directly."""
         actions: list[events.Action] = []
         while self.ctx.outbox:
             batch = self.ctx.outbox
@@ -149,7 +140,7 @@
                 self._cancel(event)
             case events.PlatformAnswer():
                 if not self.orders.platform_answered(event):
-                    self.ledger.writer.answered(event)
+                    self.ledger.writer.handle_answer(event)
             case events.CloudAnswer():
                 self.orders.cloud_answered(event)
             case events.OffersSeen():
@@ -165,17 +156,17 @@
                 self._nodes_gone(event.nodes)
             case events.ConfigSeen():
                 if self.config.apply(event.revision, event.manifest, event.documents):
-                    self._beat()
+                    self._send_heartbeat()
             case events.StopAsked():
-                self.adoption.leave(adoption.STOP_PATIENCE_MS, whole_data_centre=False)
-                self._beat()
+                self.adoption.leave(adoption.STOP_GRACE_MS, whole_data_centre=False)
+                self._send_heartbeat()
 
     # Messages.
 
     def _message(self, sender: str, m: messages.AnyMessage) -> None:
         match m:
             case messages.Heartbeat():
-                self._heard(sender, m)
+                self._apply_heartbeat(sender, m)
             case messages.Claim():
                 self.ledger.claim(sender, m)
             case messages.ClaimAnswer():
@@ -230,21 +221,24 @@
             case messages.Cancel():
                 self.home.cancel(m.request_id)
             case messages.ConfigAsk():
-                self._give_config(sender, m.revision)
+                self._send_config(sender, m.revision)
             case messages.ConfigGive():
                 if self.config.take(m):
-                    self._beat()
+                    self._send_heartbeat()
 
-    def _heard(self, sender: str, beat: messages.Heartbeat) -> None:
-        self.membership.heard(sender, beat)
-        self.ledger.heard(sender, beat.owned)
-        for name, left_ms in beat.leaving:
+    def _apply_heartbeat(self, sender: str, heartbeat: messages.Heartbeat) -> None:
+        self.membership.heard(sender, heartbeat)
+        self.ledger.apply_heartbeat(sender, heartbeat.owned)
+        for name, left_ms in heartbeat.leaving:
             self._notice(name, left_ms)
-        if beat.revision > self.config.revision and self.ctx.now() >= self.next_config_ask_ms:
-            self.next_config_ask_ms = self.ctx.now() + CONFIG_ASK_MS
+        if (
+            heartbeat.revision > self.config.revision
+            and self.ctx.now() >= self.next_config_request_ms
+        ):
+            self.next_config_request_ms = self.ctx.now() + CONFIG_REQUEST_INTERVAL_MS
             self.ctx.send(sender, messages.ConfigAsk(self.config.revision))
 
-    def _give_config(self, sender: str, revision: int) -> None:
+    def _send_config(self, sender: str, revision: int) -> None:
         if self.config.revision > revision:
             self.ctx.send(sender, self.config.give(revision))
 
@@ -268,15 +262,15 @@
                 self._notice(endpoint.name, endpoint.leaves_in_ms)
 
     def _reclaim(self, event: events.ReclaimNotice) -> None:
-        news = [self._notice(name, event.left_ms) for name in event.names]
-        if any(news):
-            self._beat()
+        changed = [self._notice(name, event.left_ms) for name in event.names]
+        if any(changed):
+            self._send_heartbeat()
 
     def _notice(self, name: str, left_ms: int) -> bool:
-        """Act on a reclaim notice, whoever told of it.
+        """Apply a reclaim notice from any source.
 
         Returns:
-          Whether it is news. A second notice counts if it leaves less time.
+          Whether it is new or leaves less time than a previous one.
         """
         now = self.ctx.now()
         at = now + left_ms
@@ -303,7 +297,7 @@
 
     def _nodes_gone(self, nodes: tuple[str, ...]) -> None:
         for node in self.membership.mark_gone(nodes):
-            self.adoption.take_lost(node)
+            self.adoption.adopt_copies_of(node)
 
     # Time.
 
@@ -311,64 +305,64 @@
         now = self.ctx.now()
         for node in self.membership.tick():
             self.ctx.note(None, "member", node, "silent for too long: counts as gone")
-            self.adoption.take_lost(node)
+            self.adoption.adopt_copies_of(node)
         self.ledger.tick()
         for inquiry in self.inquiries.tick():
-            self._given_up(inquiry)
+            self._handle_timeout(inquiry)
         self.home.tick()
         self.dispatch.tick()
         self.followers.tick()
         self.adoption.tick()
         self.copies.expire()
-        self._tend_fleet()
-        if now >= self.next_beat_ms:
+        self._update_fleet()
+        if now >= self.next_heartbeat_ms:
             self.membership.heartbeat_interval_ms = members.interval_ms(len(self.peers))
-            self.next_beat_ms = now + self.membership.heartbeat_interval_ms
-            self._share_out_endpoints()
+            self.next_heartbeat_ms = now + self.membership.heartbeat_interval_ms
+            self._assign_endpoints()
             self.decider.observe()
-            self._beat()
-            self._take_lost_again()
+            self._send_heartbeat()
+            self._adopt_late_copies()
 
-    def _tend_fleet(self) -> None:
-        """Decide on VMs, if the cloud's offers are known; without the platform nothing moves."""
+    def _update_fleet(self) -> None:
+        """Order and release VMs, if the cloud's offers are known."""
         if not self.decider.offers:
             return
         deciding = self.orders.decides() and self.ctx.now() >= self.orders.next_round_ms
         changes = self.decider.changes() if deciding else []
         self.orders.tick(changes, frozenset(self.placement.endpoints))
 
-    def _share_out_endpoints(self) -> None:
-        """Settle who admits requests to which endpoint, if nodes or endpoints changed."""
+    def _assign_endpoints(self) -> None:
+        """Reassign endpoints to nodes if either changed."""
         live = self.membership.live()
         staying = [n for n in self.placement.endpoints if n not in self.placement.leaving]
         state = (tuple(live), tuple(staying))
-        if state == self.shared_out:
+        if state == self.last_assignment:
             return
-        self.shared_out = state
+        self.last_assignment = state
         self.placement.assign_owners({name: self.membership.data_centre(name) for name in live})
 
-    def _take_lost_again(self) -> None:
-        """Take up copies whose home was lost before they arrived here."""
+    def _adopt_late_copies(self) -> None:
+        """Adopt requests whose copies arrived after their home was lost."""
         homes = {copy.home for copy in self.copies.held.values()}
         for home_node in sorted(homes):
             if self.membership.state(home_node) is data.NodeState.GONE:
-                self.adoption.take_lost(home_node)
+                self.adoption.adopt_copies_of(home_node)
 
-    def _given_up(self, inquiry: inquiries.Inquiry) -> None:
+    def _handle_timeout(self, inquiry: inquiries.Inquiry) -> None:
         if inquiry.kind is inquiries.Kind.REHOME:
-            self.adoption.given_up(inquiry)
+            self.adoption.handle_timeout(inquiry)
         elif inquiry.kind is inquiries.Kind.LOOKUP:
-            self.followers.given_up(inquiry)
+            self.followers.handle_timeout(inquiry)
         else:
-            self.home.given_up(inquiry)
+            self.home.handle_timeout(inquiry)
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         now = self.ctx.now()
         state = data.NodeState.LEAVING if self.membership.leaving else data.NodeState.LIVE
         for name in [n for n, at in self.notices.items() if now - at >= LEAVING_RETENTION_MS]:
             del self.notices[name]
         leaving = [(name, max(0, at - now)) for name, at in self.notices.items()]
-        beat = messages.Heartbeat(
+        heartbeat = messages.Heartbeat(
             self.ctx.data_centre,
             state,
             self.address,
@@ -378,9 +372,9 @@
             self.decider.own_demand(),
         )
         for name in self.peers:
-            self.ctx.send(name, beat)
+            self.ctx.send(name, heartbeat)
 
-    # What a shell asks besides.
+    # Queries by the shell.
 
     def is_watcher(self) -> bool:
         """Return whether this node watches the platform for its data centre."""
@@ -392,10 +386,10 @@
         return self.ctx.node in here[:WATCHERS] or not here
 
     def drained(self) -> bool:
-        """Return whether a stopping node may end: nobody waits for it any more."""
-        # A node that is alone has nobody to hand its slots to.
-        handed_off = self.ledger.handed_off() or not self.membership.live()
-        return self.adoption.drained() and handed_off
+        """Return whether a stopping node may exit."""
+        # Without other live nodes there is no successor for its slots.
+        slots_released = self.ledger.has_no_slots() or not self.membership.live()
+        return self.adoption.drained() and slots_released
 
 
 def encode(message: messages.AnyMessage) -> bytes:
@@ -410,6 +404,6 @@
     """Decode a message from the wire.
 
     Raises:
-      msgspec.ValidationError: it is of no known kind, or a field has a wrong type.
+      msgspec.ValidationError: unknown type of message, or a field of the wrong type.
     """
     return DECODER.decode(frame)
--- a/plumarch/node/watchers.py
+++ b/plumarch/node/watchers.py
@@ -1,13 +1,13 @@
-"""Telling callers, here and at other nodes, what becomes of a request."""
+"""Delivery of acceptance, tokens and answers to callers at this and other nodes."""
 
 from plumarch.core import context, data, events, messages
 from plumarch.node import runs
 
 REFUSAL_RETRY_MS = 1_000
-"""When a refused caller is told to come back, before jitter."""
+"""Suggested retry delay for refused callers, before jitter."""
 
 CHUNK_TOKENS = 2_000
-"""Tokens sent to another node in one message at most."""
+"""Maximum tokens per message to another node."""
 
 
 class Watchers:
@@ -17,28 +17,28 @@
         self.ctx = ctx
 
     def add(self, run: runs.Run, watcher: runs.Watcher) -> None:
-        """Attach a reader, and tell it all that it lacks so far."""
+        """Attach a reader and send what it lacks so far."""
         run.watchers[watcher.watcher_id] = watcher
         run.abandoned_ms = 0
-        if not watcher.node and run.told_accepted:
-            self._tell_accepted(run, watcher)
+        if not watcher.node and run.acceptance_sent:
+            self._send_accepted(run, watcher)
         self._push_to(run, watcher)
         if run.phase is runs.Phase.ENDED:
             self._end_to(run, watcher)
 
     def accepted(self, run: runs.Run) -> None:
-        """Tell the callers here that the request is accepted, and under which key."""
-        run.told_accepted = True
+        """Notify local callers that the request is accepted, with its key."""
+        run.acceptance_sent = True
         for watcher in run.watchers.values():
             if not watcher.node:
-                self._tell_accepted(run, watcher)
+                self._send_accepted(run, watcher)
 
-    def _tell_accepted(self, run: runs.Run, watcher: runs.Watcher) -> None:
+    def _send_accepted(self, run: runs.Run, watcher: runs.Watcher) -> None:
         request = run.request
         self.ctx.act(events.TellAccepted(watcher.watcher_id, request.id, request.key, run.weakened))
 
     def push(self, run: runs.Run) -> None:
-        """Tell every reader the tokens that it lacks."""
+        """Send every reader the tokens that it lacks."""
         for watcher in run.watchers.values():
             self._push_to(run, watcher)
 
@@ -47,9 +47,9 @@
             position = watcher.position
             chunk = run.tokens[position : position + CHUNK_TOKENS]
             watcher.position += len(chunk)
-            self._tell_tokens(run, watcher, position, chunk)
+            self._send_tokens(run, watcher, position, chunk)
 
-    def _tell_tokens(
+    def _send_tokens(
         self, run: runs.Run, watcher: runs.Watcher, position: int, tokens: list[str]
     ) -> None:
         request_id = run.request.id
@@ -60,7 +60,7 @@
             self.ctx.act(events.TellTokens(watcher.watcher_id, request_id, position, tuple(tokens)))
 
     def end(self, run: runs.Run) -> None:
-        """Tell every reader the final answer."""
+        """Send every reader the final answer."""
         self.push(run)
         for watcher in run.watchers.values():
             self._end_to(run, watcher)
@@ -77,9 +77,9 @@
             )
             self.ctx.send(watcher.node, ended)
         else:
-            self.tell_end(watcher.watcher_id, run.request.id, run.outcome, run.reason, run.reply)
+            self.send_end(watcher.watcher_id, run.request.id, run.outcome, run.reason, run.reply)
 
-    def tell_end(
+    def send_end(
         self,
         watcher_id: str,
         request_id: str,
@@ -87,7 +87,7 @@
         reason: str,
         reply: data.Reply | None = None,
     ) -> None:
-        """Tell a caller of this node its final answer, with when to come back."""
+        """Send a local caller its final answer, with a retry delay if it failed."""
         retry_after = 0
         if outcome is not data.Outcome.DONE:
             retry_after = REFUSAL_RETRY_MS + self.ctx.rng.randrange(REFUSAL_RETRY_MS)
