--- a/plumarch/daemon/gateway.py
+++ b/plumarch/daemon/gateway.py
@@ -12,7 +12,15 @@
 from plumarch.core import addresses, build, clock, errors, suspension
 from plumarch.daemon import gateway_settings, listening, status_pages
 from plumarch.fleet import engine_demand, rollout, usage, version_tally
-from plumarch.gateway import decision_log, dialect, fleet_state, measures, ports, relay, wakes
+from plumarch.gateway import (
+    decision_log,
+    dialect,
+    fleet_state,
+    measures,
+    ports,
+    relay,
+    suspension_watch,
+)
 from plumarch.gateway.callers import caller_connection
 from plumarch.gateway.duties import duty_holder
 from plumarch.gateway.gossip import gossiper, heartbeats
@@ -104,7 +112,9 @@
             rollout.Exposure(settings.rollouts.exposure_share, settings.rollouts.exposure_slack),
             self.gossiper.send_heartbeat_soon,
         )
-        self.wakes = wakes.Wakes(self.state, self.gossiper.start_bootstrap)
+        self.suspension_watch = suspension_watch.SuspensionWatch(
+            self.state, self.gossiper.start_bootstrap
+        )
         self.callers = relay.new_server(self.state)
         pages = status_pages.StatusPages(self.state, self.ready, self.view)
         self.pages = caller_connection.CallerServer(self.clock, pages, memory=self.state.memory)
@@ -198,7 +208,7 @@
             self.registration.run,
             self.quarantine.follow_forever,
             self.quarantine.keep_forever,
-            self.wakes.watch_forever,
+            self.suspension_watch.watch_forever,
             self._keep_house,
             self._watch_settings,
         ):
--- a/plumarch/daemon/status_pages_test.py
+++ b/plumarch/daemon/status_pages_test.py
@@ -30,7 +30,7 @@
     state = gateway_parts.new_state(clock.ManualClock(1_000))
     purpose = memory_account.Purpose.UNREAD_ANSWERS
     assert state.memory.resize(memory_account.Reservation("c", "", purpose), 1_234)
-    state.measures.callers_cut.add("caller_stalled")
+    state.measures.callers_disconnected.add("caller_stalled")
     state.measures.streams.add("let_go")
     lines = page(b"/metrics", state)
     assert 'plumarch_gateway_state{name="memory_unread_answers_bytes"} 1234.0' in lines
--- a/plumarch/gateway/dispatch/endpoint_outcomes.py
+++ b/plumarch/gateway/dispatch/endpoint_outcomes.py
@@ -167,7 +167,7 @@
     if signals.rest_ms and head.status_code in TOO_MUCH:
         # It runs little by refusing, so that it would be the next request's first choice again.
         rests_ms = state.backoff.note_retry_after(endpoint, alive_ms, signals.rest_ms)
-        state.measures.rests.add(endpoint.service)
+        state.measures.backoffs.add(endpoint.service)
     listed = state.registry.endpoints.get(endpoint.id)
     state.log.write(
         "endpoint_said",
@@ -188,7 +188,7 @@
         return
     # The store may be silent for long while an endpoint that leaves says so in all its answers.
     if signals.leaving and state.registry.note_draining(endpoint, alive_ms):
-        state.measures.leaving_said.add(endpoint.service)
+        state.measures.leaving_announced.add(endpoint.service)
 
 
 def first_byte(state: fleet_state.FleetState, one: Given) -> None:
--- a/plumarch/gateway/dispatch/request_run.py
+++ b/plumarch/gateway/dispatch/request_run.py
@@ -166,7 +166,7 @@
         state, fingerprint = self.state, self.admitted.fingerprint
         if state.quarantine.find_quarantined(fingerprint) is None:
             return True
-        if state.claim_trial is not None and await state.claim_trial(fingerprint):
+        if state.request_trial is not None and await state.request_trial(fingerprint):
             return True
         hold = state.quarantine.find_quarantined(fingerprint)
         self.back_in_ms = max(TRIAL_AGAIN_MS, float(hold.back_in_ms if hold is not None else 0))
--- a/plumarch/gateway/dispatch/slow_streams_test.py
+++ b/plumarch/gateway/dispatch/slow_streams_test.py
@@ -133,7 +133,7 @@
             await slow_callers_test.until(lambda: slow_callers_test.all_released(gateway))
             assert slow_callers_test.logged(gateway, b'"caller_cut"')
             assert slow_callers_test.logged(gateway, b'"reason":"caller_too_slow"')
-            assert gateway.state.measures.callers_cut.counts == {("caller_too_slow",): 1.0}
+            assert gateway.state.measures.callers_disconnected.counts == {("caller_too_slow",): 1.0}
             assert not (await caller.read_answer()).whole
 
     relay_test.play(test)
--- a/plumarch/gateway/duties/engine_gauges.py
+++ b/plumarch/gateway/duties/engine_gauges.py
@@ -23,7 +23,7 @@
         for spot in (False, True):
             kind = "spot" if spot else "firm"
             measures.engines.set(counts[region, spot], plan.service, region, kind)
-        measures.regions_in_part.set(region in regions.partially_reachable, region)
+        measures.partially_reachable_regions.set(region in regions.partially_reachable, region)
 
 
 def clear(state: fleet_state.FleetState) -> None:
@@ -31,7 +31,7 @@
     for gauge in (
         state.measures.engine_demand,
         state.measures.engines,
-        state.measures.regions_in_part,
+        state.measures.partially_reachable_regions,
     ):
         gauge.values.clear()
 
--- a/plumarch/gateway/duties/engine_gauges_test.py
+++ b/plumarch/gateway/duties/engine_gauges_test.py
@@ -38,7 +38,7 @@
         ("e", "s", "spot"): 1,
         ("e", "s", "firm"): 0,
     }
-    assert measures.regions_in_part.values == {("n",): False, ("s",): True}
+    assert measures.partially_reachable_regions.values == {("n",): False, ("s",): True}
     assert 'plumarch_engine_demand{region="n",service="e"} 6.0' in measures.text().decode()
     engine_gauges.clear(state)
     assert not measures.engines.values
--- a/plumarch/gateway/fleet_state.py
+++ b/plumarch/gateway/fleet_state.py
@@ -85,7 +85,7 @@
       publish_suspect: tells them what was learned of a request, by its fingerprint.
       request_permits: sends a request for permits to the endpoint's allocator; None where this
         node is the only one.
-      claim_trial: asks the store whether this node may try a request that is held back.
+      request_trial: asks the store whether this node may try a request that is held back.
       reaches_store: whether the platform's store answered the last call.
       stops_at_ms: when the process will end, once it was told to and balancers know; or None.
     """
@@ -124,7 +124,7 @@
     publish_suspect: Callable[[str], None] | None = None
     endpoint_restarted: Callable[[str], None] = lambda _: None
     request_permits: Callable[[Endpoint, rate_allocator.PermitRequest], None] | None = None
-    claim_trial: Callable[[str], Awaitable[bool]] | None = None
+    request_trial: Callable[[str], Awaitable[bool]] | None = None
     reaches_store: bool = True
     stops_at_ms: int | None = None
     unreadable: unreadable_entries.UnreadableEntries = dataclasses.field(init=False)
--- a/plumarch/gateway/measures.py
+++ b/plumarch/gateway/measures.py
@@ -149,7 +149,7 @@
             "Engines that take work, by region and kind (firm, spot).",
             (*by_region, "kind"),
         )
-        self.regions_in_part = Gauge(
+        self.partially_reachable_regions = Gauge(
             "plumarch_region_in_part",
             "1 for a region of which too few nodes are heard to let engines go there.",
             ("region",),
@@ -157,12 +157,12 @@
         self.crashes = Counter(
             "plumarch_gateway_endpoint_falls", "Endpoints that fell with work.", ("service",)
         )
-        self.leaving_said = Counter(
+        self.leaving_announced = Counter(
             "plumarch_gateway_endpoints_leaving_by_answer",
             "Endpoints of which an answer of their own told first that they leave.",
             ("service",),
         )
-        self.rests = Counter(
+        self.backoffs = Counter(
             "plumarch_gateway_endpoint_rests",
             "Refusals by which an endpoint asked this node for some time of rest.",
             ("service",),
@@ -203,7 +203,7 @@
             "For how long this process did not run: machine suspended, or process stopped.",
             (),
         )
-        self.callers_cut = Counter(
+        self.callers_disconnected = Counter(
             "plumarch_gateway_callers_cut", "Callers ended for what they didn't read.", ("reason",)
         )
         self.streams = Counter(
@@ -231,20 +231,20 @@
             self.sends,
             self.dependency,
             self.crashes,
-            self.leaving_said,
-            self.rests,
+            self.leaving_announced,
+            self.backoffs,
             self.announced_rates,
             self.permits,
             self.unreadable_messages,
             self.quarantined,
-            self.callers_cut,
+            self.callers_disconnected,
             self.streams,
         ):
             yield counter.family()
         for gauge in (
             self.engine_demand,
             self.engines,
-            self.regions_in_part,
+            self.partially_reachable_regions,
             self.endpoint_limits,
             self.unreadable,
             self.suspended,
--- a/plumarch/gateway/relay.py
+++ b/plumarch/gateway/relay.py
@@ -54,7 +54,7 @@
     def caller_cut(self, reason: str, unread: int) -> None:
         """Record that a caller was ended for what it did not read."""
         state = self.state
-        state.measures.callers_cut.add(reason)
+        state.measures.callers_disconnected.add(reason)
         state.log.write(
             "caller_cut", urgent=True, reason=reason, unread=unread, held=state.memory.total()
         )
--- a/plumarch/gateway/store/quarantine_record.py
+++ b/plumarch/gateway/store/quarantine_record.py
@@ -71,7 +71,7 @@
         self.recorded: dict[str, quarantine.Suspect] = {}
         self.revision = 0
         self.due_ms: int | None = None
-        state.claim_trial = self.claim
+        state.request_trial = self.claim
 
     # Following.
 
--- a/plumarch/gateway/suspension_test.py
+++ b/plumarch/gateway/suspension_test.py
@@ -10,7 +10,7 @@
 import pytest
 
 from plumarch.core import clock
-from plumarch.gateway import relay, relay_test, wakes
+from plumarch.gateway import relay, relay_test, suspension_watch
 from plumarch.standins import gateway_parts, suspended
 from plumarch.standins import scripted_endpoint as scripted
 
@@ -55,7 +55,9 @@
             loop = asyncio.get_running_loop()
             listener = await loop.create_server(gateway.callers.connection, "127.0.0.1", 0)
             gateway.port = listener.sockets[0].getsockname()[1]
-            watch = loop.create_task(wakes.Wakes(self.state, lambda: None).watch_forever())
+            watch = loop.create_task(
+                suspension_watch.SuspensionWatch(self.state, lambda: None).watch_forever()
+            )
             loop.set_task_factory(suspender.new_task)
             await self.ask(gateway)
             watch.cancel()
--- a/plumarch/gateway/wakes.py
+++ b/plumarch/gateway/suspension_watch.py
@@ -7,7 +7,7 @@
 from plumarch.gateway import fleet_state
 
 
-class Wakes:
+class SuspensionWatch:
     """Looks whether the process runs, and tells once it runs again.
 
     Attributes:
