--- a/plumarch/gateway/duties/duty_holder.py
+++ b/plumarch/gateway/duties/duty_holder.py
@@ -19,7 +19,7 @@
 """A process that just started lets others be heard first."""
 
 TRY_PAUSE_MS = 800
-HEAR_HOLDER_MS = 400
+HOLDER_CONTACT_MS = 400
 """A holder that the record names and of whom this node never heard has this long to be heard: two
 heartbeats, or a round between data centres and one to the members. Without it nodes that start
 together would take the duties from one another."""
@@ -30,7 +30,7 @@
 NO_CANDIDATE_MS = 3_000
 """For this long after a failed call, the duties are left to nodes that reach the platform."""
 
-OUT_OF_REACH_MS = 1_500
+UNREACHABLE_MS = 1_500
 """A holder that reaches neither store nor cloud for this long lets another one try."""
 
 MAJORITY = 0.5
@@ -96,13 +96,13 @@
         first_start: bool = False,
         tasks: DutyTasks = ALL_TASKS,
         exposure: rollout.Exposure = NO_ROLLOUTS,
-        tell_soon: Callable[[], None] = lambda: None,
+        notify_peers: Callable[[], None] = lambda: None,
     ) -> None:
         """Keep what the duties need.
 
         Args:
           exposure: what a bad version may get.
-          tell_soon: tells the other nodes at once what has changed.
+          notify_peers: tells the other nodes at once what has changed.
         """
         self.state = state
         self.view = view
@@ -111,11 +111,11 @@
         self.cloud = cloud
         self.schedule = schedule
         self.tasks = tasks
-        self.held: duty_lease.StoredRecord | None = None
+        self.stored: duty_lease.StoredRecord | None = None
         self.not_before_ms = state.clock.now() + SETTLE_MS
         self.no_candidate_before_ms = 0
         self.known_token = 0
-        self.tell_soon = tell_soon
+        self.notify_peers = notify_peers
         self.rollouts = rollout_duty.RolloutDuty(state, store, exposure)
         self.reach = follower.Dependency(state, "duties")
         self.retries = backoff.Retries(state.clock, state.rng, RETRY)
@@ -153,28 +153,28 @@
             self._resign(f"conflict: {error}", DISPLACED_PAUSE_MS)
         except errors.PlatformError as error:
             self.retries.failed(kind)
-            self._out_of_reach(error)
+            self._platform_unreachable(error)
         except msgspec.DecodeError as error:
             self.retries.failed(kind)
-            self._out_of_reach(errors.PlatformNonsense(f"The duties' record: {error}."))
+            self._platform_unreachable(errors.PlatformNonsense(f"The duties' record: {error}."))
 
     async def step(self) -> None:
         """Do what is due now."""
-        self.engines.keep_plans()
+        self.engines.update_plans()
         self.status.candidate = (
             self.state.clock.now() >= self.no_candidate_before_ms and self.view.has_full_view()
         )
         if self.status.token and self.view.role is tiers.Role.MEMBER:
             self._resign("no coordinator any more", DISPLACED_PAUSE_MS)
         if self.rollouts.stop_bad_versions(self.view.has_full_view()):
-            self.tell_soon()
+            self.notify_peers()
         if not self.tasks.usage and not self.tasks.scaling and not self.rollouts.enabled():
             return
         if self.leaving:
             if self.status.token:
                 self._resign("stopping", DISPLACED_PAUSE_MS)
             return
-        if self._is_turned_away() and self.status.token:
+        if self._is_rejected_by_store() and self.status.token:
             self._resign("the store answers other nodes", DISPLACED_PAUSE_MS)
         if not self.status.token:
             self.known_token = max(self.known_token, self.view.newest_token())
@@ -201,7 +201,7 @@
             return False
         return not self.state.suspensions.since(self.confirmed_ms)
 
-    def _is_turned_away(self) -> bool:
+    def _is_rejected_by_store(self) -> bool:
         """Return whether the store answers other nodes for a while, and not this one.
 
         The cloud may answer a holder all the time. Without this, the order of a roll-out was seen
@@ -211,7 +211,7 @@
         if self.state.reaches_store:
             self.store_answered_ms = now
         others = any(one.reaches_store and one.candidate for one in self.view.live())
-        return others and now - self.store_answered_ms > OUT_OF_REACH_MS
+        return others and now - self.store_answered_ms > UNREACHABLE_MS
 
     async def follow_rollouts(self) -> None:
         """Follow the orders of roll-outs while this node holds the duties, forever."""
@@ -219,15 +219,15 @@
 
     def _shrink_rollouts(self) -> None:
         """Put smaller shares in force: they are safe whatever becomes of the record."""
-        assert self.held is not None
-        for plan, before in self.rollouts.decide(self.held.record):
+        assert self.stored is not None
+        for plan, before in self.rollouts.decide(self.stored.record):
             if before is not None and plan.share <= before.share:
                 self._put_in_force(plan)
 
     async def _roll_out(self) -> None:
         """Carry out what else is due of the roll-outs."""
-        assert self.held is not None
-        for plan, _ in self.rollouts.decide(self.held.record):
+        assert self.stored is not None
+        for plan, _ in self.rollouts.decide(self.stored.record):
             await self._record_rollout(plan)
             if not self._may_act():
                 return
@@ -235,31 +235,33 @@
         # What is in force already, and was not recorded because that failed.
         for plan in list(self.rollouts.plans.values()):
             await self._record_rollout(plan)
-        await self.rollouts.tell_operators()
+        await self.rollouts.report_states()
 
     def _put_in_force(self, plan: rollout.RolloutPlan) -> None:
         self.rollouts.put_in_force(plan, self.status.token)
-        self.tell_soon()
+        self.notify_peers()
 
     async def _record_rollout(self, plan: rollout.RolloutPlan) -> None:
-        assert self.held is not None
+        assert self.stored is not None
         kept = duty_lease.RolloutRecord(
             plan.order.version, plan.began_ms, plan.stage.value, plan.share
         )
-        if self.held.record.rollouts.get(plan.order.service) == kept:
+        if self.stored.record.rollouts.get(plan.order.service) == kept:
             return
-        self.held = await self._write(duty_lease.with_rollout(self.held, plan.order.service, kept))
+        self.stored = await self._write(
+            duty_lease.with_rollout(self.stored, plan.order.service, kept)
+        )
 
     async def _order_engines(self) -> None:
         """Order what the plans of the services ask for."""
-        sizes = self.held.record.sizes if self.held is not None else {}
+        sizes = self.stored.record.sizes if self.stored is not None else {}
         await self.engines.order_all(self.lease(), sizes, self.reach.answered, self._may_act)
 
-    def _out_of_reach(self, error: errors.PlatformError) -> None:
+    def _platform_unreachable(self, error: errors.PlatformError) -> None:
         self.reach.failed(error)
         self.no_candidate_before_ms = self.state.clock.now() + NO_CANDIDATE_MS
         silent_ms = self.state.clock.now() - self.reach.failed_since_ms
-        if self.status.token and silent_ms > OUT_OF_REACH_MS and self.view.live():
+        if self.status.token and silent_ms > UNREACHABLE_MS and self.view.live():
             self._resign("platform out of reach", DISPLACED_PAUSE_MS)
         else:
             self.not_before_ms = max(self.not_before_ms, self.state.clock.now() + TRY_PAUSE_MS)
@@ -268,7 +270,7 @@
         if self.status.token:
             self.state.log.write("duty_resigned", urgent=True, token=self.status.token, why=why)
         self.status.token = 0
-        self.held = None
+        self.stored = None
         self.not_before_ms = self.state.clock.now() + pause_ms
         self.no_candidate_before_ms = self.not_before_ms
         self.status.candidate = False
@@ -282,7 +284,7 @@
         self.not_before_ms = asked_ms + TRY_PAUSE_MS
         found = duty_lease.decode(await self.store.read_record(duty_lease.KIND, duty_lease.NAME))
         if not duty_lease.is_mine(found, self.view.node, self.view.incarnation):
-            if found is not None and self._holder_may_live(found):
+            if found is not None and self._may_holder_be_alive(found):
                 return
             if found is not None and found.record.token > self.known_token:
                 self._wait_for_holder(found.record)
@@ -291,7 +293,7 @@
             found = await self._write(wanted)
         assert found is not None
         self.reach.answered()
-        self.held = found
+        self.stored = found
         self.confirmed_ms = asked_ms
         self.status.token = found.record.token
         self.known_token = found.record.token
@@ -301,7 +303,7 @@
             "duty_taken", urgent=True, token=found.record.token, revision=found.revision
         )
 
-    def _holder_may_live(self, found: duty_lease.StoredRecord) -> bool:
+    def _may_holder_be_alive(self, found: duty_lease.StoredRecord) -> bool:
         """Return whether the holder may live among nodes that are cut off from this one."""
         fraction = self.view.reachable_fraction()
         now = self.state.clock.now()
@@ -333,7 +335,7 @@
 
     def _renewal_due(self) -> bool:
         fraction = self.view.reachable_fraction()
-        if self.held is None or fraction >= 1.0 or self._is_small():
+        if self.stored is None or fraction >= 1.0 or self._is_small():
             return False
         few_left = fraction >= NEARLY_ALL
         pause_ms = RENEW_MS + (self.schedule.window_ms if few_left else 0)
@@ -345,10 +347,10 @@
         Raises:
           PlatformConflict: another one holds the duties.
         """
-        assert self.held is not None
+        assert self.stored is not None
         self.written_ms = self.confirmed_ms = self.state.clock.now()
         try:
-            self.held = await self._write(duty_lease.renewed(self.held))
+            self.stored = await self._write(duty_lease.renewed(self.stored))
         except errors.PlatformConflict:
             raise
         except errors.PlatformError as error:
@@ -359,9 +361,9 @@
         """Let a holder be heard that took the duties just now, or long ago and is gone."""
         self.reach.answered()
         self.known_token = record.token
-        self.not_before_ms = self.state.clock.now() + HEAR_HOLDER_MS
+        self.not_before_ms = self.state.clock.now() + HOLDER_CONTACT_MS
         self.state.log.write(
-            "duty_awaited", holder=record.holder, token=record.token, for_ms=HEAR_HOLDER_MS
+            "duty_awaited", holder=record.holder, token=record.token, for_ms=HOLDER_CONTACT_MS
         )
 
     async def _write(self, wanted: duty_lease.StoredRecord) -> duty_lease.StoredRecord:
@@ -387,14 +389,16 @@
 
     async def _report_usage(self) -> None:
         """Report the oldest window that is due, if there is one."""
-        assert self.held is not None
+        assert self.stored is not None
         wall = self.state.wall.now()
         newest_due = (wall - self.schedule.early_ms) // self.schedule.window_ms - 1
         window = max(self.status.reported + 1, newest_due - 1)
         if window > newest_due:
             return
         ended = (window + 1) * self.schedule.window_ms
-        if wall - ended < self.schedule.late_ms and not self._all_heard_since(window, wall - ended):
+        if wall - ended < self.schedule.late_ms and not self._all_reported_since(
+            window, wall - ended
+        ):
             return
         counts = await self._fixed_counts(window)
         if not self._may_act():
@@ -406,7 +410,7 @@
             "usage_reported", window=window, counts=counts, token=self.status.token
         )
 
-    def _all_heard_since(self, window: int, ago_ms: int) -> bool:
+    def _all_reported_since(self, window: int, ago_ms: int) -> bool:
         """Return whether each node that may exist told its counts since a window's end."""
         if self.view.unreachable_centres():
             return False
@@ -421,13 +425,13 @@
 
     async def _fixed_counts(self, window: int) -> dict[str, int]:
         """Return a window's counts, fixed in the record so that a successor sends the same."""
-        assert self.held is not None
-        if str(window) not in self.held.record.windows:
+        assert self.stored is not None
+        if str(window) not in self.stored.record.windows:
             counts = self.state.usage.total(window)
             for workspace in self.state.table.workspaces if self.state.table else ():
                 counts.setdefault(workspace, 0)
-            wanted = duty_lease.with_window(self.held, window, counts, self.engines.sizes())
-            self.held = await self._write(wanted)
-        if str(window) not in self.held.record.windows:
+            wanted = duty_lease.with_window(self.stored, window, counts, self.engines.sizes())
+            self.stored = await self._write(wanted)
+        if str(window) not in self.stored.record.windows:
             raise errors.PlatformUnavailable(f"Window {window} is not written yet. Try again.")
-        return self.held.record.windows[str(window)]
+        return self.stored.record.windows[str(window)]
--- a/plumarch/gateway/duties/duty_holder_test.py
+++ b/plumarch/gateway/duties/duty_holder_test.py
@@ -291,7 +291,7 @@
     [holder] = [node for node in world.nodes if node.duties.status.token]
     world.refused[holder.number] = True
     holder.state.reaches_store = False
-    pass_time(world, duty_holder.OUT_OF_REACH_MS + 1_000)
+    pass_time(world, duty_holder.UNREACHABLE_MS + 1_000)
     holders = [node for node in world.nodes if node.duties.status.token]
     assert len(holders) == 1
     assert holders[0] is not holder
@@ -304,7 +304,7 @@
     for node in world.nodes:
         world.refused[node.number] = True
         node.state.reaches_store = False
-    pass_time(world, duty_holder.OUT_OF_REACH_MS + 500)
+    pass_time(world, duty_holder.UNREACHABLE_MS + 500)
     assert holder.duties.status.token
 
 
@@ -366,7 +366,7 @@
     others = [node for node in world.nodes if node is not holder]
     for node in others:
         world.nodes[node.number] = Node(world, node.number)
-    pass_time(world, 1_500 + duty_holder.HEAR_HOLDER_MS + 2 * duty_holder.TICK_MS)
+    pass_time(world, 1_500 + duty_holder.HOLDER_CONTACT_MS + 2 * duty_holder.TICK_MS)
     assert any(node.duties.status.token for node in world.nodes if node is not holder)
 
 
--- a/plumarch/gateway/duties/engine_gauges.py
+++ b/plumarch/gateway/duties/engine_gauges.py
@@ -17,8 +17,8 @@
         measures.engine_demand.set(plan.demand * share, plan.service, region)
     counts: collections.Counter[tuple[str, bool]] = collections.Counter()
     ready = engine_pools.ready(plan.service, state.registry.endpoints.values())
-    for place, count in ready.items():
-        counts[regions.of(place.data_centre), place.spot] += count
+    for pool, count in ready.items():
+        counts[regions.of(pool.data_centre), pool.spot] += count
     for region in {regions.of(name) for name in scaling.prices}:
         for spot in (False, True):
             kind = "spot" if spot else "firm"
@@ -36,7 +36,7 @@
         gauge.values.clear()
 
 
-def of_order(
+def order_fields(
     plan: engine_plan.EnginePlan, scaling: traffic.Scaling, data_centre: str
 ) -> dict[str, Any]:
     """Return what a line tells of a data centre's region; nothing where there is but one."""
--- a/plumarch/gateway/duties/engine_gauges_test.py
+++ b/plumarch/gateway/duties/engine_gauges_test.py
@@ -46,7 +46,7 @@
 
 def test_a_line_of_an_order_tells_the_regions_demand_need_and_reserve():
     plan = plan_of(REGIONS)
-    found = engine_gauges.of_order(plan, SCALING, "n2")
+    found = engine_gauges.order_fields(plan, SCALING, "n2")
     placed = plan.spot_placement["n1"] + plan.spot_placement["n2"]
     assert found == {
         "region": "n",
@@ -56,4 +56,4 @@
         "in_part": False,
         "way": 0.12,
     }
-    assert engine_gauges.of_order(plan_of(region_demand.ONE_REGION), SCALING, "n2") == {}
+    assert engine_gauges.order_fields(plan_of(region_demand.ONE_REGION), SCALING, "n2") == {}
--- a/plumarch/gateway/duties/engine_orders.py
+++ b/plumarch/gateway/duties/engine_orders.py
@@ -12,7 +12,7 @@
 from plumarch.routing import engine_speed
 
 SAMPLE_MS = 1_000
-HEARD_FOR_DEMAND = 0.9
+MIN_REACHABLE_FRACTION = 0.9
 """Part of the nodes that is heard from which on a fall of what they admit is a fall of the demand.
 A judgement: a data centre that is cut off is a twentieth of the fleet or more, and its callers
 still reach it."""
@@ -48,7 +48,7 @@
         self.sums = region_sums.RegionSums(state, view)
         self.regions = region_demand.RegionDemand()
 
-    def keep_plans(self) -> None:
+    def update_plans(self) -> None:
         """Keep the plans of all services up to date on each node, for the day it takes over."""
         table = self.state.table
         endpoints = self.state.registry.endpoints
@@ -79,14 +79,14 @@
             return
         charged = self.state.quota.total_charged()
         rate = max(0.0, charged - self.sampled_charged) * 1000.0 / (now - self.sampled_ms)
-        fleet_reachable = self.view.reachable_fraction() >= HEARD_FOR_DEMAND
+        fleet_reachable = self.view.reachable_fraction() >= MIN_REACHABLE_FRACTION
         if not self.sampled_ms:
             self.sums.begin()
         else:
             if self.state.distances.regions:
                 rate = self._sample_regions(now - self.sampled_ms)
             for plan in self.plans.values():
-                known = self._learned(plan.service) is not None
+                known = self._speed_report(plan.service) is not None
                 plan.sample_demand(self._engines_busy(plan.service, rate), known, fleet_reachable)
                 self._show(plan)
         self.sampled_ms = now
@@ -110,7 +110,7 @@
             region: units * 1000.0 / elapsed_ms for region, units in self.sums.admitted().items()
         }
         before = self.regions.partially_reachable
-        partially_reachable = self.sums.partially_reachable(HEARD_FOR_DEMAND)
+        partially_reachable = self.sums.partially_reachable(MIN_REACHABLE_FRACTION)
         total = self.regions.sample(rates, partially_reachable)
         if partially_reachable != before:
             self.state.log.write(
@@ -124,13 +124,13 @@
         if not distances.regions:
             return region_demand.ONE_REGION
         region_of = {name: distances.region_of(name) for name in scaling.prices}
-        way = region_sums.network_latency_fraction(self.state, service, scaling.prices)
+        latency_fraction = region_sums.network_latency_fraction(self.state, service, scaling.prices)
         # Also between two samples: what is heard in part from now on must not shrink now.
         partially_reachable = self.regions.partially_reachable | self.sums.partially_reachable(
-            HEARD_FOR_DEMAND
+            MIN_REACHABLE_FRACTION
         )
         return dataclasses.replace(
-            self.regions.view(region_of, way), partially_reachable=partially_reachable
+            self.regions.view(region_of, latency_fraction), partially_reachable=partially_reachable
         )
 
     def _engines_busy(self, service: str, units_per_s: float) -> float:
@@ -138,7 +138,7 @@
         state = self.state
         endpoints = [one for one in state.registry.endpoints.values() if one.service == service]
         slots = max((one.slots for one in endpoints), default=1)
-        learned = self._learned(service)
+        learned = self._speed_report(service)
         return engine_demand.engines_for(
             self._unread_per_s(service, units_per_s),
             learned.ms_per_token if learned is not None else 0.0,
@@ -146,7 +146,7 @@
             slots,
         )
 
-    def _learned(self, service: str) -> engine_speed.SpeedReport | None:
+    def _speed_report(self, service: str) -> engine_speed.SpeedReport | None:
         """Return what the fleet learned of a service's engines, or None if that is not enough."""
         work = self.state.work.reading(service)
         return self.state.chooser.speed(service).planned(self.state.clock.now(), work)
@@ -235,8 +235,8 @@
             spot=order.spot,
             refused=refused,
             demand=round(plan.demand, 2),
-            **engine_gauges.of_order(plan, scaling, order.data_centre),
-            learned=self._learned(order.service),
+            **engine_gauges.order_fields(plan, scaling, order.data_centre),
+            learned=self._speed_report(order.service),
             needed=plan.needed(scaling),
             token=lease.token,
             registry_revision=self.state.registry.revision,
--- a/plumarch/gateway/duties/rollout_duty.py
+++ b/plumarch/gateway/duties/rollout_duty.py
@@ -21,10 +21,10 @@
 ROLLOUTS = "rollout"
 """What operators know orders of roll-outs as."""
 
-IDLE_MS = 250.0
+HOLDER_POLL_MS = 250.0
 """How often a node that holds no duties asks whether it does."""
 
-ALONE_CERTAIN = 0.9999
+CERTAIN_WITHOUT_FULL_VIEW = 0.9999
 """Probability of a bad version from which on a node stops that hears of no others' answers: one of
 hundreds does so by chance a hundred times as often as the one that hears of all."""
 
@@ -47,7 +47,7 @@
         self.exposure = exposure
         self.orders: dict[str, rollouts.RolloutOrder] = {}
         self.plans: dict[str, rollout.RolloutPlan] = {}
-        self.told: dict[str, tuple[str, rollouts.RolloutState]] = {}
+        self.reported: dict[str, tuple[str, rollouts.RolloutState]] = {}
         self.periods: dict[tuple[str, str], version_verdict.SharePeriods] = {}
         self.steps = 0
 
@@ -67,7 +67,7 @@
             if not holds():
                 revision = None
                 self.resign()
-                await asyncio.sleep(IDLE_MS / 1000.0)
+                await asyncio.sleep(HOLDER_POLL_MS / 1000.0)
                 continue
             try:
                 revision = await self._follow_once(revision)
@@ -88,10 +88,10 @@
             names = {one.service for one in news.changes} - {one.name for one in news.unreadable}
             self.state.unreadable.changed(ROLLOUTS, names, news.unreadable)
         for change in news.changes:
-            self.take(change)
+            self.apply_change(change)
         return news.revision
 
-    def take(self, change: rollouts.RolloutChange) -> None:
+    def apply_change(self, change: rollouts.RolloutChange) -> None:
         """Take in an order that came, changed, or is gone."""
         if change.order is None:
             self.orders.pop(change.service, None)
@@ -107,7 +107,7 @@
         """Forget what only the holder knows."""
         self.orders.clear()
         self.plans.clear()
-        self.told.clear()
+        self.reported.clear()
 
     # As the holder.
 
@@ -128,7 +128,7 @@
             if before is not None and before.order.version != order.version:
                 before, plan = None, self._plan(order, record)
             wanted = dataclasses.replace(plan, order=order)
-            if wanted.step(self._sight(wanted)) or before is None:
+            if wanted.step(self._observe(wanted)) or before is None:
                 changed.append((wanted, before))
             else:
                 self.plans[service] = wanted
@@ -149,7 +149,7 @@
             plan.share = 1.0 if plan.stage is rollout.Stage.COMPLETED else 0.0
         return plan
 
-    def _sight(self, plan: rollout.RolloutPlan) -> rollout.Observation:
+    def _observe(self, plan: rollout.RolloutPlan) -> rollout.Observation:
         state, order = self.state, plan.order
         ready = state.registry.ready(order.service)
         old = [
@@ -195,11 +195,11 @@
             token=token,
         )
 
-    async def tell_operators(self) -> None:
+    async def report_states(self) -> None:
         """Tell operators the states that they don't know yet."""
         for service, plan in sorted(self.plans.items()):
             order, state = plan.order, plan.stage.state()
-            if order.state is state or self.told.get(service) == (order.version, state):
+            if order.state is state or self.reported.get(service) == (order.version, state):
                 continue
             try:
                 await self.store.report_rollout(order, state)
@@ -207,7 +207,7 @@
                 # The order changed just now; its watch tells how, and then it is told anew.
                 self.state.log.write("rollout_changed", service=service, why=str(error))
                 continue
-            self.told[service] = (order.version, state)
+            self.reported[service] = (order.version, state)
 
     # As any node.
 
@@ -217,7 +217,7 @@
         Returns:
           Whether it stopped one.
         """
-        certain = version_verdict.CERTAINLY_BAD if has_full_view else ALONE_CERTAIN
+        certain = version_verdict.CERTAINLY_BAD if has_full_view else CERTAIN_WITHOUT_FULL_VIEW
         rule = version_verdict.ProbabilityRule(bad_from=certain)
         stopped = False
         running = self.state.splits.running()
--- a/plumarch/gateway/duties/rollout_duty_test.py
+++ b/plumarch/gateway/duties/rollout_duty_test.py
@@ -221,7 +221,7 @@
         """Run the duties once; as the holder it is handed the order as the store would."""
         order = self.world.order
         if self.duties.status.token and order is not None and not self.world.store.down:
-            self.duties.rollouts.take(rollouts.RolloutChange("s", order))
+            self.duties.rollouts.apply_change(rollouts.RolloutChange("s", order))
         elif not self.duties.status.token:
             self.duties.rollouts.resign()
         step = self.duties.step()
--- a/plumarch/gateway/duties/suspended_duties_test.py
+++ b/plumarch/gateway/duties/suspended_duties_test.py
@@ -116,8 +116,8 @@
     session = Session(0, 0)
     what = session.holder.duties
     sent_ms = session.world.time.now()
-    assert what.held is not None
-    step: Any = what._write(what.held)
+    assert what.stored is not None
+    step: Any = what._write(what.stored)
     step.send(None)
     session.suspend()
     session.world.time.advance_to(sent_ms + 9_000)
--- a/plumarch/gateway/fleet_state.py
+++ b/plumarch/gateway/fleet_state.py
@@ -183,7 +183,7 @@
         """Log changes of endpoints, and forget what no longer exists."""
         if not changes:
             return
-        self._tell_unnamed_regions()
+        self._log_unnamed_regions()
         for change in changes:
             endpoint = change.endpoint
             lost_runs = 0
@@ -204,7 +204,7 @@
                 revision=change.revision,
                 source=source,
             )
-        self._forget_gone()
+        self._prune_removed()
 
     def rate_changed(self, endpoint: Endpoint, source: str) -> None:
         """Log the rate that an endpoint announces from now on, or that it announces none any more.
@@ -222,14 +222,14 @@
             source=source,
         )
 
-    def _tell_unnamed_regions(self) -> None:
+    def _log_unnamed_regions(self) -> None:
         """Log once each data centre that has no region; all ways to it count as far."""
         met = {self.data_centre, *(one.data_centre for one in self.registry.endpoints.values())}
         for data_centre in sorted(met):
             if self.distances.is_first_unnamed(data_centre):
                 self.log.write("region_unknown", urgent=True, data_centre=data_centre)
 
-    def _forget_gone(self) -> None:
+    def _prune_removed(self) -> None:
         existing = set(self.registry.endpoints)
         self.chooser.retain(existing)
         self.health.retain(existing)
--- a/plumarch/gateway/mixed_readers_test.py
+++ b/plumarch/gateway/mixed_readers_test.py
@@ -10,31 +10,31 @@
 from plumarch.standins import scripted_endpoint as scripted
 
 CALLERS = 40
-WHOLE = b"w" * 150_000
+BODY = b"w" * 150_000
 PATHS = ("/chat/", "/diff/", "/safe/", "/unsafe/")
 KINDS = ("fast", "slow", "late", "leaves", "never")
 
 
-class Crowd:
+class MixedCallers:
     """Callers that read fast, slowly, late, in part, or not at all."""
 
     def __init__(self, gateway: relay_test.Gateway, seed: int) -> None:
         self.gateway = gateway
         self.rng = random.Random(seed)
-        self.most_held = 0
+        self.peak_bytes = 0
 
     async def answer(self, request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        self.look()
+        self.check_memory()
         if "/safe/" in request.line or "/unsafe/" in request.line:
-            writer.write(scripted.answer(request, body=WHOLE))
+            writer.write(scripted.answer(request, body=BODY))
         else:
             await slow_callers_test.Flood().answer(request, writer)
-        self.look()
+        self.check_memory()
 
-    def look(self) -> None:
+    def check_memory(self) -> None:
         """Note what is held, whose parts must add up to it."""
         memory = self.gateway.state.memory
-        self.most_held = max(self.most_held, memory.total())
+        self.peak_bytes = max(self.peak_bytes, memory.total())
         assert sum(memory.by_connection.values()) == memory.total()
 
     async def call(self, kind: str, path: str) -> None:
@@ -53,7 +53,7 @@
                     await asyncio.sleep(0.002)
                 part = await reader.read(2**16 if kind == "fast" else self.rng.randrange(1, 9_000))
                 body += part
-                if not part or body.endswith(b"0\r\n\r\n") or body.count(b"w") == len(WHOLE):
+                if not part or body.endswith(b"0\r\n\r\n") or body.count(b"w") == len(BODY):
                     break
                 if kind == "leaves" and self.rng.random() < 0.1:
                     break
@@ -72,23 +72,23 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_what_is_held_for_a_mixed_crowd_is_bounded_and_given_back(seed: int):
     async def test() -> None:
-        crowds: list[Crowd] = []
+        groups: list[MixedCallers] = []
 
         async def answer(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            await crowds[0].answer(request, writer)
+            await groups[0].answer(request, writer)
 
         async with relay_test.Gateway(answer, answer) as gateway:
-            crowd = Crowd(gateway, seed)
-            crowds.append(crowd)
+            group = MixedCallers(gateway, seed)
+            groups.append(group)
             memory = gateway.state.memory
             memory.budget = 4 * 2**20
             slow_callers_test.small_socket_buffers(gateway)
             slow_callers_test.widen(gateway)
             rng = random.Random(seed)
-            calls = [crowd.call(rng.choice(KINDS), rng.choice(PATHS)) for _ in range(CALLERS)]
+            calls = [group.call(rng.choice(KINDS), rng.choice(PATHS)) for _ in range(CALLERS)]
             await asyncio.gather(*calls)
             await slow_callers_test.until(lambda: slow_callers_test.all_released(gateway))
-            assert 0 < crowd.most_held <= memory.budget
+            assert 0 < group.peak_bytes <= memory.budget
             assert memory.by_workspace == memory.answers_by_workspace == {}
             assert not logged_fault(gateway)
 
--- a/plumarch/gateway/pressure_test.py
+++ b/plumarch/gateway/pressure_test.py
@@ -16,7 +16,7 @@
 CALLERS = 45
 
 
-class Pressed:
+class OverloadedEndpoints:
     """Endpoints that hold what they are sent until they are released, or fall over.
 
     Attributes:
@@ -26,10 +26,10 @@
       answered: callers that have their final answer.
     """
 
-    def __init__(self, bears: list[int]) -> None:
-        self.bears = bears
-        self.held: list[set[asyncio.StreamWriter]] = [set() for _ in bears]
-        self.fallen: set[int] = set()
+    def __init__(self, capacities: list[int]) -> None:
+        self.capacities = capacities
+        self.pending: list[set[asyncio.StreamWriter]] = [set() for _ in capacities]
+        self.crashed: set[int] = set()
         self.answered: list[int] = []
         self.moved = asyncio.Condition()
         self.release = asyncio.Event()
@@ -37,27 +37,27 @@
 
     def answering(self, number: int) -> scripted.Answering:
         async def hold(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            if number in self.fallen:
+            if number in self.crashed:
                 relay_test.reset(writer)
                 return
-            self.held[number].add(writer)
-            if len(self.held[number]) > self.bears[number]:
-                await self._fall(number)
+            self.pending[number].add(writer)
+            if len(self.pending[number]) > self.capacities[number]:
+                await self._crash(number)
                 return
             await self._note()
             await self.release.wait()
-            if number not in self.fallen:
+            if number not in self.crashed:
                 writer.write(scripted.answer(request))
 
         return hold
 
-    async def _fall(self, number: int) -> None:
+    async def _crash(self, number: int) -> None:
         assert self.gateway is not None
-        self.fallen.add(number)
+        self.crashed.add(number)
         await self.gateway.endpoints[number].stop()
-        for writer in self.held[number]:
+        for writer in self.pending[number]:
             relay_test.reset(writer)
-        self.held[number].clear()
+        self.pending[number].clear()
         await self._note()
 
     async def _note(self) -> None:
@@ -70,28 +70,28 @@
         self.answered.append(found.status)
         await self._note()
 
-    async def settled(self, callers: int) -> None:
+    async def wait_settled(self, callers: int) -> None:
         """Wait until each caller has its answer or its request is held."""
         async with self.moved:
             await self.moved.wait_for(
-                lambda: len(self.answered) + sum(map(len, self.held)) == callers
+                lambda: len(self.answered) + sum(map(len, self.pending)) == callers
             )
 
 
 def test_when_one_endpoint_falls_none_of_the_others_may_fall():
     async def test() -> None:
-        pressed = Pressed([10, 20, 20])
-        async with relay_test.Gateway(*(pressed.answering(n) for n in range(3))) as gateway:
-            pressed.gateway = gateway
-            asked = [asyncio.create_task(pressed.ask()) for _ in range(CALLERS)]
-            await pressed.settled(CALLERS)
-            first = pressed.answered.copy()
-            again = [asyncio.create_task(pressed.ask()) for _ in first]
-            await pressed.settled(CALLERS + len(again))
-            assert pressed.fallen == {0}
-            pressed.release.set()
+        overloaded = OverloadedEndpoints([10, 20, 20])
+        async with relay_test.Gateway(*(overloaded.answering(n) for n in range(3))) as gateway:
+            overloaded.gateway = gateway
+            asked = [asyncio.create_task(overloaded.ask()) for _ in range(CALLERS)]
+            await overloaded.wait_settled(CALLERS)
+            first = overloaded.answered.copy()
+            again = [asyncio.create_task(overloaded.ask()) for _ in first]
+            await overloaded.wait_settled(CALLERS + len(again))
+            assert overloaded.crashed == {0}
+            overloaded.release.set()
             await asyncio.gather(*asked, *again)
-            assert pressed.answered.count(200) >= 16
+            assert overloaded.answered.count(200) >= 16
             log = gateway.state.log.pending
             assert log.count(b'"kind":"endpoint_fell"') == 1
             assert gateway.state.measures.crashes.counts == {("s",): 1.0}
@@ -125,7 +125,7 @@
     assert attempts.choose(state, admitted(2), tried) is not None
 
 
-def wait_after_a_fall(others: int) -> float:
+def wait_after_a_crash(others: int) -> float:
     """Return how long a request waits as one of many busy endpoints fell with 12 requests.
 
     Args:
@@ -145,11 +145,11 @@
 
 
 def test_one_fall_delays_nothing_where_many_others_share_what_is_lost():
-    assert wait_after_a_fall(15) > 0.0
-    assert wait_after_a_fall(16) == 0.0
+    assert wait_after_a_crash(15) > 0.0
+    assert wait_after_a_crash(16) == 0.0
 
 
-def after_losses_of_one_that_changed(
+def crash_after_updates(
     *changes: Callable[[traffic.Endpoint], list[traffic.Endpoint]],
 ) -> crash_guard.Crash | None:
     """Return the fall by two losses of an endpoint that was told of anew after it was chosen."""
@@ -171,10 +171,10 @@
     def gone(_: traffic.Endpoint) -> list[traffic.Endpoint]:
         return []
 
-    assert after_losses_of_one_that_changed() is not None
-    assert after_losses_of_one_that_changed(gone) is not None
-    assert after_losses_of_one_that_changed(draining) is None
-    assert after_losses_of_one_that_changed(draining, gone) is None
+    assert crash_after_updates() is not None
+    assert crash_after_updates(gone) is not None
+    assert crash_after_updates(draining) is None
+    assert crash_after_updates(draining, gone) is None
 
 
 class ManualGateway(relay_test.Gateway):
--- a/plumarch/gateway/relay.py
+++ b/plumarch/gateway/relay.py
@@ -51,7 +51,7 @@
         pressure.update_rate(self.state.memory.released)
         return return_times.spread(pressure.back_in_ms(size), self.state.rng)
 
-    def caller_cut(self, reason: str, unread: int) -> None:
+    def record_disconnect(self, reason: str, unread: int) -> None:
         """Record that a caller was ended for what it did not read."""
         state = self.state
         state.measures.callers_disconnected.add(reason)
@@ -103,7 +103,7 @@
             status=outcome.status,
             reason=outcome.reason,
             sends=run.progress.sends,
-            **_speed_seen(state, admitted),
+            **_speed_fields(state, admitted),
             first_ms=run.progress.first_ms,
             total_ms=total_ms,
             events=run.progress.events,
@@ -117,7 +117,7 @@
             state.measures.first_byte.observe(run.progress.first_ms / 1000.0, workspace, kind)
 
 
-def _speed_seen(state: fleet_state.FleetState, admitted: admission.Admitted) -> dict[str, Any]:
+def _speed_fields(state: fleet_state.FleetState, admitted: admission.Admitted) -> dict[str, Any]:
     """Return what was known of the engines when a prompt was answered, for its log line."""
     if not admitted.prompt_tokens:
         return {}
@@ -138,6 +138,6 @@
         handler,
         memory=state.memory,
         time_allowed_ms=handler.time_allowed_ms,
-        cut=handler.caller_cut,
+        cut=handler.record_disconnect,
         back_in_ms=handler.back_in_ms,
     )
--- a/plumarch/gateway/suspension_watch.py
+++ b/plumarch/gateway/suspension_watch.py
@@ -22,8 +22,8 @@
         """
         self.state = state
         self.start_bootstrap = start_bootstrap
-        self.told = 0
-        self.told_ms = 0
+        self.logged = 0
+        self.logged_ms = 0
         self.halted_ms = self._halted_ms()
 
     async def watch_forever(self) -> None:
@@ -36,18 +36,18 @@
         """Look, and tell what was found here or by another part."""
         known = self.state.suspensions
         known.look()
-        if known.count == self.told:
+        if known.count == self.logged:
             return
         halted_ms = self._halted_ms()
         self.state.log.write(
             "suspended",
             urgent=True,
-            for_ms=known.total_ms - self.told_ms,
+            for_ms=known.total_ms - self.logged_ms,
             machine_ms=halted_ms - self.halted_ms,
             count=known.count,
         )
         self.state.measures.suspended.set(known.total_ms / 1000.0)
-        self.told, self.told_ms, self.halted_ms = known.count, known.total_ms, halted_ms
+        self.logged, self.logged_ms, self.halted_ms = known.count, known.total_ms, halted_ms
         self.start_bootstrap()
 
     def _halted_ms(self) -> int:
--- a/plumarch/gateway/unreadable_entries.py
+++ b/plumarch/gateway/unreadable_entries.py
@@ -9,10 +9,10 @@
 from plumarch.core import records
 from plumarch.gateway import decision_log, measures
 
-NAMED = 20
+MAX_LOGGED = 20
 """Entries of a kind that are logged and named one by one; of more, their number says enough."""
 
-WHY_LIMIT = 300
+MAX_REASON_CHARS = 300
 """Characters that are told of why an entry can't be read."""
 
 
@@ -29,8 +29,8 @@
         before = self.known.get(kind, {})
         self.known[kind] = {one.name: one for one in found}
         for one in self.known[kind].values():
-            self._tell(one, before.get(one.name))
-        self._show(kind)
+            self._log(one, before.get(one.name))
+        self._update_gauge(kind)
 
     def changed(
         self, kind: str, read_or_gone: Iterable[str], found: Iterable[records.Unreadable]
@@ -45,14 +45,14 @@
             known.pop(name, None)
         for one in found:
             before, known[one.name] = known.get(one.name), one
-            self._tell(one, before)
-        self._show(kind)
+            self._log(one, before)
+        self._update_gauge(kind)
 
-    def _tell(self, one: records.Unreadable, before: records.Unreadable | None) -> None:
+    def _log(self, one: records.Unreadable, before: records.Unreadable | None) -> None:
         """Log an entry once for each of its revisions."""
         if before is not None and before.revision == one.revision:
             return
-        if len(self.known[one.kind]) > NAMED:
+        if len(self.known[one.kind]) > MAX_LOGGED:
             return
         self.log.write(
             "entry_unreadable",
@@ -60,16 +60,16 @@
             entry_kind=one.kind,
             name=one.name,
             revision=one.revision,
-            why=one.why[:WHY_LIMIT],
+            why=one.why[:MAX_REASON_CHARS],
         )
 
-    def _show(self, kind: str) -> None:
+    def _update_gauge(self, kind: str) -> None:
         self.measures.unreadable.set(len(self.known[kind]), kind)
 
     def lines(self) -> list[str]:
         """Return a line for each entry, for operators."""
         return [
-            f"{kind} {one.name or '(no name)'} revision {one.revision}: {one.why[:WHY_LIMIT]}"
+            f"{kind} {one.name or '(no name)'} revision {one.revision}: {one.why[:MAX_REASON_CHARS]}"
             for kind, found in sorted(self.known.items())
-            for one in list(found.values())[:NAMED]
+            for one in list(found.values())[:MAX_LOGGED]
         ]
