--- a/plumarch/gateway/duties/region_duties_test.py
+++ b/plumarch/gateway/duties/region_duties_test.py
@@ -25,10 +25,10 @@
 RUN_EACH = 8
 """Engines that run in each data centre: far more than are asked for."""
 
-KNOWN_MS = 16_000
+DEMAND_KNOWN_MS = 16_000
 """After this time the plans of all coordinators know the demand, and let engines go."""
 
-TAKEN_OVER_MS = 6_000
+TAKEOVER_MS = 6_000
 """Silence of the holder, its last heartbeats, a turn of the next one, and a roll of the record."""
 
 SPACE = traffic.Workspace("w", ("k",), counts_tokens=True, rate=1e6, burst=1e6)
@@ -72,7 +72,7 @@
         self.fence = token
 
 
-class Reached:
+class PlatformClient:
     """The platform as one process reaches it."""
 
     def __init__(self, platform: Platform, node: gossip_fleet.Node) -> None:
@@ -132,13 +132,13 @@
         state.registry.replace(run, 1, "store")
         for _ in range(2 * engine_speed.KNOWN_AFTER):
             state.chooser.speed("s").first_token(2_000.0, 400.0)
-        reached = Reached(self.platform, node)
+        client = PlatformClient(self.platform, node)
         self.duties[node] = duty_holder.Duties(
             state,
             node.view,
             node.gossip.duty,
-            reached,  # type: ignore[arg-type]
-            reached,  # type: ignore[arg-type]
+            client,  # type: ignore[arg-type]
+            client,  # type: ignore[arg-type]
             SCHEDULE,
         )
 
@@ -199,12 +199,12 @@
 @pytest.mark.parametrize("from_platform", [False, True])
 def test_when_the_holders_region_is_cut_off_another_region_takes_over(from_platform: bool):
     session = Session()
-    session.run(KNOWN_MS)
+    session.run(DEMAND_KNOWN_MS)
     [before] = session.holders()
     region = region_of(before)
     session.platform.orders.clear()
     session.cut_off(region, from_platform)
-    session.run(TAKEN_OVER_MS)
+    session.run(TAKEOVER_MS)
     after = [node for node in session.holders() if region_of(node) != region]
     assert len(after) == 1
     session.run(20_000)
@@ -217,11 +217,11 @@
 
 def test_a_region_cut_off_from_the_others_only_leaves_the_duties_to_these():
     session = Session()
-    session.run(KNOWN_MS)
+    session.run(DEMAND_KNOWN_MS)
     [before] = session.holders()
     region = region_of(before)
     session.cut_off(region)
-    session.run(TAKEN_OVER_MS)
+    session.run(TAKEOVER_MS)
     [after] = session.holders()
     assert region_of(after) != region
     token = session.duties[after].status.token
@@ -232,7 +232,7 @@
 
 def test_regions_that_are_all_cut_off_from_each_other_leave_the_duties_where_they_are():
     session = Session()
-    session.run(KNOWN_MS)
+    session.run(DEMAND_KNOWN_MS)
     holders = session.holders()
     session.fleet.cut = lambda one, other: region_of(one) != region_of(other)
     session.run(25_000)
@@ -247,7 +247,7 @@
     session = Session(size=gossip_fleet.Size(6, 5, counts=counts))
     for node in session.duties.values():
         node.tasks = duty_holder.DutyTasks(usage=with_usage, scaling=True)
-    session.run(KNOWN_MS)
+    session.run(DEMAND_KNOWN_MS)
     [holder] = session.holders()
     assert holder.data_centre != "dc-f"
     session.fleet.cut = lambda one, other: (
@@ -260,12 +260,12 @@
 
 def test_the_last_region_takes_the_duties_over_when_the_others_are_gone():
     session = Session()
-    session.run(KNOWN_MS)
+    session.run(DEMAND_KNOWN_MS)
     [before] = session.holders()
     last = next(region for region in "nsw" if region != region_of(before))
     for node in session.fleet.live():
         node.alive = region_of(node) == last
-    session.run(duty_holder.HOLDER_GONE_MS + TAKEN_OVER_MS)
+    session.run(duty_holder.HOLDER_GONE_MS + TAKEOVER_MS)
     assert len(session.holders()) == 1
 
 
@@ -273,7 +273,7 @@
     session = Session()
     for node in session.duties.values():
         node.tasks = duty_holder.DutyTasks(usage=False, scaling=True)
-    session.run(KNOWN_MS)
+    session.run(DEMAND_KNOWN_MS)
     [holder] = session.holders()
     session.fleet.cut = lambda one, other: region_of(one) != region_of(other)
     session.platform.without_store = True
@@ -283,13 +283,13 @@
 
 def test_a_holder_cut_off_from_the_others_only_shrinks_none_of_their_engines():
     session = Session()
-    session.run(KNOWN_MS)
+    session.run(DEMAND_KNOWN_MS)
     [holder] = session.holders()
     session.platform.orders.clear()
     session.cut_off(region_of(holder))
     session.run(20_000)
-    given = [one for one in session.platform.orders if region_of_name(one[0]) == region_of(holder)]
-    assert shrunk(given) <= {region_of(holder)}
+    inside = [one for one in session.platform.orders if region_of_name(one[0]) == region_of(holder)]
+    assert shrunk(inside) <= {region_of(holder)}
 
 
 def region_of_name(node: str) -> str:
--- a/plumarch/gateway/unreadable_entries.py
+++ b/plumarch/gateway/unreadable_entries.py
@@ -12,7 +12,7 @@
 MAX_LOGGED = 20
 """Entries of a kind that are logged and named one by one; of more, their number says enough."""
 
-MAX_REASON_CHARS = 300
+MAX_WHY_CHARS = 300
 """Characters that are told of why an entry can't be read."""
 
 
@@ -60,7 +60,7 @@
             entry_kind=one.kind,
             name=one.name,
             revision=one.revision,
-            why=one.why[:MAX_REASON_CHARS],
+            why=one.why[:MAX_WHY_CHARS],
         )
 
     def _update_gauge(self, kind: str) -> None:
@@ -69,7 +69,7 @@
     def lines(self) -> list[str]:
         """Return a line for each entry, for operators."""
         return [
-            f"{kind} {one.name or '(no name)'} revision {one.revision}: {one.why[:MAX_REASON_CHARS]}"
+            f"{kind} {one.name or '(no name)'} revision {one.revision}: {one.why[:MAX_WHY_CHARS]}"
             for kind, found in sorted(self.known.items())
             for one in list(found.values())[:MAX_LOGGED]
         ]
