--- a/plumarch/gateway/duties/__init__.py
+++ b/plumarch/gateway/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one node holds at a time: usage, endpoints ordered, roll-outs."""
+"""Duties that one node holds at a time: usage reports, engine orders, roll-outs."""
--- a/plumarch/gateway/duties/duty_holder.py
+++ b/plumarch/gateway/duties/duty_holder.py
@@ -1,4 +1,4 @@
-"""The duties of one node at a time: taking them over, usage, engines, roll-outs."""
+"""Acquires the duties under a lease and carries them out: usage, engine orders, roll-outs."""
 
 import asyncio
 import dataclasses
@@ -16,44 +16,40 @@
 
 TICK_MS = 250
 SETTLE_MS = 1_500
-"""A process that just started lets others be heard first."""
+"""Time after the start in which other nodes can be discovered."""
 
 TRY_PAUSE_MS = 800
 HOLDER_CONTACT_MS = 400
-"""A holder that the record names and of whom this node never heard has this long to be heard: two
-heartbeats, or a round between data centres and one to the members. Without it nodes that start
-together would take the duties from one another."""
+"""How long an unknown holder has to send a heartbeat before it is replaced; otherwise nodes that
+start together would displace one another."""
 
 DISPLACED_PAUSE_MS = 8_000
-"""A node that another one displaced leaves the duties alone for this long."""
+"""Pause of a node that resigned before it tries to acquire the duties again."""
 
 NO_CANDIDATE_MS = 3_000
-"""For this long after a failed call, the duties are left to nodes that reach the platform."""
+"""How long a node is no candidate after a failed call to the platform."""
 
 UNREACHABLE_MS = 1_500
-"""A holder that reaches neither store nor cloud for this long lets another one try."""
+"""A holder whose calls to the platform fail for longer than this resigns."""
 
 MAJORITY = 0.5
-"""A node that hears more than this part of all nodes takes the duties over from a holder that it
-doesn't hear. One that hears less may be cut off with its region, while the holder lives elsewhere:
-two regions would take the duties from one another in turn, and each would count usage and demand
-by its own nodes."""
+"""A node that reaches more than this fraction of all nodes replaces an unreachable holder at once.
+With fewer, it may be partitioned from a holder that is alive: two regions would displace each other
+in turn, and each would count only its own usage and demand."""
 
 HOLDER_GONE_MS = 2_500
-"""A node that hears no majority takes over once the record stood unchanged for this long: two
-renewals and a look."""
+"""A node without a majority takes over once the record has been unchanged for this long: two
+renewals and a reading."""
 
 RENEW_MS = 1_000
-"""A holder that doesn't hear nearly all nodes writes the record at least this often."""
+"""Interval at which a holder that does not reach nearly all nodes writes the record."""
 
 NEARLY_ALL = 0.9
-"""A holder that hears this part, and not all, writes it RENEW_MS after the length of a usage window
-at the latest, since a window may be reported late or by nobody. What is left is a few nodes, which
-wait for that."""
+"""A holder that reaches this fraction but not all nodes renews the record a usage window later;
+the few nodes cut off from it wait that much longer."""
 
 RETRY = backoff.Backoff(first_ms=500.0, longest_ms=1_000.0)
-"""Pauses of one kind of work after failures: without them each tick makes a call that is refused
-and paid for. Longer ones would hold up orders of engines, which take seconds to boot."""
+"""Pauses after failures, by kind of work: platform calls cost money even when they fail."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -61,8 +57,8 @@
     """When usage windows are reported, in ms after their end.
 
     Attributes:
-      early_ms: when all nodes were heard since the window's end.
-      late_ms: when some were not.
+      early_ms: if all nodes have reported since the window's end.
+      late_ms: otherwise.
     """
 
     window_ms: int
@@ -72,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DutyTasks:
-    """Which duties a deployment has."""
+    """The duties that a deployment uses; roll-outs are set by their exposure."""
 
     usage: bool
     scaling: bool
@@ -83,7 +79,7 @@
 
 
 class Duties:
-    """Holds the duties when it is this node's turn, and carries them out."""
+    """Acquires and carries out the duties of one node."""
 
     def __init__(
         self,
@@ -98,11 +94,11 @@
         exposure: rollout.Exposure = NO_ROLLOUTS,
         notify_peers: Callable[[], None] = lambda: None,
     ) -> None:
-        """Keep what the duties need.
+        """Create the duties of a node that does not hold them.
 
         Args:
-          exposure: what a bad version may get.
-          notify_peers: tells the other nodes at once what has changed.
+          exposure: limit on the requests that a bad version may get.
+          notify_peers: sends the other nodes the changes at once.
         """
         self.state = state
         self.view = view
@@ -127,20 +123,20 @@
         self.engines = engine_orders.EngineOrders(state, view, cloud, self.rollouts, first_start)
 
     def lease(self) -> records.Lease:
-        """Return the lease to act under."""
+        """Return the lease that platform calls are made under."""
         return records.Lease(self.view.node, self.status.token)
 
     async def run(self) -> None:
-        """Take the duties over when it is this node's turn, and carry them out, forever."""
+        """Run a step each TICK_MS, forever."""
         while True:
             await self.step()
             await asyncio.sleep(TICK_MS / 1000.0)
 
     async def _attempt(self, kind: str, work: Callable[[], Awaitable[None]]) -> None:
-        """Do one thing that is due; a failure ends it, and perhaps the holding.
+        """Run one kind of work; a conflict, a stale token or a long outage ends the lease.
 
         Args:
-          kind: what failures are counted and paused under.
+          kind: the key of its retry pauses.
         """
         if not self.retries.is_due(kind):
             return
@@ -156,16 +152,18 @@
             self._platform_unreachable(error)
         except msgspec.DecodeError as error:
             self.retries.failed(kind)
-            self._platform_unreachable(errors.PlatformNonsense(f"The duties' record: {error}."))
+            self._platform_unreachable(
+                errors.PlatformNonsense(f"The duties' record can't be decoded: {error}.")
+            )
 
     async def step(self) -> None:
-        """Do what is due now."""
+        """Run all work that is due."""
         self.engines.update_plans()
         self.status.candidate = (
             self.state.clock.now() >= self.no_candidate_before_ms and self.view.has_full_view()
         )
         if self.status.token and self.view.role is tiers.Role.MEMBER:
-            self._resign("no coordinator any more", DISPLACED_PAUSE_MS)
+            self._resign("no longer a coordinator", DISPLACED_PAUSE_MS)
         if self.rollouts.stop_bad_versions(self.view.has_full_view()):
             self.notify_peers()
         if not self.tasks.usage and not self.tasks.scaling and not self.rollouts.enabled():
@@ -175,7 +173,7 @@
                 self._resign("stopping", DISPLACED_PAUSE_MS)
             return
         if self._is_rejected_by_store() and self.status.token:
-            self._resign("the store answers other nodes", DISPLACED_PAUSE_MS)
+            self._resign("the store fails for this node only", DISPLACED_PAUSE_MS)
         if not self.status.token:
             self.known_token = max(self.known_token, self.view.newest_token())
             await self._attempt("take over", self._maybe_take_over)
@@ -184,7 +182,7 @@
             await self._attempt("renew", self._renew)
         if self._may_act() and self.tasks.usage:
             await self._attempt("usage", self._report_usage)
-        # Engines are ordered all the same: the store may be down while the cloud is not.
+        # The cloud may answer while the store is down.
         if self._may_act() and self.tasks.scaling:
             await self._attempt("engines", self._order_engines)
         if self._may_act() and self.rollouts.enabled():
@@ -192,20 +190,18 @@
             await self._attempt("roll out", self._roll_out)
 
     def _may_act(self) -> bool:
-        """Return whether this node holds the duties, by what it has learned since it last woke.
+        """Return whether this node holds a lease that was confirmed since its last suspension.
 
-        Another node takes them over from one that is suspended; only the platform's fence would
-        turn away what this one did next.
+        While it was suspended, another node may have taken the duties over.
         """
         if not self.status.token:
             return False
         return not self.state.suspensions.since(self.confirmed_ms)
 
     def _is_rejected_by_store(self) -> bool:
-        """Return whether the store answers other nodes for a while, and not this one.
+        """Return whether the store fails for this node only, for longer than UNREACHABLE_MS.
 
-        The cloud may answer a holder all the time. Without this, the order of a roll-out was seen
-        11 s after it was given, since the store turned the holder away alone.
+        Answers of the cloud would hide this, and orders of roll-outs would be read late.
         """
         now = self.state.clock.now()
         if self.state.reaches_store:
@@ -214,25 +210,25 @@
         return others and now - self.store_answered_ms > UNREACHABLE_MS
 
     async def follow_rollouts(self) -> None:
-        """Follow the orders of roll-outs while this node holds the duties, forever."""
+        """Watch the orders of roll-outs while this node holds the duties, forever."""
         await self.rollouts.follow(lambda: self.status.token > 0)
 
     def _shrink_rollouts(self) -> None:
-        """Put smaller shares in force: they are safe whatever becomes of the record."""
+        """Put smaller shares in force, which is safe before they are recorded."""
         assert self.stored is not None
         for plan, before in self.rollouts.decide(self.stored.record):
             if before is not None and plan.share <= before.share:
                 self._put_in_force(plan)
 
     async def _roll_out(self) -> None:
-        """Carry out what else is due of the roll-outs."""
+        """Record and put in force all changed roll-outs."""
         assert self.stored is not None
         for plan, _ in self.rollouts.decide(self.stored.record):
             await self._record_rollout(plan)
             if not self._may_act():
                 return
             self._put_in_force(plan)
-        # What is in force already, and was not recorded because that failed.
+        # Plans in force whose record could not be written earlier.
         for plan in list(self.rollouts.plans.values()):
             await self._record_rollout(plan)
         await self.rollouts.report_states()
@@ -243,26 +239,26 @@
 
     async def _record_rollout(self, plan: rollout.RolloutPlan) -> None:
         assert self.stored is not None
-        kept = duty_lease.RolloutRecord(
+        recorded = duty_lease.RolloutRecord(
             plan.order.version, plan.began_ms, plan.stage.value, plan.share
         )
-        if self.stored.record.rollouts.get(plan.order.service) == kept:
+        if self.stored.record.rollouts.get(plan.order.service) == recorded:
             return
         self.stored = await self._write(
-            duty_lease.with_rollout(self.stored, plan.order.service, kept)
+            duty_lease.with_rollout(self.stored, plan.order.service, recorded)
         )
 
     async def _order_engines(self) -> None:
-        """Order what the plans of the services ask for."""
+        """Order the engines that the plans need."""
         sizes = self.stored.record.sizes if self.stored is not None else {}
         await self.engines.order_all(self.lease(), sizes, self.reach.answered, self._may_act)
 
     def _platform_unreachable(self, error: errors.PlatformError) -> None:
         self.reach.failed(error)
         self.no_candidate_before_ms = self.state.clock.now() + NO_CANDIDATE_MS
-        silent_ms = self.state.clock.now() - self.reach.failed_since_ms
-        if self.status.token and silent_ms > UNREACHABLE_MS and self.view.live():
-            self._resign("platform out of reach", DISPLACED_PAUSE_MS)
+        failed_ms = self.state.clock.now() - self.reach.failed_since_ms
+        if self.status.token and failed_ms > UNREACHABLE_MS and self.view.live():
+            self._resign("platform unreachable", DISPLACED_PAUSE_MS)
         else:
             self.not_before_ms = max(self.not_before_ms, self.state.clock.now() + TRY_PAUSE_MS)
 
@@ -280,8 +276,8 @@
             return
         if not self.view.is_most_senior_candidate():
             return
-        asked_ms = self.state.clock.now()
-        self.not_before_ms = asked_ms + TRY_PAUSE_MS
+        read_ms = self.state.clock.now()
+        self.not_before_ms = read_ms + TRY_PAUSE_MS
         found = duty_lease.decode(await self.store.read_record(duty_lease.KIND, duty_lease.NAME))
         if not duty_lease.is_mine(found, self.view.node, self.view.incarnation):
             if found is not None and self._may_holder_be_alive(found):
@@ -294,7 +290,7 @@
         assert found is not None
         self.reach.answered()
         self.stored = found
-        self.confirmed_ms = asked_ms
+        self.confirmed_ms = read_ms
         self.status.token = found.record.token
         self.known_token = found.record.token
         newest = max((int(number) for number in found.record.windows), default=0)
@@ -304,15 +300,15 @@
         )
 
     def _may_holder_be_alive(self, found: duty_lease.StoredRecord) -> bool:
-        """Return whether the holder may live among nodes that are cut off from this one."""
+        """Return whether the holder may be alive in another network partition."""
         fraction = self.view.reachable_fraction()
         now = self.state.clock.now()
         unchanged_ms = self.watch.unchanged_ms(found, now, 2 * TRY_PAUSE_MS)
         if fraction > MAJORITY or self._is_small():
             return False
-        # Said as the holder says it: 1.0 - 0.9 is less than a tenth.
-        few = 1.0 - fraction >= NEARLY_ALL
-        wait_ms = HOLDER_GONE_MS + (self.schedule.window_ms if few else 0)
+        # Compared with NEARLY_ALL as at the holder: as floats, 1.0 - 0.9 is less than 0.1.
+        is_small_partition = 1.0 - fraction >= NEARLY_ALL
+        wait_ms = HOLDER_GONE_MS + (self.schedule.window_ms if is_small_partition else 0)
         if unchanged_ms >= wait_ms:
             return False
         self.reach.answered()
@@ -326,10 +322,10 @@
         return True
 
     def _is_small(self) -> bool:
-        """Return whether a part that is cut off takes the duties at once, as in a small fleet.
+        """Return whether the fleet is too small for the majority rule.
 
-        One lost node is much of it: the record would be written all the time, at a price, and the
-        survivor of two nodes would wait for a holder that is gone.
+        One lost node is a large fraction of it: renewals would be paid for all the time, and the
+        survivor of two nodes would wait for a crashed holder.
         """
         return self.view.size() <= tiers.FLAT_FLEET and not self.state.distances.regions
 
@@ -337,15 +333,15 @@
         fraction = self.view.reachable_fraction()
         if self.stored is None or fraction >= 1.0 or self._is_small():
             return False
-        few_left = fraction >= NEARLY_ALL
-        pause_ms = RENEW_MS + (self.schedule.window_ms if few_left else 0)
+        nearly_all = fraction >= NEARLY_ALL
+        pause_ms = RENEW_MS + (self.schedule.window_ms if nearly_all else 0)
         return self.state.clock.now() - self.written_ms >= pause_ms
 
     async def _renew(self) -> None:
-        """Show those that don't hear this holder that it lives.
+        """Renew the record for nodes that do not reach this holder.
 
         Raises:
-          PlatformConflict: another one holds the duties.
+          PlatformConflict: another node holds the duties.
         """
         assert self.stored is not None
         self.written_ms = self.confirmed_ms = self.state.clock.now()
@@ -354,11 +350,11 @@
         except errors.PlatformConflict:
             raise
         except errors.PlatformError as error:
-            # The duties go on where the cloud is reached and the store is not.
+            # The holder goes on while the cloud answers.
             self.state.log.write("duty_not_renewed", error=str(error))
 
     def _wait_for_holder(self, record: duty_lease.DutyRecord) -> None:
-        """Let a holder be heard that took the duties just now, or long ago and is gone."""
+        """Wait for a heartbeat of a holder that this node does not know yet."""
         self.reach.answered()
         self.known_token = record.token
         self.not_before_ms = self.state.clock.now() + HOLDER_CONTACT_MS
@@ -367,10 +363,10 @@
         )
 
     async def _write(self, wanted: duty_lease.StoredRecord) -> duty_lease.StoredRecord:
-        """Write the record; a lost answer or a conflict is settled by reading back.
+        """Write the record; after a lost answer or a conflict, read it back.
 
-        A conflict may be with a write of this node that was carried out late: then the record
-        still names it under the same token, and is returned as it stands.
+        An earlier write of this node may have been applied late: then the record still names this
+        node and token, and is returned as it is.
         """
         sent_ms = self.state.clock.now()
         try:
@@ -388,7 +384,7 @@
         return duty_lease.StoredRecord(wanted.record, written.revision)
 
     async def _report_usage(self) -> None:
-        """Report the oldest window that is due, if there is one."""
+        """Report the oldest usage window that is due, if any."""
         assert self.stored is not None
         wall = self.state.wall.now()
         newest_due = (wall - self.schedule.early_ms) // self.schedule.window_ms - 1
@@ -411,20 +407,20 @@
         )
 
     def _all_reported_since(self, window: int, ago_ms: int) -> bool:
-        """Return whether each node that may exist told its counts since a window's end."""
+        """Return whether every known node has reported its counts since a window's end."""
         if self.view.unreachable_centres():
             return False
         now = self.state.clock.now()
-        two_beats = heartbeats.USAGE_INTERVAL * max(
+        margin_ms = heartbeats.USAGE_INTERVAL * max(
             gossiper.HEARTBEAT_INTERVAL_MS, self.view.interval_ms
         )
         last_seen_ms = [
             peer.last_seen_ms for peer in self.view.direct_peers() if peer.incarnation
         ] + [centre.usage_reported_ms.get(window) for centre in self.view.centres.values()]
-        return all(at is not None and now - at < ago_ms - two_beats for at in last_seen_ms)
+        return all(at is not None and now - at < ago_ms - margin_ms for at in last_seen_ms)
 
     async def _fixed_counts(self, window: int) -> dict[str, int]:
-        """Return a window's counts, fixed in the record so that a successor sends the same."""
+        """Return a window's counts as recorded, so that a successor reports the same."""
         assert self.stored is not None
         if str(window) not in self.stored.record.windows:
             counts = self.state.usage.total(window)
@@ -433,5 +429,7 @@
             wanted = duty_lease.with_window(self.stored, window, counts, self.engines.sizes())
             self.stored = await self._write(wanted)
         if str(window) not in self.stored.record.windows:
-            raise errors.PlatformUnavailable(f"Window {window} is not written yet. Try again.")
+            raise errors.PlatformUnavailable(
+                f"Usage window {window} is not recorded yet. Try again."
+            )
         return self.stored.record.windows[str(window)]
--- a/plumarch/gateway/duties/engine_gauges_test.py
+++ b/plumarch/gateway/duties/engine_gauges_test.py
@@ -1,4 +1,4 @@
-"""What operators see of engines by region."""
+"""Gauges and log fields of engines by region."""
 
 from plumarch.core import clock, traffic
 from plumarch.fleet import engine_plan, region_demand
@@ -20,7 +20,7 @@
     return plan
 
 
-def test_gauges_tell_demand_and_engines_of_each_region():
+def test_gauges_show_demand_and_engines_of_each_region():
     state = gateway_parts.new_state(clock.ManualClock())
     run = [
         traffic.Endpoint(
@@ -44,7 +44,7 @@
     assert not measures.engines.values
 
 
-def test_a_line_of_an_order_tells_the_regions_demand_need_and_reserve():
+def test_log_fields_of_an_order_give_the_regions_demand_need_and_reserve():
     plan = plan_of(REGIONS)
     found = engine_gauges.order_fields(plan, SCALING, "n2")
     placed = plan.spot_placement["n1"] + plan.spot_placement["n2"]
--- a/plumarch/gateway/duties/engine_orders.py
+++ b/plumarch/gateway/duties/engine_orders.py
@@ -1,4 +1,4 @@
-"""Engines ordered by the holder of the duties, by plans that each node keeps for its turn."""
+"""Engine orders of the duty holder; every node keeps plans, since it may become the holder."""
 
 import dataclasses
 from collections.abc import Callable, Mapping
@@ -13,20 +13,19 @@
 
 SAMPLE_MS = 1_000
 MIN_REACHABLE_FRACTION = 0.9
-"""Part of the nodes that is heard from which on a fall of what they admit is a fall of the demand.
-A judgement: a data centre that is cut off is a twentieth of the fleet or more, and its callers
-still reach it."""
+"""Fraction of nodes that must be reachable before a drop of admitted units counts as a drop of
+demand: callers still reach a data centre that is cut off from this node."""
 
 
 class EngineOrders:
-    """The plans of all services that can be ordered, and what they are fed with.
+    """Engine plans of all services with scaling, and the demand that they follow.
 
     Attributes:
       plans: by service.
-      sampled_ms: when the demand was sampled last; 0 while this node isn't told of all requests.
-      sampled_charged: units that all nodes had been charged by then.
-      sums: what the nodes of each region admitted since.
-      regions: the demand by region; empty where all data centres are of one.
+      sampled_ms: when the demand was sampled last; 0 without a full view of the fleet.
+      sampled_charged: units charged by all nodes at that time.
+      sums: units admitted by the nodes of each region since.
+      regions: the demand by region; empty where there is only one region.
     """
 
     def __init__(
@@ -49,7 +48,7 @@
         self.regions = region_demand.RegionDemand()
 
     def update_plans(self) -> None:
-        """Keep the plans of all services up to date on each node, for the day it takes over."""
+        """Update the plans of all services, also on nodes that do not hold the duties."""
         table = self.state.table
         endpoints = self.state.registry.endpoints
         if table is None or not endpoints:
@@ -65,10 +64,10 @@
         self._sample_demand()
 
     def _sample_demand(self) -> None:
-        """Take in what the last second asked for, on a node that is told of all requests."""
+        """Sample the demand of the last second, on a node with a full view of the fleet."""
         now = self.state.clock.now()
         if not self.view.has_full_view():
-            # Members know the level of an allotment, not what was charged to it.
+            # Members know the levels of quotas, not the units charged.
             self.sampled_ms = 0
             self.regions.reset()
             engine_gauges.clear(self.state)
@@ -100,11 +99,11 @@
             engine_gauges.show(self.state, plan, service.scaling)
 
     def _sample_regions(self, elapsed_ms: int) -> float:
-        """Take in what the last second asked for in each region.
+        """Sample the demand of the last second in each region.
 
         Returns:
-          Units a second over all regions. What was asked for in one that is heard in part counts
-          on, since its callers still reach its nodes.
+          Units a second over all regions. A partially reachable region keeps its earlier demand,
+          since its callers still reach its nodes.
         """
         rates = {
             region: units * 1000.0 / elapsed_ms for region, units in self.sums.admitted().items()
@@ -119,13 +118,13 @@
         return total
 
     def _regions_of(self, service: str, scaling: traffic.Scaling) -> region_demand.RegionView:
-        """Return the regions as a service is planned by now."""
+        """Return the current view of the regions for a service."""
         distances = self.state.distances
         if not distances.regions:
             return region_demand.ONE_REGION
         region_of = {name: distances.region_of(name) for name in scaling.prices}
         latency_fraction = region_sums.network_latency_fraction(self.state, service, scaling.prices)
-        # Also between two samples: what is heard in part from now on must not shrink now.
+        # A region that became partially reachable since the last sample must not shrink either.
         partially_reachable = self.regions.partially_reachable | self.sums.partially_reachable(
             MIN_REACHABLE_FRACTION
         )
@@ -134,28 +133,28 @@
         )
 
     def _engines_busy(self, service: str, units_per_s: float) -> float:
-        """Return how many engines of a service the requests of all nodes ask for now."""
+        """Return how many engines the fleet's current requests to a service need."""
         state = self.state
         endpoints = [one for one in state.registry.endpoints.values() if one.service == service]
         slots = max((one.slots for one in endpoints), default=1)
-        learned = self._speed_report(service)
+        report = self._speed_report(service)
         return engine_demand.engines_for(
             self._unread_per_s(service, units_per_s),
-            learned.ms_per_token if learned is not None else 0.0,
+            report.ms_per_token if report is not None else 0.0,
             state.chooser.total_running(endpoints),
             slots,
         )
 
     def _speed_report(self, service: str) -> engine_speed.SpeedReport | None:
-        """Return what the fleet learned of a service's engines, or None if that is not enough."""
+        """Return the known speed of a service's engines, or None without enough samples."""
         work = self.state.work.reading(service)
         return self.state.chooser.speed(service).planned(self.state.clock.now(), work)
 
     def _unread_per_s(self, service: str, units_per_s: float) -> float:
-        """Return the prompt tokens a second that all nodes give engines to read.
+        """Return the unread prompt tokens a second that all nodes send to engines.
 
-        What is charged to allotments is told between nodes; where some workspaces have none,
-        the others are taken to send as much as this node.
+        Nodes gossip the units charged to quotas; where some workspaces have no quota in tokens,
+        this assumes that every node sends as much as this one.
         """
         work = self.state.work
         workspaces = self.state.table.workspaces.values() if self.state.table else ()
@@ -166,7 +165,7 @@
         return work.unread_per_s(service) * self.view.size()
 
     def sizes(self) -> dict[str, int]:
-        """Return how many endpoints the services need, for a holder that comes next."""
+        """Return how many endpoints each service needs, to be recorded for a successor."""
         return {plan.service: plan.size() for plan in self.plans.values() if plan.size()}
 
     async def order_all(
@@ -176,14 +175,14 @@
         answered: Callable[[], None],
         may_act: Callable[[], bool],
     ) -> None:
-        """Order what the plans of the services ask for.
+        """Order the engines that the plans need.
 
         Args:
-          sizes: what the holder before needed, by service.
-          answered: told of each answer of the platform.
-          may_act: whether the lease still is this node's, as far as it knows.
+          sizes: sizes recorded by the previous holder, by service.
+          answered: called on each answer of the platform.
+          may_act: returns whether this node still holds the lease, as far as it knows.
         Raises:
-          PlatformError: a call failed; what is left is ordered the next time.
+          PlatformError: a call failed; the remaining orders follow in the next step.
         """
         table = self.state.table
         if table is None or not self.state.registry.endpoints:
--- a/plumarch/gateway/duties/rollout_duty.py
+++ b/plumarch/gateway/duties/rollout_duty.py
@@ -140,10 +140,10 @@
         """Return the plan of an order that this node did not know: as recorded, or a new one."""
         wall = self.state.wall
         plan = rollout.RolloutPlan(wall, order, self.exposure, wall.now())
-        kept = record.rollouts.get(order.service)
-        if kept is not None and kept.version == order.version:
-            plan.began_ms, plan.stage = kept.began_ms, rollout.Stage(kept.stage)
-            plan.share, plan.reason = kept.share, "taken over"
+        recorded = record.rollouts.get(order.service)
+        if recorded is not None and recorded.version == order.version:
+            plan.began_ms, plan.stage = recorded.began_ms, rollout.Stage(recorded.stage)
+            plan.share, plan.reason = recorded.share, "taken over"
         if order.state is not None and order.state is not rollouts.RolloutState.RUNNING:
             plan.stage = rollout.Stage(order.state.value)
             plan.share = 1.0 if plan.stage is rollout.Stage.COMPLETED else 0.0
