--- a/plumarch/gateway/duties/duty_holder_test.py
+++ b/plumarch/gateway/duties/duty_holder_test.py
@@ -1,7 +1,6 @@
-"""One holder of the duties: never two under one token, and one set of counts a window.
+"""Never two duty holders under one token, nor two different usage reports of one window.
 
-Random sessions on virtual time: nodes are cut off, killed, restarted, frozen; the store loses
-answers, applies writes late, or refuses a node; the cloud executes calls late.
+Random sessions on virtual time: partitions, restarts, frozen nodes, lost answers, late writes.
 """
 
 import contextlib
@@ -36,7 +35,7 @@
 
 
 class World:
-    """The store, the cloud, the nodes, and what may go wrong between them."""
+    """The store, the cloud, the nodes, and the faults between them."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -63,7 +62,7 @@
         return dataclasses.replace(record, revision=self.revision)
 
     def exchange(self) -> None:
-        """Pass heartbeats between the nodes that reach each other."""
+        """Deliver heartbeats between nodes of one partition."""
         beats = [
             (node.number, node.gossiper.composer.next(node.gossiper.leaving)) for node in self.nodes
         ]
@@ -73,7 +72,7 @@
                     node.gossiper.apply_heartbeat(beat)
 
     def run_late(self) -> None:
-        """Carry out the writes that were left unanswered, if their condition still holds."""
+        """Apply the unanswered writes whose revision still matches."""
         for record in self.late_writes:
             try:
                 self.apply(record)
@@ -83,7 +82,7 @@
 
 
 class Store:
-    """The store as one node reaches it."""
+    """One node's client of the store."""
 
     def __init__(self, world: World, number: int) -> None:
         self.world = world
@@ -112,7 +111,7 @@
 
 
 class Cloud:
-    """The cloud as one node reaches it; it checks what must never happen."""
+    """One node's client of the cloud; asserts one holder a token and one report a window."""
 
     def __init__(self, world: World, holder: str) -> None:
         self.world = world
@@ -160,7 +159,7 @@
 
 
 def run_step(what: duty_holder.Duties) -> None:
-    """Run one step with the handling of errors that the loop has; nothing in it waits."""
+    """Run one step, which must not block."""
     step = what.step()
     with contextlib.suppress(StopIteration):
         step.send(None)
@@ -236,7 +235,7 @@
     assert len(world.usage) > before
 
 
-def test_counts_of_a_node_that_is_gone_are_reported():
+def test_counts_of_a_crashed_node_are_reported():
     world = World(1)
     pass_time(world, 3_000)
     world.nodes[2].state.usage.started("w", world.time.now())
@@ -248,7 +247,7 @@
     assert world.usage[window]["w"] == 1
 
 
-def test_a_node_that_stops_as_planned_hands_the_duties_on():
+def test_a_node_that_shuts_down_hands_the_duties_over():
     world = World(1)
     pass_time(world, 3_000)
     [holder] = [node for node in world.nodes if node.duties.status.token]
@@ -258,7 +257,7 @@
     assert len([node for node in world.nodes if node.duties.status.token]) == 1
 
 
-def test_a_write_carried_out_late_does_not_cost_the_duties():
+def test_the_holder_does_not_resign_when_its_write_is_applied_late():
     world = World(1)
     pass_time(world, 3_000)
     [holder] = [node for node in world.nodes if node.duties.status.token]
@@ -273,7 +272,7 @@
     assert set(world.usage) - known
 
 
-def test_when_the_store_refuses_the_oldest_node_another_one_takes_over():
+def test_another_node_takes_over_when_the_store_rejects_the_most_senior_one():
     world = World(1)
     pass_time(world, 3_000)
     [holder] = [node for node in world.nodes if node.duties.status.token]
@@ -284,8 +283,8 @@
     assert holders[0] is not holder
 
 
-def test_a_holder_that_the_store_turns_away_alone_hands_the_duties_on():
-    """Its cloud answers all the time; orders of roll-outs would wait for the store meanwhile."""
+def test_a_holder_that_only_the_store_rejects_hands_the_duties_over():
+    """Answers of the cloud must not hide that roll-out orders can't be read."""
     world = World(1)
     pass_time(world, 3_000)
     [holder] = [node for node in world.nodes if node.duties.status.token]
@@ -297,7 +296,7 @@
     assert holders[0] is not holder
 
 
-def test_a_holder_keeps_the_duties_while_the_store_answers_nobody():
+def test_a_holder_keeps_the_duties_while_the_store_is_down_for_all():
     world = World(1)
     pass_time(world, 3_000)
     [holder] = [node for node in world.nodes if node.duties.status.token]
@@ -308,7 +307,7 @@
     assert holder.duties.status.token
 
 
-def test_in_a_small_fleet_the_loss_of_a_node_costs_no_write():
+def test_in_a_small_fleet_the_loss_of_a_node_causes_no_renewals():
     world = World(1)
     pass_time(world, 3_000)
     [holder] = [node for node in world.nodes if node.duties.status.token]
@@ -322,7 +321,7 @@
     assert world.revision - before == len(world.usage) - windows > 0
 
 
-def test_a_holder_whose_token_is_refused_stops_at_once():
+def test_a_holder_with_a_stale_token_resigns_at_once():
     world = World(1)
     pass_time(world, 3_000)
     [holder] = [node for node in world.nodes if node.duties.status.token]
@@ -334,7 +333,7 @@
     assert world.refusals == 1
 
 
-def test_without_duties_nobody_takes_them():
+def test_no_node_acquires_the_duties_when_none_is_enabled():
     world = World(1)
     for node in world.nodes:
         node.duties.tasks = duty_holder.DutyTasks(usage=False, scaling=False)
@@ -342,7 +341,7 @@
     assert world.record is None
 
 
-def test_a_holder_that_was_not_heard_yet_is_not_displaced():
+def test_a_holder_without_a_received_heartbeat_is_not_displaced_at_once():
     world = World(1)
     first, second, third = world.nodes
     second.view.incarnation = first.view.incarnation - 1
@@ -357,7 +356,7 @@
     assert msgspec.json.decode(world.record.value)["token"] == 1
 
 
-def test_a_holder_that_is_never_heard_is_replaced():
+def test_a_holder_that_stays_unreachable_is_replaced():
     world = World(1)
     pass_time(world, 3_000)
     [holder] = [node for node in world.nodes if node.duties.status.token]
@@ -371,7 +370,7 @@
 
 
 class OrderingCloud:
-    """Takes all orders."""
+    """Accepts all orders."""
 
     def __init__(self) -> None:
         self.orders: list[records.EngineOrder] = []
@@ -379,10 +378,10 @@
     async def report_usage(
         self, lease: records.Lease, window: int, counts: Mapping[str, int]
     ) -> None:
-        """Take a report."""
+        """Accept a report."""
 
     async def order(self, lease: records.Lease, order: records.EngineOrder) -> None:
-        """Take an order."""
+        """Accept an order."""
         self.orders.append(order)
 
 
@@ -409,7 +408,7 @@
     return node.duties, cloud
 
 
-def test_a_member_that_turns_coordinator_and_takes_the_duties_shrinks_no_service():
+def test_a_member_that_becomes_coordinator_and_holder_shrinks_no_service():
     time = clock.ManualClock(START_MS)
     node, cloud = ordering_node(time)
     node.state.chooser.report_loads("fleet", {"e1": endpoint_choice.Load(140, 0.0)})
@@ -429,7 +428,7 @@
     assert all(order.count >= ENGINES_RUN // 3 for order in cloud.orders)
 
 
-def test_what_a_node_spent_before_it_was_heard_is_no_demand():
+def test_units_spent_before_a_node_was_known_are_no_demand():
     time = clock.ManualClock(START_MS)
     node, cloud = ordering_node(time)
     speed = node.state.chooser.speed("s")
--- a/plumarch/gateway/duties/region_duties_test.py
+++ b/plumarch/gateway/duties/region_duties_test.py
@@ -1,7 +1,7 @@
-"""Duties over regions: one holder, taken over when its region is cut off; no region shrunk unseen.
+"""Duties over regions: takeover when a region is partitioned, and no shrinking of unreachable ones.
 
-Six data centres in three regions on virtual time, with up to 60 ms between nodes. The store and
-the cloud are one each; a region may be cut off from the other regions, from them, or from both.
+Six data centres in three regions on virtual time; a region may be cut off from the other regions,
+from the platform, or from both.
 """
 
 import contextlib
@@ -23,13 +23,13 @@
 PRICES = dict.fromkeys(REGIONS, 1.0)
 SIZE = gossip_fleet.Size(6, 5)
 RUN_EACH = 8
-"""Engines that run in each data centre: far more than are asked for."""
+"""Engines that run in each data centre, far more than the demand needs."""
 
 DEMAND_KNOWN_MS = 16_000
-"""After this time the plans of all coordinators know the demand, and let engines go."""
+"""Time after which the plans of all coordinators know the demand and may shrink."""
 
 TAKEOVER_MS = 6_000
-"""Silence of the holder, its last heartbeats, a turn of the next one, and a roll of the record."""
+"""Time limit of a takeover from an unreachable holder."""
 
 SPACE = traffic.Workspace("w", ("k",), counts_tokens=True, rate=1e6, burst=1e6)
 SERVICE = traffic.Service("s", scaling=traffic.Scaling(1, 20, 4_000.0, 0.18, PRICES))
@@ -40,10 +40,10 @@
 
     Attributes:
       out_of_reach: names of nodes that reach neither.
-      without_store: whether the store answers nobody.
-      fence: the highest token that was acted under.
-      holders: who acted under each token.
-      orders: those taken, with who gave them.
+      without_store: whether the store is down for all nodes.
+      fence: the highest token of a call so far.
+      holders: the node that made calls under each token.
+      orders: accepted orders, with the node that sent each.
     """
 
     def __init__(self) -> None:
@@ -73,7 +73,7 @@
 
 
 class PlatformClient:
-    """The platform as one process reaches it."""
+    """One process's client of the platform."""
 
     def __init__(self, platform: Platform, node: gossip_fleet.Node) -> None:
         self.platform = platform
@@ -104,7 +104,7 @@
 
 
 class Session:
-    """A fleet whose nodes hold the duties in turn."""
+    """A fleet whose nodes all take part in the duties."""
 
     def __init__(self, seed: int = 1, size: gossip_fleet.Size = SIZE) -> None:
         self.fleet = gossip_fleet.GossipFleet(size, seed)
@@ -115,7 +115,7 @@
             self.equip(node)
 
     def equip(self, node: gossip_fleet.Node) -> None:
-        """Give a process its duties, and what it knows from the store."""
+        """Set up a process with duties, configuration and endpoints."""
         state, time = node.state, self.fleet.time
         state.distances = distance.Distances(time, node.data_centre, REGIONS)
         configuration = routing_table.Configuration(
@@ -143,7 +143,7 @@
         )
 
     def run(self, for_ms: int) -> None:
-        """Let time pass while callers ask for a little at each node."""
+        """Let time pass with a small load on each node."""
         for _ in range(for_ms // duty_holder.TICK_MS):
             self.fleet.run(duty_holder.TICK_MS)
             for node in self.fleet.live():
@@ -159,7 +159,7 @@
         return [node for node in self.fleet.live() if self.duties[node].status.token]
 
     def cut_off(self, region: str, from_platform: bool = False) -> None:
-        """Cut a region off from the others."""
+        """Partition a region from the others."""
         self.fleet.cut = lambda one, other: (
             (region_of(one) == region) != (region_of(other) == region)
         )
@@ -167,12 +167,12 @@
         self.platform.out_of_reach = names if from_platform else set()
 
     def heal(self) -> None:
-        """Join all regions."""
+        """End all partitions."""
         self.fleet.cut = lambda one, other: False
         self.platform.out_of_reach = set()
 
     def restart(self, node: gossip_fleet.Node) -> None:
-        """Kill a process and start another one in its place."""
+        """Kill a process and start another one under its name."""
         del self.duties[node]
         self.equip(self.fleet.start(node.number, node.data_centre))
 
@@ -188,7 +188,7 @@
     }
 
 
-def test_one_node_holds_the_duties_and_shrinks_all_regions_that_it_hears():
+def test_one_node_holds_the_duties_and_shrinks_all_reachable_regions():
     session = Session()
     session.run(20_000)
     [holder] = session.holders()
@@ -197,7 +197,7 @@
 
 
 @pytest.mark.parametrize("from_platform", [False, True])
-def test_when_the_holders_region_is_cut_off_another_region_takes_over(from_platform: bool):
+def test_another_region_takes_over_when_the_holders_region_is_cut_off(from_platform: bool):
     session = Session()
     session.run(DEMAND_KNOWN_MS)
     [before] = session.holders()
@@ -215,7 +215,7 @@
     assert len(session.holders()) == 1
 
 
-def test_a_region_cut_off_from_the_others_only_leaves_the_duties_to_these():
+def test_a_region_cut_off_with_the_platform_in_reach_does_not_take_the_duties_back():
     session = Session()
     session.run(DEMAND_KNOWN_MS)
     [before] = session.holders()
@@ -230,7 +230,7 @@
     assert session.duties[after].status.token == token
 
 
-def test_regions_that_are_all_cut_off_from_each_other_leave_the_duties_where_they_are():
+def test_the_holder_stays_when_all_regions_are_cut_off_from_each_other():
     session = Session()
     session.run(DEMAND_KNOWN_MS)
     holders = session.holders()
@@ -241,7 +241,7 @@
 
 @pytest.mark.parametrize("with_usage", [False, True])
 @pytest.mark.parametrize("counts", [(6, 6, 5, 5, 5, 3), (6, 6, 6, 5, 5, 2)])
-def test_a_tenth_of_the_nodes_or_less_that_is_cut_off_leaves_the_duties_to_their_holder(
+def test_the_holder_stays_when_a_tenth_of_the_nodes_or_less_is_cut_off(
     counts: tuple[int, ...], with_usage: bool
 ):
     session = Session(size=gossip_fleet.Size(6, 5, counts=counts))
@@ -258,7 +258,7 @@
         assert session.holders() == [holder]
 
 
-def test_the_last_region_takes_the_duties_over_when_the_others_are_gone():
+def test_the_last_live_region_takes_the_duties_over():
     session = Session()
     session.run(DEMAND_KNOWN_MS)
     [before] = session.holders()
@@ -269,7 +269,7 @@
     assert len(session.holders()) == 1
 
 
-def test_renewals_that_the_store_does_not_answer_cost_no_holder_the_duties():
+def test_the_holder_does_not_resign_when_renewals_fail():
     session = Session()
     for node in session.duties.values():
         node.tasks = duty_holder.DutyTasks(usage=False, scaling=True)
@@ -281,7 +281,7 @@
     assert session.holders() == [holder]
 
 
-def test_a_holder_cut_off_from_the_others_only_shrinks_none_of_their_engines():
+def test_a_holder_cut_off_from_other_regions_shrinks_none_of_their_engines():
     session = Session()
     session.run(DEMAND_KNOWN_MS)
     [holder] = session.holders()
@@ -296,7 +296,7 @@
     return REGIONS[node.rpartition("-")[0]]
 
 
-def test_a_region_cut_off_from_the_platform_only_hands_the_duties_on():
+def test_a_region_cut_off_only_from_the_platform_hands_the_duties_over():
     session = Session()
     session.run(8_000)
     [before] = session.holders()
@@ -336,7 +336,7 @@
 
 
 def play(session: Session, name: str, pick: int) -> None:
-    """Do one thing to a fleet."""
+    """Apply one action to a fleet."""
     region = "nsw"[pick % 3]
     nodes = session.fleet.live()
     node = (session.holders() or nodes)[0]
--- a/plumarch/gateway/duties/rollout_duty.py
+++ b/plumarch/gateway/duties/rollout_duty.py
@@ -1,8 +1,7 @@
-"""Roll-outs carried out by the holder of the duties; each other node only does as it is told.
+"""Roll-outs, decided by the duty holder and applied by all nodes.
 
-The holder alone reads orders from the store. A larger share is written to the duties' record
-before it is told to anybody, so that a holder that comes next never begins with less than what is
-in force; a smaller one is told first.
+A larger share is recorded before it is announced, so that a successor never begins with less than
+what is in force; a smaller share is announced first.
 """
 
 import asyncio
@@ -15,28 +14,27 @@
 from plumarch.gateway.store import follower
 
 WATCH_MS = 10_000
-"""How long the store holds a watch of orders. They are rare, and calls are paid for; a connection
-that falls silent is noticed by probes after 3 s."""
+"""How long the store holds a watch of orders open: orders are rare, and calls cost money."""
 
 ROLLOUTS = "rollout"
-"""What operators know orders of roll-outs as."""
+"""Kind of unreadable entries, as operators see it."""
 
 HOLDER_POLL_MS = 250.0
-"""How often a node that holds no duties asks whether it does."""
+"""Interval at which a node checks whether it became the duty holder."""
 
 CERTAIN_WITHOUT_FULL_VIEW = 0.9999
-"""Probability of a bad version from which on a node stops that hears of no others' answers: one of
-hundreds does so by chance a hundred times as often as the one that hears of all."""
+"""Probability of a bad version at which a node without a full view stops it: higher, since hundreds
+of such nodes judge independently."""
 
 
 class RolloutDuty:
-    """The roll-outs of one node: its part as the holder, and what it watches as any node.
+    """The roll-outs of one node: decided as the duty holder, checked as any node.
 
     Attributes:
       orders: the newest order of each service, while this node holds the duties.
-      plans: how far each roll-out is.
-      told: the last state that operators were told, by service.
-      periods: in which a version had one share as far as this node saw, by service and version.
+      plans: the progress of each roll-out, by service.
+      reported: the last version and state reported to operators, by service.
+      periods: periods of constant share that this node saw, by service and version.
     """
 
     def __init__(
@@ -56,10 +54,10 @@
         return self.exposure.share > 0
 
     async def follow(self, holds: Callable[[], bool]) -> None:
-        """Follow the orders while this node holds the duties, forever.
+        """Watch the orders while this node holds the duties, forever.
 
         Args:
-          holds: whether it does.
+          holds: returns whether it does.
         """
         dependency = follower.Dependency(self.state, "store-rollouts")
         revision: int | None = None
@@ -92,7 +90,7 @@
         return news.revision
 
     def apply_change(self, change: rollouts.RolloutChange) -> None:
-        """Take in an order that came, changed, or is gone."""
+        """Apply an order that was added, changed or removed."""
         if change.order is None:
             self.orders.pop(change.service, None)
             return
@@ -104,7 +102,7 @@
             self.state.log.write("rollout_ordered", urgent=True, order=change.order)
 
     def resign(self) -> None:
-        """Forget what only the holder knows."""
+        """Drop the state that only the holder keeps."""
         self.orders.clear()
         self.plans.clear()
         self.reported.clear()
@@ -114,12 +112,12 @@
     def decide(
         self, record: duty_lease.DutyRecord
     ) -> list[tuple[rollout.RolloutPlan, rollout.RolloutPlan | None]]:
-        """Decide anew on all roll-outs.
+        """Decide on all roll-outs.
 
         Args:
-          record: the duties' record, from which a new holder goes on.
+          record: the duties' record, from which a new holder resumes.
         Returns:
-          Plans that changed, each with how it was before, or None for a new one.
+          Changed plans, each with its previous state, or None for a new one.
         """
         changed = []
         for service, order in sorted(self.orders.items()):
@@ -137,7 +135,7 @@
     def _plan(
         self, order: rollouts.RolloutOrder, record: duty_lease.DutyRecord
     ) -> rollout.RolloutPlan:
-        """Return the plan of an order that this node did not know: as recorded, or a new one."""
+        """Return the plan of a new order: resumed from the record, or from the start."""
         wall = self.state.wall
         plan = rollout.RolloutPlan(wall, order, self.exposure, wall.now())
         recorded = record.rollouts.get(order.service)
@@ -171,7 +169,7 @@
         )
 
     def put_in_force(self, plan: rollout.RolloutPlan, token: int) -> None:
-        """Tell all nodes what was decided."""
+        """Adopt a plan's share, which gossip then announces to all nodes."""
         self.plans[plan.order.service] = plan
         self.steps += 1
         split = rollouts.VersionSplit(
@@ -196,7 +194,7 @@
         )
 
     async def report_states(self) -> None:
-        """Tell operators the states that they don't know yet."""
+        """Report states of roll-outs that changed to operators."""
         for service, plan in sorted(self.plans.items()):
             order, state = plan.order, plan.stage.state()
             if order.state is state or self.reported.get(service) == (order.version, state):
@@ -204,7 +202,7 @@
             try:
                 await self.store.report_rollout(order, state)
             except errors.PlatformConflict as error:
-                # The order changed just now; its watch tells how, and then it is told anew.
+                # The order changed meanwhile; its state is reported after the next watch.
                 self.state.log.write("rollout_changed", service=service, why=str(error))
                 continue
             self.reported[service] = (order.version, state)
@@ -212,10 +210,10 @@
     # As any node.
 
     def stop_bad_versions(self, has_full_view: bool) -> bool:
-        """Stop versions that are bad by what this node knows.
+        """Stop versions that are bad by the answers known to this node.
 
         Returns:
-          Whether it stopped one.
+          Whether any was stopped.
         """
         certain = version_verdict.CERTAINLY_BAD if has_full_view else CERTAIN_WITHOUT_FULL_VIEW
         rule = version_verdict.ProbabilityRule(bad_from=certain)
@@ -244,7 +242,7 @@
         return stopped
 
     def serving(self, service: str) -> list[traffic.Endpoint]:
-        """Return the endpoints of a service by which its size is planned: those that carry it."""
+        """Return the endpoints by which a service is sized: those of the leading version."""
         found = [one for one in self.state.registry.endpoints.values() if one.service == service]
         split = self.state.splits.of(service)
         if split is None or split.state is not rollouts.RolloutState.RUNNING:
--- a/plumarch/gateway/duties/rollout_duty_test.py
+++ b/plumarch/gateway/duties/rollout_duty_test.py
@@ -1,4 +1,4 @@
-"""Roll-outs on nodes that exchange heartbeats on virtual time, with a store that may fail."""
+"""Roll-outs on virtual time, with partitions, restarts and store outages."""
 
 import contextlib
 import random
@@ -29,9 +29,9 @@
     """One store for all nodes.
 
     Attributes:
-      down: whether it answers nothing.
-      changed: how many of the next states are refused, since the order has changed.
-      states: what operators were told, in order.
+      down: whether all calls fail.
+      changed: how many of the next reports are rejected because the order has changed.
+      states: the reported states, in order.
     """
 
     def __init__(self) -> None:
@@ -67,7 +67,7 @@
         self.states.append(state.value)
 
     async def list_rollouts(self) -> ports.RolloutUpdate:
-        raise AssertionError("orders are handed to the nodes here")
+        raise AssertionError("this test passes orders to the nodes itself")
 
     def kept_share(self) -> float:
         assert self.record is not None
@@ -75,7 +75,7 @@
 
 
 class Cloud:
-    """Takes reports and orders."""
+    """Accepts reports and orders."""
 
     def __init__(self) -> None:
         self.orders: list[records.EngineOrder] = []
@@ -83,14 +83,14 @@
     async def report_usage(
         self, lease: records.Lease, window: int, counts: Mapping[str, int]
     ) -> None:
-        """Take a report."""
+        """Accept a report."""
 
     async def order(self, lease: records.Lease, order: records.EngineOrder) -> None:
         self.orders.append(order)
 
 
 class World:
-    """A few nodes; requests are dealt to them and answered by the version that they choose."""
+    """A few nodes that get random requests and choose a version for each."""
 
     def __init__(self, seed: int = 1, new_bad: float = 0.0) -> None:
         self.rng = random.Random(seed)
@@ -118,15 +118,15 @@
                 self._request()
 
     def _exchange(self) -> None:
-        beats = [
+        sent = [
             (number, node.gossiper.composer.next(leaving=False))
             for number, node in enumerate(self.nodes)
             if self.alive[number]
         ]
         for number, node in enumerate(self.nodes):
-            for sender, beat in beats:
+            for sender, heartbeat in sent:
                 if sender != number and self.group[sender] == self.group[number]:
-                    node.gossiper.apply_heartbeat(beat)
+                    node.gossiper.apply_heartbeat(heartbeat)
 
     def _request(self) -> None:
         number = self.rng.randrange(NODES)
@@ -152,7 +152,7 @@
             state.answers.count(key, is_bad)
 
     def begin(self, version: str = "v2") -> None:
-        """Let the operators order a roll-out."""
+        """Order a roll-out."""
         self.order = rollouts.RolloutOrder("s", version, DURATION_MS, 5)
         for number in range(NODES):
             self.show_versions(self.nodes[number])
@@ -218,7 +218,7 @@
         )
 
     def step(self) -> None:
-        """Run the duties once; as the holder it is handed the order as the store would."""
+        """Run one step; the holder first gets the order, as from the store."""
         order = self.world.order
         if self.duties.status.token and order is not None and not self.world.store.down:
             self.duties.rollouts.apply_change(rollouts.RolloutChange("s", order))
@@ -248,7 +248,7 @@
     assert world.shares() == {1.0}
 
 
-def test_a_bad_version_is_rolled_back_on_all_nodes_and_stays_so():
+def test_a_bad_version_is_rolled_back_on_all_nodes_for_good():
     world = settled(new_bad=0.5)
     world.pass_time(8_000)
     assert world.store.states == ["running", "rolled_back"]
@@ -267,7 +267,7 @@
             assert max(world.shares()) <= world.store.kept_share()
 
 
-def test_a_successor_goes_on_with_the_share_and_the_time_of_its_predecessor():
+def test_a_successor_resumes_with_the_share_and_start_time_of_its_predecessor():
     world = settled(new_bad=0.01)
     world.pass_time(6_000)
     first = world.holder()
@@ -309,7 +309,7 @@
     assert world.shares() == {0.0}
 
 
-def test_an_order_that_changed_meanwhile_does_not_cost_the_duties():
+def test_the_holder_does_not_resign_when_a_report_conflicts_with_a_changed_order():
     world = settled(new_bad=0.01)
     world.store.changed = 2
     holder = world.holder()
@@ -318,13 +318,13 @@
     assert world.store.states == ["running"]
 
 
-def test_no_endpoint_is_let_go_while_a_roll_out_runs():
+def test_no_service_shrinks_during_a_roll_out():
     world = settled(new_bad=0.01)
     world.pass_time(10_000)
     assert all(order.count >= 3 for order in world.cloud.orders)
 
 
-def test_a_restart_amid_a_roll_out_begins_with_the_old_version():
+def test_a_node_restarted_during_a_roll_out_starts_with_the_old_version():
     world = settled(new_bad=0.01)
     world.pass_time(5_000)
     world.restart(0)
--- a/plumarch/gateway/duties/suspended_duties_test.py
+++ b/plumarch/gateway/duties/suspended_duties_test.py
@@ -1,7 +1,6 @@
-"""A holder of the duties whose machine is suspended while it waits for the store or the cloud.
+"""A duty holder whose VM is suspended while it waits for the store or the cloud.
 
-Others take the duties over meanwhile. The holder learns that by itself, before it acts: a call that
-only the platform's fence turns away would be an act by what it knew before.
+Another node takes over meanwhile; the resumed holder must make no call with its stale token.
 """
 
 import contextlib
@@ -21,12 +20,12 @@
 
 @types.coroutine
 def answer_awaited() -> Generator[None, None, None]:
-    """Wait for an answer that is on its way: a step at which the machine may be suspended."""
+    """Yield once before an answer: a point at which the VM may be suspended."""
     yield
 
 
 class Store:
-    """A store whose answers take a step."""
+    """A store that yields before each answer."""
 
     def __init__(self, inner: duties_test.Store) -> None:
         self.inner = inner
@@ -43,7 +42,7 @@
 
 
 class Cloud:
-    """A cloud whose answers take a step."""
+    """A cloud that yields before each answer."""
 
     def __init__(self, inner: duties_test.Cloud) -> None:
         self.inner = inner
@@ -56,7 +55,7 @@
 
 
 class Session:
-    """A fleet whose holder is suspended once, at one of its awaits."""
+    """A fleet whose holder is suspended once, at a given await."""
 
     def __init__(self, at: int, for_ms: int) -> None:
         self.at = at
@@ -65,12 +64,12 @@
         self.world = duties_test.World(1)
         duties_test.pass_time(self.world, 3_000)
         (self.holder,) = [node for node in self.world.nodes if node.duties.status.token]
-        what: Any = self.holder.duties
-        what.store = Store(what.store)
-        what.cloud = Cloud(what.cloud)
+        duties: Any = self.holder.duties
+        duties.store = Store(duties.store)
+        duties.cloud = Cloud(duties.cloud)
 
     def run(self) -> None:
-        """Let the fleet go on, with usage to report."""
+        """Run the fleet, with usage to report."""
         self.holder.frozen = True
         for _ in range(TICKS):
             self.holder.state.suspensions.look()
@@ -79,7 +78,7 @@
             self.run_step(self.holder.duties.step)
 
     def run_step(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Run a step of the holder, which may be suspended in it."""
+        """Run a step of the holder, perhaps with the suspension."""
         step: Any = work()
         with contextlib.suppress(StopIteration):
             while True:
@@ -89,38 +88,38 @@
                     self.suspend()
 
     def suspend(self) -> None:
-        """Let time pass for the others, who hear nothing of the holder, nor it of them."""
+        """Let time pass for the other nodes only, without heartbeats from or to the holder."""
         self.world.group[self.holder.number] = 1
         duties_test.pass_time(self.world, self.for_ms)
         self.world.group[self.holder.number] = 0
 
 
 @pytest.mark.parametrize("for_ms", LENGTHS_MS)
-def test_a_holder_that_was_suspended_makes_no_call_under_a_token_that_others_have_replaced(
+def test_a_resumed_holder_makes_no_call_with_a_stale_token(
     for_ms: int,
 ):
-    whole = Session(0, 0)
-    whole.run()
-    assert whole.awaits >= 4 and not whole.world.refusals
-    for at in range(1, whole.awaits + 1):
+    uninterrupted = Session(0, 0)
+    uninterrupted.run()
+    assert uninterrupted.awaits >= 4 and not uninterrupted.world.refusals
+    for at in range(1, uninterrupted.awaits + 1):
         session = Session(at, for_ms)
         session.run()
-        where = f"await {at} of {whole.awaits}"
+        where = f"await {at} of {uninterrupted.awaits}"
         assert not session.world.refusals, where
         holders = [node for node in session.world.nodes if node.duties.status.token]
         assert len(holders) <= 1, where
 
 
-def test_a_record_counts_as_written_when_the_write_was_sent():
-    """The answer may have waited for as long as the machine was suspended."""
+def test_the_time_of_a_write_is_when_it_was_sent():
+    """The answer may arrive only after a suspension."""
     session = Session(0, 0)
-    what = session.holder.duties
+    duties = session.holder.duties
     sent_ms = session.world.time.now()
-    assert what.stored is not None
-    step: Any = what._write(what.stored)
+    assert duties.stored is not None
+    step: Any = duties._write(duties.stored)
     step.send(None)
     session.suspend()
     session.world.time.advance_to(sent_ms + 9_000)
     with contextlib.suppress(StopIteration):
         step.send(None)
-    assert what.written_ms == sent_ms
+    assert duties.written_ms == sent_ms
--- a/plumarch/gateway/duties/usage_windows_test.py
+++ b/plumarch/gateway/duties/usage_windows_test.py
@@ -1,4 +1,4 @@
-"""Windows of usage are complete, whatever part of a fleet over regions is cut off or dies."""
+"""Usage reports are complete though parts of a fleet over regions are cut off or killed."""
 
 import collections
 import contextlib
@@ -15,10 +15,10 @@
 WINDOW_MS = gateway_parts.USAGE_WINDOW_MS
 SCHEDULE = duty_holder.UsageSchedule(WINDOW_MS, 1_500, 7_500)
 DUE_MS = 10_000
-"""Within this time after its end a window is to be reported."""
+"""Time after its end within which a window must be reported."""
 
 TOLERATED = 0.05
-"""Part of a window's requests that a report may be off."""
+"""Tolerated relative error of a window's count."""
 
 STEP_MS = 100
 REQUESTS_PER_STEP = 30
@@ -54,8 +54,8 @@
         self.reports.setdefault(window, dict(counts))
 
 
-class Day:
-    """A fleet whose callers ask all the time, and whose holder reports."""
+class Session:
+    """A fleet under constant load whose holder reports usage."""
 
     def __init__(self, seed: int, size: gossip_fleet.Size = SIZE) -> None:
         starts = gossip_fleet.Starts(seeds=SEEDS, within_ms=1_000)
@@ -78,7 +78,7 @@
                 self.step(node)
 
     def step(self, node: gossip_fleet.Node) -> None:
-        """Let a node do its duties; nothing in it waits."""
+        """Run one step of a node's duties, which must not block."""
         key = f"{node.name}#{node.view.incarnation}"
         if key not in self.duties:
             self.duties[key] = duty_holder.Duties(
@@ -100,11 +100,11 @@
         return found
 
     def run_to(self, into_window_ms: int) -> None:
-        """Let time pass until a window has run for as long."""
+        """Let time pass until the given offset in a window."""
         self.run((into_window_ms - self.fleet.time.now()) % WINDOW_MS)
 
     def assert_complete(self) -> None:
-        """Check each window that began after the fleet had settled and is due."""
+        """Check each due window that began after the fleet had settled."""
         first = (gossip_fleet.START_MS + SETTLE_MS) // WINDOW_MS + 1
         last = (self.fleet.time.now() - DUE_MS) // WINDOW_MS - 1
         off = {
@@ -124,18 +124,22 @@
         self.fleet.cut = lambda one, two: False
 
 
-def other_region(day: Day) -> str:
-    return next(name for name in sorted(set(day.fleet.regions.values())) if name != own(day))
+def other_region(session: Session) -> str:
+    return next(
+        name
+        for name in sorted(set(session.fleet.regions.values()))
+        if name != holder_region(session)
+    )
 
 
-def own(day: Day) -> str:
-    return day.fleet.region_of(day.holder())
+def holder_region(session: Session) -> str:
+    return session.fleet.region_of(session.holder())
 
 
-def test_windows_are_complete_on_a_calm_day():
-    day = Day(1)
-    day.run(25_000)
-    day.assert_complete()
+def test_windows_are_complete_without_faults():
+    session = Session(1)
+    session.run(25_000)
+    session.assert_complete()
 
 
 @pytest.mark.parametrize("with_holder", [False, True])
@@ -143,25 +147,25 @@
 def test_windows_are_complete_though_a_region_was_cut_off_for_four_seconds(
     into_window_ms: int, with_holder: bool
 ):
-    day = Day(into_window_ms)
-    day.run_to(into_window_ms)
-    day.cut_region(own(day) if with_holder else other_region(day))
-    day.run(4_000)
-    day.heal()
-    day.run(22_000)
-    day.assert_complete()
+    session = Session(into_window_ms)
+    session.run_to(into_window_ms)
+    session.cut_region(holder_region(session) if with_holder else other_region(session))
+    session.run(4_000)
+    session.heal()
+    session.run(22_000)
+    session.assert_complete()
 
 
 @pytest.mark.parametrize("with_holder", [False, True])
 @pytest.mark.parametrize("into_window_ms", [500, 2_500, 4_500])
-def test_windows_are_complete_though_all_coordinators_of_a_region_die(
+def test_windows_are_complete_though_all_coordinators_of_a_region_crash(
     into_window_ms: int, with_holder: bool
 ):
-    day = Day(into_window_ms)
-    day.run_to(into_window_ms)
-    region = own(day) if with_holder else other_region(day)
-    for node in day.fleet.with_role(tiers.Role.COORDINATOR):
-        if day.fleet.region_of(node) == region:
+    session = Session(into_window_ms)
+    session.run_to(into_window_ms)
+    region = holder_region(session) if with_holder else other_region(session)
+    for node in session.fleet.with_role(tiers.Role.COORDINATOR):
+        if session.fleet.region_of(node) == region:
             node.alive = False
-    day.run(26_000)
-    day.assert_complete()
+    session.run(26_000)
+    session.assert_complete()
