--- a/plumarch/gateway/__init__.py
+++ b/plumarch/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Requests of callers relayed to endpoints, with all nodes of a fleet acting together."""
+"""Relays callers' requests to endpoints and coordinates the nodes of a fleet."""
--- a/plumarch/gateway/centre_contact.py
+++ b/plumarch/gateway/centre_contact.py
@@ -1,16 +1,16 @@
-"""How well this node hears the other data centres, as operators are shown."""
+"""Contact with the other data centres, for the status page."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True)
 class CentreContact:
-    """Counts of the other data centres; a member, which is told of none, keeps them at 0.
+    """Reachability of the other data centres; all 0 on a member, which knows none.
 
     Attributes:
-      known: how many this node knows of.
-      unheard: how many of them it does not hear.
-      oldest_ms: the age of the oldest news of one of them.
+      known: number of known data centres.
+      unreachable: number of those that this node does not reach.
+      oldest_ms: age of the least recent update of one of them, in ms.
     """
 
     known: int = 0
--- a/plumarch/gateway/decision_log.py
+++ b/plumarch/gateway/decision_log.py
@@ -1,8 +1,6 @@
-"""Structured logs: one JSON object a line on standard output, bounded, never blocking.
+"""Structured logs, one JSON object a line, buffered within limits and written without blocking.
 
-Lines are kept in memory and written when the output takes them. A reader that stops reading
-stalls nothing: when the memory set aside is full, or more lines come in a second than are
-allowed, lines are dropped, counted, and the count is told as soon as a line can be written.
+Lines above the buffer's size or the rate limit are dropped; the next line carries their count.
 """
 
 import dataclasses
@@ -21,12 +19,12 @@
 
 @dataclasses.dataclass(slots=True)
 class DecisionLog:
-    """Where all parts of a process write what they decided.
+    """The log of a process's decisions.
 
     Attributes:
       node: named in each line.
       descriptor: the file descriptor written to, set to non-blocking.
-      dropped: lines dropped since the last that told so.
+      dropped: lines dropped since the last line written.
       dropped_total: lines dropped since the start.
     """
 
@@ -44,8 +42,8 @@
         """Write a line.
 
         Args:
-          kind: what was decided or learned.
-          urgent: keep the line even in a second that had too many.
+          kind: the kind of event.
+          urgent: whether the line is exempt from the rate limit.
           fields: request id, inputs, their age or version, outcome.
         """
         if not self._admitted(urgent):
@@ -70,7 +68,7 @@
         return urgent or self.lines_in_second <= self.lines_per_s
 
     def flush(self) -> None:
-        """Write what the output takes now."""
+        """Write as much of the buffer as the output accepts now."""
         while self.pending:
             try:
                 written = os.write(self.descriptor, bytes(self.pending[:WRITE_BYTES]))
@@ -83,7 +81,7 @@
 
 
 def _encoded(line: dict[str, Any]) -> bytes:
-    """Return a line as JSON; a string that is no text must not cost the line, or its writer."""
+    """Return a line as JSON, also with values that msgspec can't encode."""
     try:
         return msgspec.json.encode(line)
     except (UnicodeEncodeError, TypeError):
--- a/plumarch/gateway/decision_log_test.py
+++ b/plumarch/gateway/decision_log_test.py
@@ -1,4 +1,4 @@
-"""Logs stay bounded and never block, whoever reads them."""
+"""Limits of the decision log, with a reader that is slow or gone."""
 
 import json
 import os
@@ -11,7 +11,7 @@
     return decision_log.DecisionLog(time, "a", descriptor=descriptor, lines_per_s=10)
 
 
-def test_a_reader_that_stops_reading_stalls_nothing_and_lines_are_counted():
+def test_writes_do_not_block_when_the_reader_stops_and_dropped_lines_are_counted():
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     time = clock.ManualClock()
@@ -38,7 +38,7 @@
     os.close(writer)
 
 
-def test_more_lines_than_allowed_in_a_second_are_dropped_but_urgent_ones_are_kept():
+def test_lines_above_the_rate_limit_are_dropped_except_urgent_ones():
     time = clock.ManualClock()
     log = log_into(1, time)
     for _ in range(25):
--- a/plumarch/gateway/dialect.py
+++ b/plumarch/gateway/dialect.py
@@ -1,7 +1,4 @@
-"""The names that a deployment gives to the headers of callers and endpoints.
-
-The product's own names are the defaults; an adapter gives a deployment's names.
-"""
+"""Header names of callers and endpoints: defaults, which a deployment's adapter may replace."""
 
 import dataclasses
 import functools
@@ -24,23 +21,22 @@
         b"content-length",
     }
 )
-"""Headers that concern one connection only (RFC 9110, section 7.6.1)."""
+"""Hop-by-hop headers (RFC 9110, section 7.6.1)."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dialect:
-    """Header names, lower case.
+    """Header names, in lower case.
 
     Attributes:
-      deadline_ms: the time that the caller waits, in milliseconds.
+      deadline_ms: how long the caller waits, in ms.
       instance: the incarnation that a request is meant for.
-      not_run: set by an endpoint on an answer to a request that it did not run.
-      leaving: set by an endpoint on all its answers once it is about to end; "0" doesn't count.
-      rate_limit: set by an endpoint on its answers while it takes only so many requests a second
-        from all nodes together.
+      not_run: set by an endpoint if it did not run the request.
+      leaving: set by an endpoint on all answers before it shuts down, unless "0".
+      rate_limit: set by an endpoint while it limits the request rate of all nodes together.
       signature: proves that an answer is the endpoint's.
-      token_counts: prompt tokens and most output tokens, by a comma.
-      prompt_parts: the prompt's parts as ID:TOKENS, by commas.
+      token_counts: prompt tokens and maximum of output tokens, separated by a comma.
+      prompt_parts: the prompt's segments as ID:TOKENS, separated by commas.
       reserved: further headers that a caller may not set.
     """
 
@@ -62,14 +58,14 @@
 
 @functools.cache
 def not_for_endpoints(names: Dialect) -> frozenset[bytes]:
-    """Return the callers' headers that no endpoint sees, or that only the gateway may set."""
+    """Return the callers' headers that are not forwarded, or that only the gateway sets."""
     own = {names.workspace, names.instance, names.deadline_ms, names.urgency, names.last_event_id}
     return HOP_BY_HOP | names.reserved | own | {b"authorization"}
 
 
 @functools.cache
 def not_for_callers(names: Dialect) -> frozenset[bytes]:
-    """Return the endpoints' headers that no caller sees."""
+    """Return the endpoints' headers that are not forwarded to callers."""
     return HOP_BY_HOP | {names.not_run}
 
 
--- a/plumarch/gateway/errors.py
+++ b/plumarch/gateway/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong in one exchange with an endpoint, by what is known of the request."""
+"""Errors of one exchange with an endpoint, by whether the request may have run."""
 
 from plumarch.core import errors
 
@@ -8,24 +8,24 @@
 
 
 class ConnectFailed(errors.NotDelivered, ExchangeError):
-    """No connection came up: no byte was sent, so the request did not run."""
+    """No connection was established, so the request did not run."""
 
 
 class SendBufferFull(ConnectFailed):
-    """The request can't be held on its way to an endpoint, whichever that is: no byte was sent."""
+    """This node has no memory to buffer the request to any endpoint; no byte was sent."""
 
 
 class ConnectionBroken(errors.DeliveryUnknown, ExchangeError):
-    """The connection ended or carried invalid bytes after the request: it may have run."""
+    """The connection broke or carried invalid bytes after the request, which may have run."""
 
 
 class AnswerTimeout(errors.DeliveryUnknown, ExchangeError):
-    """The endpoint stayed silent for longer than the request can wait."""
+    """The endpoint did not answer within the time that the request can wait."""
 
 
 class NotDispatched(errors.NotDelivered, ExchangeError):
-    """A connection came up, but it took no byte of the request, so the request did not run."""
+    """The connection accepted no byte of the request, so the request did not run."""
 
 
 class NoMemory(errors.DeliveryUnknown, ExchangeError):
-    """The answer can't be held: this node holds too much already. Ask another node."""
+    """This node has no memory to buffer the answer. Try another node."""
--- a/plumarch/gateway/fleet_state.py
+++ b/plumarch/gateway/fleet_state.py
@@ -1,4 +1,4 @@
-"""What one gateway process believes and keeps: the state that all its parts share."""
+"""State of one gateway process, shared by its parts."""
 
 import dataclasses
 import random
@@ -45,9 +45,9 @@
     """A prompt that was sent to an engine.
 
     Attributes:
-      unread_tokens: tokens of it that the engine is expected to have to read.
-      workspace: the one whose allotment was charged, or "".
-      units: what it was charged.
+      unread_tokens: expected tokens that the engine has not cached.
+      workspace: the workspace whose quota was charged, or "".
+      units: the units charged.
     """
 
     endpoint: str
@@ -58,36 +58,36 @@
 
 @dataclasses.dataclass(slots=True)
 class FleetState:
-    """State of one process; parts of it come from the store, from peers, or from requests.
+    """State of one process, from the store, from peers and from requests.
 
     Attributes:
-      table: the configuration in force, or None before the first one is known.
-      table_source: who told it: "store" or a peer's name.
-      work: what this node sent to engines lately.
-      splits: which versions of services get requests.
-      answers: of versions, while roll-outs run.
-      answer_times: how long plain requests take, by route.
-      distances: how far data centres are from this one.
-      memory: what is held on behalf of callers and endpoints.
-      pressure: who is turned away when much of it is held.
-      limits: what endpoints bear.
-      backoff: endpoints that asked this node for rest.
-      permits: to send to endpoints that announce a rate for all nodes together.
-      allocator: divides such rates among the nodes that ask this one.
-      permit_answers: requests that wait for the allocator's answer.
-      quarantine: requests under which endpoints ended.
-      unreadable: entries in the store that can't be read.
-      suspensions: when this process did not run.
-      runs: connections on which requests run, by endpoint.
-      contact: how well the other data centres are heard.
-      announce_prompt: tells the other nodes of a prompt sent to an engine.
-      endpoint_restarted: told of an endpoint whose process has started again.
-      publish_suspect: tells them what was learned of a request, by its fingerprint.
-      request_permits: sends a request for permits to the endpoint's allocator; None where this
-        node is the only one.
-      request_trial: asks the store whether this node may try a request that is held back.
-      reaches_store: whether the platform's store answered the last call.
-      stops_at_ms: when the process will end, once it was told to and balancers know; or None.
+      table: the configuration in force, or None before the first one.
+      table_source: where it came from: "store" or a peer's name.
+      work: prompts that this node recently sent to engines.
+      splits: shares of service versions during roll-outs.
+      answers: counts of answers by version, during roll-outs.
+      answer_times: mean time of plain requests, by route.
+      distances: regions of data centres and network latencies to them.
+      memory: memory reserved for callers and endpoints.
+      pressure: refusals while memory is short.
+      limits: concurrency limits of endpoints.
+      backoff: endpoints that asked this node to back off.
+      permits: permits for endpoints that announce a request rate.
+      allocator: divides announced rates among nodes that request permits.
+      permit_answers: requests that wait for an allocator's answer.
+      quarantine: suspects, that is requests under which endpoints crashed.
+      unreadable: store entries that can't be decoded.
+      suspensions: suspensions of this process.
+      runs: connections with running requests, by endpoint.
+      contact: reachability of the other data centres.
+      announce_prompt: announces a prompt sent to an engine to the other nodes.
+      endpoint_restarted: called with the id of an endpoint whose process restarted.
+      publish_suspect: publishes the state of a suspect, by its fingerprint.
+      request_permits: sends a request for permits to the endpoint's allocator; None on a single
+        node.
+      request_trial: requests the trial of a quarantined request from the store.
+      reaches_store: whether the store answered the last call.
+      stops_at_ms: when the process will exit, once a shutdown has begun; or None.
     """
 
     node: str
@@ -147,10 +147,10 @@
         return self.table.version if self.table is not None else -1
 
     def adopt_table(self, table: routing_table.RoutingTable, source: str) -> bool:
-        """Put a configuration in force unless it is not newer than the one in force.
+        """Put a configuration in force if it is newer.
 
         Returns:
-          Whether it is in force from now on.
+          Whether it was.
         """
         if self.table is not None and table.version <= self.table.version:
             return False
@@ -165,10 +165,10 @@
         return True
 
     def adopt_split(self, split: rollouts.VersionSplit) -> bool:
-        """Adopt a share of a version unless a later one is known.
+        """Adopt a version's share if it is newer.
 
         Returns:
-          Whether it is news.
+          Whether it was.
         """
         before = self.splits.of(split.service)
         if not self.splits.adopt(split):
@@ -180,7 +180,7 @@
         return True
 
     def registry_changed(self, changes: list[EndpointChange], source: str) -> None:
-        """Log changes of endpoints, and forget what no longer exists."""
+        """Log changes of endpoints, and drop the state of removed ones."""
         if not changes:
             return
         self._log_unnamed_regions()
@@ -207,10 +207,10 @@
         self._prune_removed()
 
     def rate_changed(self, endpoint: Endpoint, source: str) -> None:
-        """Log the rate that an endpoint announces from now on, or that it announces none any more.
+        """Log that an endpoint's announced rate changed or ended.
 
         Args:
-          source: the node that got the answer, or reported it.
+          source: the node that received or reported the answer.
         """
         self.measures.announced_rates.add(endpoint.service)
         self.log.write(
@@ -223,7 +223,7 @@
         )
 
     def _log_unnamed_regions(self) -> None:
-        """Log once each data centre that has no region; all ways to it count as far."""
+        """Log each data centre without a region once; it counts as remote."""
         met = {self.data_centre, *(one.data_centre for one in self.registry.endpoints.values())}
         for data_centre in sorted(met):
             if self.distances.is_first_unnamed(data_centre):
--- a/plumarch/gateway/measures.py
+++ b/plumarch/gateway/measures.py
@@ -1,7 +1,6 @@
-"""Counters and latency histograms of the gateway.
+"""Metrics of the gateway.
 
-They are counted here and put into Prometheus' format by prometheus_client when somebody asks:
-importing the library takes 20 ms, and a node that starts has callers waiting.
+prometheus_client is imported on the first scrape only, since its import would delay the start.
 """
 
 import bisect
@@ -45,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Gauge:
-    """A value for each combination of labels, as of when it was set last."""
+    """The last value for each combination of labels."""
 
     name: str
     text: str
@@ -68,7 +67,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Distribution:
-    """How many observations fell into each bucket, the last one unbounded, and their sum."""
+    """Observations by bucket, the last one unbounded, and their sum."""
 
     buckets: list[int] = dataclasses.field(default_factory=lambda: [0] * (len(BUCKETS_S) + 1))
     total_s: float = 0.0
@@ -84,7 +83,7 @@
     found: dict[Labels, Distribution] = dataclasses.field(default_factory=dict)
 
     def observe(self, seconds: float, *labels: str) -> None:
-        """Take in a time."""
+        """Add a duration to its bucket."""
         distribution = self.found.get(labels)
         if distribution is None:
             distribution = self.found[labels] = Distribution()
@@ -92,7 +91,7 @@
         distribution.total_s += seconds
 
     def family(self) -> "metrics_core.Metric":
-        """Return all distributions for Prometheus, whose buckets hold the smaller ones as well."""
+        """Return all distributions for Prometheus, with cumulative buckets."""
         from prometheus_client import metrics_core
 
         found = metrics_core.HistogramMetricFamily(self.name, self.text, labels=self.label_names)
@@ -111,7 +110,7 @@
     """All metrics of one gateway process.
 
     Attributes:
-      state: sizes and versions by name, set when somebody asks.
+      state: sizes and versions by name, set at each scrape.
     """
 
     def __init__(self) -> None:
@@ -220,7 +219,7 @@
         self.lines_dropped = 0
 
     def collect(self) -> Iterator["metrics_core.Metric"]:
-        """Return all metrics for Prometheus; the library calls this."""
+        """Return all metrics; called by prometheus_client."""
         from prometheus_client import metrics_core
 
         for distribution in (self.first_byte, self.total):
--- a/plumarch/gateway/measures_test.py
+++ b/plumarch/gateway/measures_test.py
@@ -1,9 +1,9 @@
-"""Metrics as Prometheus reads them."""
+"""Metrics in Prometheus' text format."""
 
 from plumarch.gateway import measures
 
 
-def test_counters_stand_by_their_labels():
+def test_counters_are_exported_with_their_labels():
     found = measures.Measures()
     found.attempts.add("s", "answered")
     found.attempts.add("s", "answered")
@@ -13,7 +13,7 @@
     assert 'plumarch_gateway_attempts_total{outcome="silent",service="s"} 1.0' in text
 
 
-def test_a_bucket_holds_what_the_smaller_ones_hold():
+def test_histogram_buckets_are_cumulative():
     found = measures.Measures()
     for seconds in (0.005, 0.01, 0.3, 99.0):
         found.total.observe(seconds, "w", "safe")
@@ -26,7 +26,7 @@
     assert f"plumarch_total_seconds_sum{{{labels}}} 99.315" in text
 
 
-def test_falls_and_lowered_limits_stand_by_service_and_endpoint():
+def test_crashes_and_lowered_limits_are_exported_by_service_and_endpoint():
     found = measures.Measures()
     found.crashes.add("s")
     found.endpoint_limits.set(9.5, "e1")
@@ -35,7 +35,7 @@
     assert 'plumarch_gateway_endpoint_limit{endpoint="e1"} 9.5' in text
 
 
-def test_sizes_stand_by_their_names():
+def test_sizes_are_exported_by_name():
     found = measures.Measures()
     found.state["endpoints"] = 7
     found.lines_dropped = 3
--- a/plumarch/gateway/mixed_readers_test.py
+++ b/plumarch/gateway/mixed_readers_test.py
@@ -1,4 +1,4 @@
-"""Callers of all kinds at once, at random: what is held is bounded, and all of it is given back."""
+"""Fast, slow and leaving callers at once: reserved memory is bounded and released."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 
 class MixedCallers:
-    """Callers that read fast, slowly, late, in part, or not at all."""
+    """Callers that read fast, slowly, late, partially or not at all."""
 
     def __init__(self, gateway: relay_test.Gateway, seed: int) -> None:
         self.gateway = gateway
@@ -32,13 +32,13 @@
         self.check_memory()
 
     def check_memory(self) -> None:
-        """Note what is held, whose parts must add up to it."""
+        """Record the peak of reserved memory; reservations must add up to the total."""
         memory = self.gateway.state.memory
         self.peak_bytes = max(self.peak_bytes, memory.total())
         assert sum(memory.by_connection.values()) == memory.total()
 
     async def call(self, kind: str, path: str) -> None:
-        """Call once; an answer that is whole must be the right one."""
+        """Send one request; a complete answer must be the right one."""
         sock = await slow_callers_test.silent_caller(self.gateway, path)
         if kind == "never":
             await asyncio.sleep(0.01 * self.rng.random())
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_what_is_held_for_a_mixed_crowd_is_bounded_and_given_back(seed: int):
+def test_memory_reserved_for_mixed_callers_is_bounded_and_released(seed: int):
     async def test() -> None:
         groups: list[MixedCallers] = []
 
--- a/plumarch/gateway/node_peak_test.py
+++ b/plumarch/gateway/node_peak_test.py
@@ -1,4 +1,4 @@
-"""The peak memory of a process that serves callers who read nothing, as the system counts it."""
+"""Peak memory of a node process whose callers read nothing."""
 
 import asyncio
 import os
@@ -16,16 +16,16 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 MAX_GROWTH_KB = 40 * 1024
-"""Of a node whose process may take 200 MB."""
+"""For a process with a memory budget of 200 MB."""
 
 
 async def serve(endpoint: str) -> None:
-    """Be a node before an endpoint, until the input ends."""
+    """Run a node with one endpoint until the input ends."""
     attempts.CONNECT_TIMEOUT_MS = slow_callers_test.CONNECT_MS
     state = gateway_parts.new_state(clock.MonotonicClock())
     ready = traffic.EndpointState.READY
-    places = 10 * slow_callers_test.CALLERS
-    state.registry.replace([traffic.Endpoint("e0", "s", endpoint, "a", places, ready)], 1, "store")
+    slots = 10 * slow_callers_test.CALLERS
+    state.registry.replace([traffic.Endpoint("e0", "s", endpoint, "a", slots, ready)], 1, "store")
     state.adopt_table(relay_test.TABLE, "store")
     callers = relay.new_server(state)
     loop = asyncio.get_running_loop()
@@ -38,7 +38,7 @@
 
 
 def peak_kb(process: int) -> int:
-    """Return the most memory that a process had, in KB."""
+    """Return the peak memory of a process, in KB."""
     lines = pathlib.Path(f"/proc/{process}/status").read_text().splitlines()
     [found] = [line for line in lines if line.startswith("VmHWM:")]
     return int(found.split()[1])
--- a/plumarch/gateway/permit_waiters.py
+++ b/plumarch/gateway/permit_waiters.py
@@ -1,4 +1,4 @@
-"""Requests that wait for the answer to a request for permits, since no other endpoint has room."""
+"""Requests that wait for permits, since no other endpoint has free capacity."""
 
 import asyncio
 import dataclasses
@@ -6,15 +6,15 @@
 
 @dataclasses.dataclass(slots=True)
 class PermitWaiters:
-    """One event for each endpoint that is waited for, by its identifier."""
+    """One event for each awaited endpoint, by its identifier."""
 
     events: dict[str, asyncio.Event] = dataclasses.field(default_factory=dict)
 
     async def wait(self, endpoint: str, timeout_ms: float) -> bool:
-        """Wait for an answer.
+        """Wait for an allocator's answer.
 
         Returns:
-          Whether one came in time.
+          Whether it came in time.
         """
         event = self.events.setdefault(endpoint, asyncio.Event())
         try:
@@ -25,7 +25,7 @@
         return True
 
     def answered(self, endpoint: str) -> None:
-        """Let all go on that wait for an endpoint's answer."""
+        """Wake all requests that wait for an endpoint."""
         event = self.events.pop(endpoint, None)
         if event is not None:
             event.set()
--- a/plumarch/gateway/ports.py
+++ b/plumarch/gateway/ports.py
@@ -1,4 +1,4 @@
-"""What a gateway needs of the platform it runs on; an adapter implements it.
+"""Interface to the platform that a gateway runs on, implemented by an adapter.
 
 All calls raise the errors of plumarch.core.errors: PlatformUnavailable (nothing was done),
 PlatformAnswerLost (may have been done), PlatformConflict, PlatformAbsent, PlatformRevisionExpired,
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationUpdate:
-    """The configuration as of a revision; None if there is none, or no newer one."""
+    """The configuration at a revision; None if there is none, or no newer one."""
 
     configuration: routing_table.Configuration | None
     revision: int
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointList:
-    """All endpoints as of a revision, and the entries that can't be read."""
+    """All endpoints at a revision, and the entries that can't be decoded."""
 
     endpoints: tuple[traffic.Endpoint, ...]
     revision: int
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """Changes of endpoints up to a revision; an entry that can't be read names none any more."""
+    """Changes of endpoints up to a revision; an undecodable entry counts as removed."""
 
     changes: tuple[registry.EndpointChange, ...]
     revision: int
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RolloutUpdate:
-    """Orders of roll-outs that came, changed or are gone up to a revision."""
+    """Orders of roll-outs that were added, changed or removed up to a revision."""
 
     changes: tuple[rollouts.RolloutChange, ...]
     revision: int
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordList:
-    """All objects of a kind of the product's own as of a revision."""
+    """All of the product's own objects of a kind at a revision."""
 
     found: tuple[records.Record, ...]
     revision: int
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordUpdate:
-    """Objects of a kind that came or changed, and the names of those removed, up to a revision."""
+    """Objects of a kind that were added, changed or removed up to a revision."""
 
     changed: tuple[records.Record, ...]
     removed: tuple[str, ...]
@@ -98,7 +98,7 @@
     async def report_rollout(
         self, order: rollouts.RolloutOrder, state: rollouts.RolloutState
     ) -> None:
-        """Tell operators how far a roll-out is, if its order is still the one that is known.
+        """Report the state of a roll-out to operators if its order is unchanged.
 
         Raises:
           PlatformConflict: the order has changed.
@@ -106,15 +106,15 @@
         ...
 
     async def list_records(self, kind: str, stale: bool = False) -> RecordList:
-        """Read all objects of a kind of the product's own.
+        """Read all of the product's own objects of a kind.
 
         Args:
-          stale: whether they may be some seconds old, which costs less.
+          stale: whether a cheaper read, some seconds old, is enough.
         """
         ...
 
     async def watch_records(self, kind: str, revision: int, wait_ms: int) -> RecordUpdate:
-        """Wait for changes of objects of a kind of the product's own."""
+        """Wait for changes of the product's own objects of a kind."""
         ...
 
     async def read_record(self, kind: str, name: str) -> records.Record | None:
@@ -122,7 +122,7 @@
         ...
 
     async def write_record(self, kind: str, record: records.Record) -> records.Record:
-        """Write an object if its revision is still the record's.
+        """Write an object if the stored revision is still the record's.
 
         Returns:
           The record with its new revision.
@@ -131,12 +131,12 @@
 
 
 class Cloud(Protocol):
-    """The platform's calls that one node at a time may make."""
+    """The platform's calls that only the duty holder may make."""
 
     async def report_usage(
         self, lease: records.Lease, window: int, counts: Mapping[str, int]
     ) -> None:
-        """Report a window's requests by workspace.
+        """Report the number of requests in a window, by workspace.
 
         Raises:
           StaleToken: another node acted under a higher token.
@@ -148,6 +148,6 @@
 
         Raises:
           StaleToken: another node acted under a higher token.
-          NoneToBeHad: no reclaimable endpoints are to be had there now.
+          NoneToBeHad: no spot endpoints are available there now.
         """
         ...
--- a/plumarch/gateway/pressure_test.py
+++ b/plumarch/gateway/pressure_test.py
@@ -1,4 +1,4 @@
-"""Endpoints that are slow, fail now and then, or fall over when they hold too much."""
+"""Endpoints that are slow, fail at times, or crash under too many requests."""
 
 import asyncio
 import dataclasses
@@ -17,13 +17,13 @@
 
 
 class OverloadedEndpoints:
-    """Endpoints that hold what they are sent until they are released, or fall over.
+    """Endpoints that answer on release, or crash above their capacity.
 
     Attributes:
-      bears: how many requests each holds at most; with one more it falls, for good.
-      held: the requests of each.
-      fallen: those that fell.
-      answered: callers that have their final answer.
+      capacities: maximum of concurrent requests by endpoint; one more crashes it for good.
+      pending: open requests by endpoint.
+      crashed: numbers of crashed endpoints.
+      answered: statuses of final answers to callers.
     """
 
     def __init__(self, capacities: list[int]) -> None:
@@ -71,14 +71,14 @@
         await self._note()
 
     async def wait_settled(self, callers: int) -> None:
-        """Wait until each caller has its answer or its request is held."""
+        """Wait until each caller has an answer or a pending request."""
         async with self.moved:
             await self.moved.wait_for(
                 lambda: len(self.answered) + sum(map(len, self.pending)) == callers
             )
 
 
-def test_when_one_endpoint_falls_none_of_the_others_may_fall():
+def test_the_crash_of_one_endpoint_does_not_cascade():
     async def test() -> None:
         overloaded = OverloadedEndpoints([10, 20, 20])
         async with relay_test.Gateway(*(overloaded.answering(n) for n in range(3))) as gateway:
@@ -105,7 +105,7 @@
     return admission.Admitted(request, "r", route, "s", None, 0.0, 60_000.0, (), 0, 1)
 
 
-def test_after_a_fall_the_less_urgent_are_refused_and_told_when_to_come_back():
+def test_after_a_crash_less_urgent_requests_are_refused_with_a_retry_time():
     time = clock.ManualClock()
     state = gateway_parts.new_state(time)
     endpoints = [
@@ -126,10 +126,10 @@
 
 
 def wait_after_a_crash(others: int) -> float:
-    """Return how long a request waits as one of many busy endpoints fell with 12 requests.
+    """Return how long a request waits after one of many busy endpoints crashed with 12 requests.
 
     Args:
-      others: endpoints that are left, with 12 requests each and the whole lost load besides.
+      others: number of remaining endpoints, with 12 requests each, and 24 on the first one.
     """
     state = gateway_parts.new_state(clock.ManualClock())
     endpoints = [
@@ -144,7 +144,7 @@
     return endpoint_outcomes.wait_after_fall_ms(state, admitted(0), endpoints)
 
 
-def test_one_fall_delays_nothing_where_many_others_share_what_is_lost():
+def test_a_crash_delays_nothing_where_many_endpoints_share_the_lost_load():
     assert wait_after_a_crash(15) > 0.0
     assert wait_after_a_crash(16) == 0.0
 
@@ -152,7 +152,7 @@
 def crash_after_updates(
     *changes: Callable[[traffic.Endpoint], list[traffic.Endpoint]],
 ) -> crash_guard.Crash | None:
-    """Return the fall by two losses of an endpoint that was told of anew after it was chosen."""
+    """Return the crash counted after two lost requests to an endpoint updated since its choice."""
     state = gateway_parts.new_state(clock.ManualClock())
     one = traffic.Endpoint("e0", "s", "1:1", "a", 8, traffic.EndpointState.READY)
     state.registry.replace([one], 1, "store")
@@ -164,7 +164,7 @@
     return state.limits.crashes.recent("s")
 
 
-def test_an_endpoint_that_announced_its_end_after_it_was_chosen_does_not_fall():
+def test_an_endpoint_that_started_draining_after_it_was_chosen_counts_no_crash():
     def draining(one: traffic.Endpoint) -> list[traffic.Endpoint]:
         return [dataclasses.replace(one, state=traffic.EndpointState.DRAINING)]
 
@@ -178,7 +178,7 @@
 
 
 class ManualGateway(relay_test.Gateway):
-    """A gateway whose time moves only when a test says so."""
+    """A gateway on a manual clock."""
 
     def __init__(self, time: clock.ManualClock, *answering: scripted.Answering) -> None:
         super().__init__(*answering)
--- a/plumarch/gateway/relay.py
+++ b/plumarch/gateway/relay.py
@@ -1,4 +1,4 @@
-"""Requests of callers served: admitted or refused, run, and recorded."""
+"""Serves callers' requests: admits or refuses, runs and logs them."""
 
 from typing import Any
 
@@ -42,17 +42,17 @@
             self._record(admitted, run, outcome)
 
     def time_allowed_ms(self, headers: caller_requests.Headers) -> float:
-        """Return how long a request may take by its own word."""
+        """Return how long a request may take by its headers, or the default, in ms."""
         return admission.time_asked_ms(self.state.names, headers)
 
     def back_in_ms(self, size: int) -> float:
-        """Return when a caller had better come back with a body that there was no room for."""
+        """Return when a caller should retry a body for which memory was short, in ms."""
         pressure = self.state.pressure
         pressure.update_rate(self.state.memory.released)
         return return_times.spread(pressure.back_in_ms(size), self.state.rng)
 
     def record_disconnect(self, reason: str, unread: int) -> None:
-        """Record that a caller was ended for what it did not read."""
+        """Record the disconnect of a caller that did not read its answer."""
         state = self.state
         state.measures.callers_disconnected.add(reason)
         state.log.write(
@@ -118,7 +118,7 @@
 
 
 def _speed_fields(state: fleet_state.FleetState, admitted: admission.Admitted) -> dict[str, Any]:
-    """Return what was known of the engines when a prompt was answered, for its log line."""
+    """Return the log fields of the known engine speed, or none for a plain request."""
     if not admitted.prompt_tokens:
         return {}
     speed = state.chooser.speed(admitted.service)
@@ -131,7 +131,7 @@
 
 
 def new_server(state: fleet_state.FleetState) -> caller_connection.CallerServer:
-    """Return the server of callers of a node."""
+    """Return the server of a node's callers."""
     handler = Relay(state)
     return caller_connection.CallerServer(
         state.clock,
--- a/plumarch/gateway/relay_test.py
+++ b/plumarch/gateway/relay_test.py
@@ -1,4 +1,4 @@
-"""Requests relayed over loopback to endpoints that answer in every way, sound or not."""
+"""Requests relayed over loopback to endpoints with valid and invalid answers."""
 
 import asyncio
 import contextlib
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass
 class Answer:
-    """What a caller got: head, body as far as it came, and whether it was whole."""
+    """An answer as a caller received it, complete or not."""
 
     status: int
     headers: dict[str, str]
@@ -66,7 +66,7 @@
 
 
 class Gateway:
-    """A relay on a loopback port, before scripted endpoints."""
+    """A relay on a loopback port, with scripted endpoints."""
 
     def __init__(self, *answering: scripted.Answering) -> None:
         now = clock.MonotonicClock()
@@ -86,12 +86,12 @@
                     f"e{number}", "s", endpoint.address, "a", 8, traffic.EndpointState.READY
                 )
             )
-        # A machine that is busy holds a test up for longer than a connect may take in service.
+        # A busy machine may need longer than the production timeout to connect.
         self.connect_ms = attempts.CONNECT_TIMEOUT_MS
         attempts.CONNECT_TIMEOUT_MS = LONG_MS
         self.state.registry.replace(found, 1, "store")
         self.state.adopt_table(TABLE, "store")
-        # The first endpoint is the nearer one, so that tests know which is asked first.
+        # The first endpoint is the closest, so that tests know which gets the first request.
         for one in found[1:]:
             far = dataclasses.replace(one, data_centre="b")
             self.state.registry.endpoints[one.id] = far
@@ -120,7 +120,7 @@
 
     @contextlib.contextmanager
     def holding_connects(self, until: asyncio.Event) -> Iterator[None]:
-        """Hold up all connections to the first endpoint but its first one, until an event."""
+        """Delay all connections to the first endpoint except its first, until an event."""
         connect, came_up = exchange.connect, []
 
         async def held_up(address: str, timeout_ms: float) -> exchange.Exchange:
@@ -135,7 +135,7 @@
             yield
 
     def began(self) -> int:
-        """Return how many requests were counted as begun."""
+        """Return how many requests were counted as usage."""
         return sum(counts.total() for counts in self.state.usage.own.values())
 
     def sends(self) -> int:
@@ -198,7 +198,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection with a reset in place of an orderly end."""
+    """Close a connection with a TCP reset."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
@@ -224,10 +224,10 @@
     asyncio.run(asyncio.wait_for(test(), 30))
 
 
-# What is relayed unchanged.
+# Forwarding.
 
 
-def test_an_answer_is_relayed_unchanged_and_the_request_too():
+def test_request_and_answer_are_relayed_unchanged():
     async def test() -> None:
         async with Gateway(answers(body=b"signed bytes", headers=("x-other: kept",))) as gateway:
             found = await gateway.ask(
@@ -249,7 +249,7 @@
     play(test)
 
 
-def test_a_public_route_needs_no_key_and_names_no_workspace():
+def test_a_public_route_needs_no_key_and_sends_no_workspace():
     async def test() -> None:
         async with Gateway(answers()) as gateway:
             found = await gateway.ask("/open/", key="", extra="X-Workspace: forged\r\n")
@@ -259,7 +259,7 @@
     play(test)
 
 
-def test_an_engine_is_told_how_urgent_a_request_is_whatever_the_caller_said():
+def test_an_engine_receives_the_gateways_urgency_and_not_the_callers():
     async def test() -> None:
         async with Gateway(answers()) as gateway:
             await gateway.ask("/safe/", extra="X-Token-Counts: 5,1\r\nX-Urgency: 9\r\n")
@@ -281,7 +281,7 @@
     play(test)
 
 
-def test_a_chunked_request_body_is_read_whole():
+def test_a_chunked_request_body_is_read_completely():
     async def test() -> None:
         async with Gateway(answers()) as gateway:
             reader, writer = await gateway.connect()
@@ -297,7 +297,7 @@
     play(test)
 
 
-def test_a_connection_carries_many_requests():
+def test_a_connection_is_reused_for_many_requests():
     async def test() -> None:
         async with Gateway(answers()) as gateway:
             reader, writer = await gateway.connect()
@@ -312,10 +312,10 @@
     play(test)
 
 
-# What is refused.
+# Refusals.
 
 
-def test_refusals_before_an_endpoint_is_asked():
+def test_invalid_requests_are_refused_without_a_send():
     async def test() -> None:
         async with Gateway(answers()) as gateway:
             assert (await gateway.ask("/nowhere/")).status == 404
@@ -330,7 +330,7 @@
     play(test)
 
 
-def test_without_a_configuration_the_answer_is_to_come_back_later():
+def test_without_a_configuration_requests_are_refused_with_retry_after():
     async def test() -> None:
         async with Gateway(answers()) as gateway:
             gateway.state.table = None
@@ -341,7 +341,7 @@
     play(test)
 
 
-def test_beyond_the_allotment_the_answer_says_when_to_come_back():
+def test_requests_above_the_quota_are_refused():
     async def test() -> None:
         async with Gateway(answers()) as gateway:
             codes = [(await gateway.ask("/safe/", key="little")).status for _ in range(3)]
@@ -350,7 +350,7 @@
     play(test)
 
 
-def test_no_endpoint_with_room_is_not_run():
+def test_without_a_free_endpoint_requests_are_refused_with_retry_after():
     async def test() -> None:
         async with Gateway() as gateway:
             found = await gateway.ask("/unsafe/")
@@ -360,10 +360,10 @@
     play(test)
 
 
-# Endpoints that do not answer as they should.
+# Endpoints that fail.
 
 
-def test_an_endpoint_that_did_not_run_it_passes_it_on_to_the_next():
+def test_a_request_that_an_endpoint_did_not_run_goes_to_another():
     async def test() -> None:
         async with Gateway(NOT_RUN, answers(body=b"second")) as gateway:
             found = await gateway.ask("/unsafe/")
@@ -372,7 +372,7 @@
     play(test)
 
 
-def test_when_no_endpoint_ran_it_the_answer_says_so():
+def test_a_request_that_no_endpoint_ran_is_refused():
     async def test() -> None:
         async with Gateway(NOT_RUN, NOT_RUN, answers()) as gateway:
             found = await gateway.ask("/unsafe/")
@@ -384,7 +384,7 @@
     play(test)
 
 
-def test_a_request_that_may_run_once_is_sent_once_however_the_answer_breaks():
+def test_an_unsafe_request_is_sent_once_whatever_the_failure():
     async def test() -> None:
         broken = [
             resets,
@@ -407,7 +407,7 @@
     play(test)
 
 
-def test_a_safe_request_goes_on_to_another_endpoint():
+def test_a_safe_request_is_retried_at_another_endpoint():
     async def test() -> None:
         for answering in (resets, answers(length=50), answers("500 Oops"), answers("503 Busy")):
             async with Gateway(answering, answers(body=b"second")) as gateway:
@@ -429,7 +429,7 @@
     play(test)
 
 
-def test_without_budget_there_is_no_second_try():
+def test_without_retry_budget_a_request_is_not_retried():
     async def test() -> None:
         async with Gateway(resets, answers()) as gateway:
             gateway.state.budget.ratio = gateway.state.budget.extra = 0.0
@@ -439,7 +439,7 @@
     play(test)
 
 
-def test_an_endpoint_that_refuses_connections_costs_no_send():
+def test_a_refused_connection_costs_no_retry_budget():
     async def test() -> None:
         async with Gateway(answers(), answers(body=b"second")) as gateway:
             await gateway.endpoints[0].stop()
@@ -450,7 +450,7 @@
     play(test)
 
 
-def test_bytes_behind_a_whole_answer_reach_nobody():
+def test_surplus_bytes_after_an_answer_are_discarded():
     async def test() -> None:
         async def surplus(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(scripted.answer(request, body=b"mine") + scripted.answer(request))
@@ -465,7 +465,7 @@
     play(test)
 
 
-def test_an_answer_without_a_length_is_whole_at_an_orderly_end_only():
+def test_an_answer_without_a_length_is_complete_only_at_an_orderly_close():
     async def test() -> None:
         head = b"HTTP/1.1 200 OK\r\nx-signature: s\r\nx-request-id: r1\r\n\r\n"
         async with Gateway(sends_bytes(head + b"to the end")) as gateway:
@@ -489,7 +489,7 @@
     return b"".join(scripted.event(number) for number in range(first, last + 1))
 
 
-def test_a_stream_is_relayed_whole():
+def test_a_stream_is_relayed_completely():
     async def test() -> None:
         async with Gateway(streams(1, 5)) as gateway:
             found = await gateway.ask("/diff/")
@@ -499,7 +499,7 @@
     play(test)
 
 
-def test_a_resumable_stream_goes_on_at_another_endpoint_within_one_answer():
+def test_a_resumable_stream_resumes_at_another_endpoint_within_one_answer():
     async def test() -> None:
         breaks = streams(1, 3, ending=scripted.chunk(b"id: 4\ndata: ha")[:12])
         async with Gateway(breaks, streams(1, 6, signature="other")) as gateway:
@@ -512,7 +512,7 @@
     play(test)
 
 
-def test_a_stream_that_may_not_be_resumed_breaks_visibly():
+def test_a_broken_stream_that_is_not_resumable_is_truncated():
     async def test() -> None:
         async with Gateway(streams(1, 3, ending=b"zz"), streams(1, 6)) as gateway:
             found = await gateway.ask("/diff/")
@@ -522,7 +522,7 @@
     play(test)
 
 
-def test_a_stream_that_ends_properly_inside_an_event_is_not_whole():
+def test_a_stream_that_ends_inside_an_event_is_incomplete():
     async def test() -> None:
         ending = scripted.chunk(b"id: 4\ndata: ha") + scripted.chunk(b"")
         async with Gateway(streams(1, 3, ending=ending)) as gateway:
@@ -532,7 +532,7 @@
     play(test)
 
 
-def test_an_endpoint_that_resumes_at_the_wrong_event_is_not_believed():
+def test_a_resumption_at_the_wrong_event_is_rejected():
     async def test() -> None:
         async def repeats(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(scripted.stream_head(request))
@@ -550,7 +550,7 @@
     play(test)
 
 
-def test_a_refusal_in_the_middle_of_a_stream_breaks_it_visibly():
+def test_a_stream_that_no_endpoint_resumes_is_truncated():
     async def test() -> None:
         async with Gateway(streams(1, 2, ending=b"zz"), NOT_RUN, NOT_RUN) as gateway:
             found = await gateway.ask("/chat/")
@@ -559,7 +559,7 @@
     play(test)
 
 
-def test_a_stream_that_can_only_come_late_is_refused_at_once_and_charged_nothing():
+def test_a_stream_that_can_only_be_late_is_refused_at_once_and_not_charged():
     async def test() -> None:
         async with Gateway(streams(1, 2)) as gateway:
             speed = gateway.state.chooser.speed("s")
@@ -576,10 +576,10 @@
     play(test)
 
 
-# Callers that leave, and the end of a process.
+# Callers that leave, and shutdown.
 
 
-def test_a_caller_that_leaves_stops_its_request():
+def test_a_request_is_aborted_when_its_caller_leaves():
     async def test() -> None:
         begun, over = asyncio.Event(), asyncio.Event()
 
@@ -606,7 +606,7 @@
     play(test)
 
 
-def test_while_stopping_each_answer_ends_its_connection_and_streams_are_not_begun():
+def test_during_shutdown_answers_close_their_connections_and_streams_are_refused():
     async def test() -> None:
         async with Gateway(answers()) as gateway:
             gateway.callers.draining = True
--- a/plumarch/gateway/suspension_test.py
+++ b/plumarch/gateway/suspension_test.py
@@ -1,7 +1,6 @@
-"""A machine that is suspended for seconds: whoever goes on looks at the clock before it acts.
+"""Suspension of the VM at each step of a request: nothing is sent late, no endpoint is blamed.
 
-The time of the event loop stands still meanwhile, so that no timer has fired when a coroutine goes
-on. Each test suspends the machine once at each of the steps that are taken without it.
+The event loop's clock stops meanwhile, so no timer fires before a coroutine resumes.
 """
 
 import asyncio
@@ -36,8 +35,8 @@
     await asyncio.sleep(2.0)
 
 
-class Play:
-    """One request of a caller, with a suspension at one step or without."""
+class Scenario:
+    """One request of a caller, perhaps with a suspension at one step."""
 
     def __init__(self, path: str, *answering: scripted.Answering) -> None:
         self.path = path
@@ -46,7 +45,7 @@
         self.left_ms: list[int] = []
 
     async def run(self, suspender: suspended.Suspender) -> None:
-        """Ask once, and note what was done."""
+        """Send the request, and record the deadlines that endpoints received."""
         async with relay_test.Gateway(*self.answering) as gateway:
             self.state = gateway_parts.new_state(suspender.time)
             self.state.registry.replace(gateway.state.registry.endpoints.values(), 1, "store")
@@ -66,10 +65,10 @@
             self.left_ms = [int(one.headers["x-deadline-ms"]) for one in sends]
 
     async def ask(self, gateway: relay_test.Gateway) -> None:
-        """Ask, and keep the status of the answer; 0 if there is none."""
+        """Send the request, and record the status of the answer, 0 for none."""
         reader, writer = await gateway.connect()
-        asked = relay_test.request_bytes(self.path, body=b"words")
-        writer.write(asked.replace(b"20000", str(TIME_MS).encode()))
+        request = relay_test.request_bytes(self.path, body=b"words")
+        writer.write(request.replace(b"20000", str(TIME_MS).encode()))
         try:
             self.status = (await relay_test.read_answer(reader)).status
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -77,15 +76,15 @@
         writer.close()
 
 
-def play(one: Play, at_step: int, for_ms: int) -> suspended.Suspender:
-    """Run a play; it may take as long as a caller's time on the loop's clock, and no longer."""
+def run_scenario(one: Scenario, at_step: int, for_ms: int) -> suspended.Suspender:
+    """Run a scenario, with a time limit on the loop's clock."""
     time = suspended.ShiftedClock(clock.MonotonicClock())
     suspender = suspended.Suspender(time, at_step, for_ms)
     asyncio.run(asyncio.wait_for(one.run(suspender), 10))
     return suspender
 
 
-PLAYS = {
+SCENARIOS = {
     "safe": ("/safe/x", answers_soon, answers_soon),
     "unsafe": ("/unsafe/x", answers_soon, answers_soon),
     "stream": ("/chat/x", streams, streams),
@@ -94,30 +93,30 @@
 }
 
 
-SOUND = ("safe", "unsafe", "stream")
-"""Plays in which no endpoint is silent or fails by itself."""
+WITHOUT_FAILURES = ("safe", "unsafe", "stream")
+"""Scenarios in which no endpoint fails by itself."""
 
 
-@pytest.mark.parametrize("kind", PLAYS)
-def test_wherever_a_request_is_suspended_nothing_is_sent_late_and_no_endpoint_is_blamed(
+@pytest.mark.parametrize("kind", SCENARIOS)
+def test_a_suspension_at_any_step_sends_nothing_late_and_blames_no_endpoint(
     kind: str,
 ):
-    steps = play(Play(*PLAYS[kind]), 0, 0).steps
+    steps = run_scenario(Scenario(*SCENARIOS[kind]), 0, 0).steps
     rng = random.Random(kind)
     for step in range(1, steps + 1):
-        one = Play(*PLAYS[kind])
+        one = Scenario(*SCENARIOS[kind])
         for_ms = rng.choice(LENGTHS_MS)
-        play(one, step, for_ms)
+        run_scenario(one, step, for_ms)
         where = f"step {step} of {steps}, {for_ms} ms"
-        # Where less than 1 ms is left an endpoint is told 1 ms.
+        # An endpoint gets 1 ms if less than that is left.
         assert all(left > 1 for left in one.left_ms), where
         if one.status in (429, 503):
             assert not one.left_ms, where
-        if kind in SOUND:
+        if kind in WITHOUT_FAILURES:
             check_no_blame(one, where)
 
 
-def check_no_blame(one: Play, where: str) -> None:
+def check_no_blame(one: Scenario, where: str) -> None:
     state = one.state
     for endpoint in state.registry.ready("s"):
         assert state.health.record(endpoint.id) == 0.0, where
--- a/plumarch/gateway/suspension_watch.py
+++ b/plumarch/gateway/suspension_watch.py
@@ -1,4 +1,4 @@
-"""What a node does when it goes on after a suspension."""
+"""Detects suspensions of the process, and restarts gossip after one."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,48 +8,53 @@
 
 
 class SuspensionWatch:
-    """Looks whether the process runs, and tells once it runs again.
+    """Checks for suspensions at an interval, logs them and restarts gossip.
 
     Attributes:
-      told: suspensions that were told.
+      logged: number of suspensions that were logged.
+      logged_ms: their total duration.
     """
 
     def __init__(self, state: fleet_state.FleetState, start_bootstrap: Callable[[], None]) -> None:
-        """Keep what is needed.
+        """Create a watch.
 
         Args:
-          start_bootstrap: tells the other nodes all, as at the start of contact.
+          start_bootstrap: sends the complete state to the other nodes again.
         """
         self.state = state
         self.start_bootstrap = start_bootstrap
         self.logged = 0
         self.logged_ms = 0
-        self.halted_ms = self._halted_ms()
+        self.machine_suspended_ms = self._machine_suspended_ms()
 
     async def watch_forever(self) -> None:
-        """Look, forever."""
+        """Run a step at each interval, forever."""
         while True:
             self.step()
             await asyncio.sleep(suspension.LOOK_MS / 1000.0)
 
     def step(self) -> None:
-        """Look, and tell what was found here or by another part."""
+        """Check, and handle suspensions found here or by another part of the process."""
         known = self.state.suspensions
         known.look()
         if known.count == self.logged:
             return
-        halted_ms = self._halted_ms()
+        machine_suspended_ms = self._machine_suspended_ms()
         self.state.log.write(
             "suspended",
             urgent=True,
             for_ms=known.total_ms - self.logged_ms,
-            machine_ms=halted_ms - self.halted_ms,
+            machine_ms=machine_suspended_ms - self.machine_suspended_ms,
             count=known.count,
         )
         self.state.measures.suspended.set(known.total_ms / 1000.0)
-        self.logged, self.logged_ms, self.halted_ms = known.count, known.total_ms, halted_ms
+        self.logged, self.logged_ms, self.machine_suspended_ms = (
+            known.count,
+            known.total_ms,
+            machine_suspended_ms,
+        )
         self.start_bootstrap()
 
-    def _halted_ms(self) -> int:
-        """Return how long the machine has been suspended since its start, where that is counted."""
+    def _machine_suspended_ms(self) -> int:
+        """Return how long the VM has been suspended since its start, where the system counts it."""
         return clock.MonotonicClock().now() - clock.RunningClock().now()
--- a/plumarch/gateway/unreadable_entries.py
+++ b/plumarch/gateway/unreadable_entries.py
@@ -1,7 +1,4 @@
-"""Entries in the store that can't be read, as far as this node reads it: told once, and counted.
-
-Such an entry counts for nothing and costs nothing else. Somebody has to take it away, though.
-"""
+"""Store entries that can't be decoded: ignored, logged once and counted for operators."""
 
 import dataclasses
 from collections.abc import Iterable
@@ -10,22 +7,22 @@
 from plumarch.gateway import decision_log, measures
 
 MAX_LOGGED = 20
-"""Entries of a kind that are logged and named one by one; of more, their number says enough."""
+"""Entries of a kind that are logged and listed one by one; beyond that, only counted."""
 
 MAX_WHY_CHARS = 300
-"""Characters that are told of why an entry can't be read."""
+"""Length limit of a logged reason, in characters."""
 
 
 @dataclasses.dataclass(slots=True)
 class UnreadableEntries:
-    """The entries that stand now, by kind and name."""
+    """The current undecodable entries, by kind and name."""
 
     log: decision_log.DecisionLog
     measures: measures.Measures
     known: dict[str, dict[str, records.Unreadable]] = dataclasses.field(default_factory=dict)
 
     def listed(self, kind: str, found: Iterable[records.Unreadable]) -> None:
-        """Take in all entries of a kind that can't be read now."""
+        """Replace the entries of a kind after a listing."""
         before = self.known.get(kind, {})
         self.known[kind] = {one.name: one for one in found}
         for one in self.known[kind].values():
@@ -35,10 +32,10 @@
     def changed(
         self, kind: str, read_or_gone: Iterable[str], found: Iterable[records.Unreadable]
     ) -> None:
-        """Take in changes.
+        """Apply changes after a watch.
 
         Args:
-          read_or_gone: names of entries that can be read, or don't exist any more.
+          read_or_gone: names of entries that are decodable or removed.
         """
         known = self.known.setdefault(kind, {})
         for name in read_or_gone:
@@ -49,7 +46,7 @@
         self._update_gauge(kind)
 
     def _log(self, one: records.Unreadable, before: records.Unreadable | None) -> None:
-        """Log an entry once for each of its revisions."""
+        """Log an entry, once a revision."""
         if before is not None and before.revision == one.revision:
             return
         if len(self.known[one.kind]) > MAX_LOGGED:
@@ -67,7 +64,7 @@
         self.measures.unreadable.set(len(self.known[kind]), kind)
 
     def lines(self) -> list[str]:
-        """Return a line for each entry, for operators."""
+        """Return a line for each entry, for the status page."""
         return [
             f"{kind} {one.name or '(no name)'} revision {one.revision}: {one.why[:MAX_WHY_CHARS]}"
             for kind, found in sorted(self.known.items())
