--- a/plumarch/gateway/dispatch/announced_rate_test.py
+++ b/plumarch/gateway/dispatch/announced_rate_test.py
@@ -251,7 +251,7 @@
         stays = relay_test.answers()
         async with relay_test.Gateway(relay_test.answers(headers=headers), stays) as gateway:
             answered = asyncio.Event()
-            with gateway.holding_connects(answered):
+            with gateway.delay_connects(answered):
                 asked = [asyncio.create_task(gateway.ask("/safe/x")) for _ in range(6)]
                 await asyncio.wait(asked, return_when=asyncio.FIRST_COMPLETED)
                 answered.set()
--- a/plumarch/gateway/dispatch/asked_rest_test.py
+++ b/plumarch/gateway/dispatch/asked_rest_test.py
@@ -104,7 +104,7 @@
     async def test() -> None:
         async with relay_test.Gateway(resting("300"), STAYS) as gateway:
             refused = asyncio.Event()
-            with gateway.holding_connects(refused):
+            with gateway.delay_connects(refused):
                 asked = [asyncio.create_task(gateway.ask("/safe/x")) for _ in range(6)]
                 first = await asyncio.wait(asked, return_when=asyncio.FIRST_COMPLETED)
                 assert first[0]
--- a/plumarch/gateway/relay_test.py
+++ b/plumarch/gateway/relay_test.py
@@ -119,7 +119,7 @@
         return found
 
     @contextlib.contextmanager
-    def holding_connects(self, until: asyncio.Event) -> Iterator[None]:
+    def delay_connects(self, until: asyncio.Event) -> Iterator[None]:
         """Delay all connections to the first endpoint except its first, until an event."""
         connect, came_up = exchange.connect, []
 
