--- a/plumarch/gateway/duties/duty_holder_test.py
+++ b/plumarch/gateway/duties/duty_holder_test.py
@@ -438,8 +438,8 @@
         time.advance_to(time.now() + duty_holder.TICK_MS)
         run_step(node)
     for number in range(20):
-        told = {"w": quota_records.PeerSpending(500_000.0, 1e6)}
-        node.state.quota.apply_node_report(f"late-{number}", told)
+        report = {"w": quota_records.PeerSpending(500_000.0, 1e6)}
+        node.state.quota.apply_node_report(f"late-{number}", report)
     for _ in range(8):
         time.advance_to(time.now() + duty_holder.TICK_MS)
         run_step(node)
--- a/plumarch/gateway/duties/rollout_duty.py
+++ b/plumarch/gateway/duties/rollout_duty.py
@@ -78,16 +78,18 @@
 
     async def _follow_once(self, revision: int | None) -> int:
         if revision is None:
-            news = await self.store.list_rollouts()
+            update = await self.store.list_rollouts()
             self.orders.clear()
-            self.state.unreadable.listed(ROLLOUTS, news.unreadable)
+            self.state.unreadable.listed(ROLLOUTS, update.unreadable)
         else:
-            news = await self.store.watch_rollouts(revision, WATCH_MS)
-            names = {one.service for one in news.changes} - {one.name for one in news.unreadable}
-            self.state.unreadable.changed(ROLLOUTS, names, news.unreadable)
-        for change in news.changes:
+            update = await self.store.watch_rollouts(revision, WATCH_MS)
+            names = {one.service for one in update.changes} - {
+                one.name for one in update.unreadable
+            }
+            self.state.unreadable.changed(ROLLOUTS, names, update.unreadable)
+        for change in update.changes:
             self.apply_change(change)
-        return news.revision
+        return update.revision
 
     def apply_change(self, change: rollouts.RolloutChange) -> None:
         """Apply an order that was added, changed or removed."""
--- a/plumarch/gateway/mixed_readers_test.py
+++ b/plumarch/gateway/mixed_readers_test.py
@@ -62,8 +62,8 @@
         finally:
             writer.close()
         if body.endswith(b"\r\n0\r\n\r\n"):
-            whole = [scripted.chunk(slow_callers_test.padded(n)) for n in EVENT_NUMBERS]
-            assert body.partition(b"\r\n\r\n")[2] == b"".join(whole) + scripted.chunk(b"")
+            events = [scripted.chunk(slow_callers_test.padded(n)) for n in EVENT_NUMBERS]
+            assert body.partition(b"\r\n\r\n")[2] == b"".join(events) + scripted.chunk(b"")
 
 
 EVENT_NUMBERS = range(1, slow_callers_test.EVENTS + 1)
--- a/plumarch/gateway/pressure_test.py
+++ b/plumarch/gateway/pressure_test.py
@@ -83,14 +83,14 @@
         overloaded = OverloadedEndpoints([10, 20, 20])
         async with relay_test.Gateway(*(overloaded.answering(n) for n in range(3))) as gateway:
             overloaded.gateway = gateway
-            asked = [asyncio.create_task(overloaded.ask()) for _ in range(CALLERS)]
+            requests = [asyncio.create_task(overloaded.ask()) for _ in range(CALLERS)]
             await overloaded.wait_settled(CALLERS)
             first = overloaded.answered.copy()
-            again = [asyncio.create_task(overloaded.ask()) for _ in first]
-            await overloaded.wait_settled(CALLERS + len(again))
+            retries = [asyncio.create_task(overloaded.ask()) for _ in first]
+            await overloaded.wait_settled(CALLERS + len(retries))
             assert overloaded.crashed == {0}
             overloaded.release.set()
-            await asyncio.gather(*asked, *again)
+            await asyncio.gather(*requests, *retries)
             assert overloaded.answered.count(200) >= 16
             log = gateway.state.log.pending
             assert log.count(b'"kind":"endpoint_fell"') == 1
@@ -168,13 +168,13 @@
     def draining(one: traffic.Endpoint) -> list[traffic.Endpoint]:
         return [dataclasses.replace(one, state=traffic.EndpointState.DRAINING)]
 
-    def gone(_: traffic.Endpoint) -> list[traffic.Endpoint]:
+    def removed(_: traffic.Endpoint) -> list[traffic.Endpoint]:
         return []
 
     assert crash_after_updates() is not None
-    assert crash_after_updates(gone) is not None
+    assert crash_after_updates(removed) is not None
     assert crash_after_updates(draining) is None
-    assert crash_after_updates(draining, gone) is None
+    assert crash_after_updates(draining, removed) is None
 
 
 class ManualGateway(relay_test.Gateway):
@@ -190,13 +190,13 @@
 def test_no_request_goes_to_a_slow_endpoint_while_another_is_free():
     async def test() -> None:
         time = clock.ManualClock()
-        takes = {0: 20, 1: 20, 2: 20}
+        latency_ms = {0: 20, 1: 20, 2: 20}
 
         def taking(number: int) -> scripted.Answering:
             async def answering(
                 request: scripted.ReceivedRequest, writer: asyncio.StreamWriter
             ) -> None:
-                time.advance_to(time.now() + takes[number])
+                time.advance_to(time.now() + latency_ms[number])
                 writer.write(scripted.answer(request))
 
             return answering
@@ -204,7 +204,7 @@
         async with ManualGateway(time, *(taking(number) for number in range(3))) as gateway:
             for _ in range(10):
                 assert (await gateway.ask("/safe/")).status == 200
-            takes[0] = 200
+            latency_ms[0] = 200
             before = len(gateway.endpoints[0].received)
             for _ in range(20):
                 assert (await gateway.ask("/safe/")).status == 200
