--- a/plumarch/gateway/duties/engine_gauges_test.py
+++ b/plumarch/gateway/duties/engine_gauges_test.py
@@ -1,4 +1,4 @@
-"""What operators see of engines by region."""
+"""Gauges and log fields of engines by region."""
 
 from plumarch.core import clock, traffic
 from plumarch.fleet import engine_plan, region_demand
@@ -20,7 +20,7 @@
     return plan
 
 
-def test_gauges_tell_demand_and_engines_of_each_region():
+def test_gauges_show_demand_and_engines_of_each_region():
     state = gateway_parts.new_state(clock.ManualClock())
     run = [
         traffic.Endpoint(
@@ -38,15 +38,15 @@
         ("e", "s", "spot"): 1,
         ("e", "s", "firm"): 0,
     }
-    assert measures.regions_in_part.values == {("n",): False, ("s",): True}
+    assert measures.partially_reachable_regions.values == {("n",): False, ("s",): True}
     assert 'plumarch_engine_demand{region="n",service="e"} 6.0' in measures.text().decode()
     engine_gauges.clear(state)
     assert not measures.engines.values
 
 
-def test_a_line_of_an_order_tells_the_regions_demand_need_and_reserve():
+def test_log_fields_of_an_order_give_the_regions_demand_need_and_reserve():
     plan = plan_of(REGIONS)
-    found = engine_gauges.of_order(plan, SCALING, "n2")
+    found = engine_gauges.order_fields(plan, SCALING, "n2")
     placed = plan.spot_placement["n1"] + plan.spot_placement["n2"]
     assert found == {
         "region": "n",
@@ -56,4 +56,4 @@
         "in_part": False,
         "way": 0.12,
     }
-    assert engine_gauges.of_order(plan_of(region_demand.ONE_REGION), SCALING, "n2") == {}
+    assert engine_gauges.order_fields(plan_of(region_demand.ONE_REGION), SCALING, "n2") == {}
--- a/plumarch/gateway/pressure_test.py
+++ b/plumarch/gateway/pressure_test.py
@@ -1,4 +1,4 @@
-"""Endpoints that are slow, fail now and then, or fall over when they hold too much."""
+"""Endpoints that are slow, fail at times, or crash under too many requests."""
 
 import asyncio
 import dataclasses
@@ -16,20 +16,20 @@
 CALLERS = 45
 
 
-class Pressed:
-    """Endpoints that hold what they are sent until they are released, or fall over.
+class OverloadedEndpoints:
+    """Endpoints that answer on release, or crash above their capacity.
 
     Attributes:
-      bears: how many requests each holds at most; with one more it falls, for good.
-      held: the requests of each.
-      fallen: those that fell.
-      answered: callers that have their final answer.
+      capacities: maximum of concurrent requests by endpoint; one more crashes it for good.
+      pending: open requests by endpoint.
+      crashed: numbers of crashed endpoints.
+      answered: statuses of final answers to callers.
     """
 
-    def __init__(self, bears: list[int]) -> None:
-        self.bears = bears
-        self.held: list[set[asyncio.StreamWriter]] = [set() for _ in bears]
-        self.fallen: set[int] = set()
+    def __init__(self, capacities: list[int]) -> None:
+        self.capacities = capacities
+        self.pending: list[set[asyncio.StreamWriter]] = [set() for _ in capacities]
+        self.crashed: set[int] = set()
         self.answered: list[int] = []
         self.moved = asyncio.Condition()
         self.release = asyncio.Event()
@@ -37,27 +37,27 @@
 
     def answering(self, number: int) -> scripted.Answering:
         async def hold(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            if number in self.fallen:
+            if number in self.crashed:
                 relay_test.reset(writer)
                 return
-            self.held[number].add(writer)
-            if len(self.held[number]) > self.bears[number]:
-                await self._fall(number)
+            self.pending[number].add(writer)
+            if len(self.pending[number]) > self.capacities[number]:
+                await self._crash(number)
                 return
             await self._note()
             await self.release.wait()
-            if number not in self.fallen:
+            if number not in self.crashed:
                 writer.write(scripted.answer(request))
 
         return hold
 
-    async def _fall(self, number: int) -> None:
+    async def _crash(self, number: int) -> None:
         assert self.gateway is not None
-        self.fallen.add(number)
+        self.crashed.add(number)
         await self.gateway.endpoints[number].stop()
-        for writer in self.held[number]:
+        for writer in self.pending[number]:
             relay_test.reset(writer)
-        self.held[number].clear()
+        self.pending[number].clear()
         await self._note()
 
     async def _note(self) -> None:
@@ -70,28 +70,28 @@
         self.answered.append(found.status)
         await self._note()
 
-    async def settled(self, callers: int) -> None:
-        """Wait until each caller has its answer or its request is held."""
+    async def wait_settled(self, callers: int) -> None:
+        """Wait until each caller has an answer or a pending request."""
         async with self.moved:
             await self.moved.wait_for(
-                lambda: len(self.answered) + sum(map(len, self.held)) == callers
+                lambda: len(self.answered) + sum(map(len, self.pending)) == callers
             )
 
 
-def test_when_one_endpoint_falls_none_of_the_others_may_fall():
+def test_the_crash_of_one_endpoint_does_not_cascade():
     async def test() -> None:
-        pressed = Pressed([10, 20, 20])
-        async with relay_test.Gateway(*(pressed.answering(n) for n in range(3))) as gateway:
-            pressed.gateway = gateway
-            asked = [asyncio.create_task(pressed.ask()) for _ in range(CALLERS)]
-            await pressed.settled(CALLERS)
-            first = pressed.answered.copy()
-            again = [asyncio.create_task(pressed.ask()) for _ in first]
-            await pressed.settled(CALLERS + len(again))
-            assert pressed.fallen == {0}
-            pressed.release.set()
-            await asyncio.gather(*asked, *again)
-            assert pressed.answered.count(200) >= 16
+        overloaded = OverloadedEndpoints([10, 20, 20])
+        async with relay_test.Gateway(*(overloaded.answering(n) for n in range(3))) as gateway:
+            overloaded.gateway = gateway
+            requests = [asyncio.create_task(overloaded.ask()) for _ in range(CALLERS)]
+            await overloaded.wait_settled(CALLERS)
+            first = overloaded.answered.copy()
+            retries = [asyncio.create_task(overloaded.ask()) for _ in first]
+            await overloaded.wait_settled(CALLERS + len(retries))
+            assert overloaded.crashed == {0}
+            overloaded.release.set()
+            await asyncio.gather(*requests, *retries)
+            assert overloaded.answered.count(200) >= 16
             log = gateway.state.log.pending
             assert log.count(b'"kind":"endpoint_fell"') == 1
             assert gateway.state.measures.crashes.counts == {("s",): 1.0}
@@ -105,7 +105,7 @@
     return admission.Admitted(request, "r", route, "s", None, 0.0, 60_000.0, (), 0, 1)
 
 
-def test_after_a_fall_the_less_urgent_are_refused_and_told_when_to_come_back():
+def test_after_a_crash_less_urgent_requests_are_refused_with_a_retry_time():
     time = clock.ManualClock()
     state = gateway_parts.new_state(time)
     endpoints = [
@@ -125,11 +125,11 @@
     assert attempts.choose(state, admitted(2), tried) is not None
 
 
-def wait_after_a_fall(others: int) -> float:
-    """Return how long a request waits as one of many busy endpoints fell with 12 requests.
+def wait_after_a_crash(others: int) -> float:
+    """Return how long a request waits after one of many busy endpoints crashed with 12 requests.
 
     Args:
-      others: endpoints that are left, with 12 requests each and the whole lost load besides.
+      others: number of remaining endpoints, with 12 requests each, and 24 on the first one.
     """
     state = gateway_parts.new_state(clock.ManualClock())
     endpoints = [
@@ -144,15 +144,15 @@
     return endpoint_outcomes.wait_after_fall_ms(state, admitted(0), endpoints)
 
 
-def test_one_fall_delays_nothing_where_many_others_share_what_is_lost():
-    assert wait_after_a_fall(15) > 0.0
-    assert wait_after_a_fall(16) == 0.0
+def test_a_crash_delays_nothing_where_many_endpoints_share_the_lost_load():
+    assert wait_after_a_crash(15) > 0.0
+    assert wait_after_a_crash(16) == 0.0
 
 
-def after_losses_of_one_that_changed(
+def crash_after_updates(
     *changes: Callable[[traffic.Endpoint], list[traffic.Endpoint]],
 ) -> crash_guard.Crash | None:
-    """Return the fall by two losses of an endpoint that was told of anew after it was chosen."""
+    """Return the crash counted after two lost requests to an endpoint updated since its choice."""
     state = gateway_parts.new_state(clock.ManualClock())
     one = traffic.Endpoint("e0", "s", "1:1", "a", 8, traffic.EndpointState.READY)
     state.registry.replace([one], 1, "store")
@@ -164,21 +164,21 @@
     return state.limits.crashes.recent("s")
 
 
-def test_an_endpoint_that_announced_its_end_after_it_was_chosen_does_not_fall():
+def test_an_endpoint_that_started_draining_after_it_was_chosen_counts_no_crash():
     def draining(one: traffic.Endpoint) -> list[traffic.Endpoint]:
         return [dataclasses.replace(one, state=traffic.EndpointState.DRAINING)]
 
-    def gone(_: traffic.Endpoint) -> list[traffic.Endpoint]:
+    def removed(_: traffic.Endpoint) -> list[traffic.Endpoint]:
         return []
 
-    assert after_losses_of_one_that_changed() is not None
-    assert after_losses_of_one_that_changed(gone) is not None
-    assert after_losses_of_one_that_changed(draining) is None
-    assert after_losses_of_one_that_changed(draining, gone) is None
+    assert crash_after_updates() is not None
+    assert crash_after_updates(removed) is not None
+    assert crash_after_updates(draining) is None
+    assert crash_after_updates(draining, removed) is None
 
 
 class ManualGateway(relay_test.Gateway):
-    """A gateway whose time moves only when a test says so."""
+    """A gateway on a manual clock."""
 
     def __init__(self, time: clock.ManualClock, *answering: scripted.Answering) -> None:
         super().__init__(*answering)
@@ -190,13 +190,13 @@
 def test_no_request_goes_to_a_slow_endpoint_while_another_is_free():
     async def test() -> None:
         time = clock.ManualClock()
-        takes = {0: 20, 1: 20, 2: 20}
+        latency_ms = {0: 20, 1: 20, 2: 20}
 
         def taking(number: int) -> scripted.Answering:
             async def answering(
                 request: scripted.ReceivedRequest, writer: asyncio.StreamWriter
             ) -> None:
-                time.advance_to(time.now() + takes[number])
+                time.advance_to(time.now() + latency_ms[number])
                 writer.write(scripted.answer(request))
 
             return answering
@@ -204,7 +204,7 @@
         async with ManualGateway(time, *(taking(number) for number in range(3))) as gateway:
             for _ in range(10):
                 assert (await gateway.ask("/safe/")).status == 200
-            takes[0] = 200
+            latency_ms[0] = 200
             before = len(gateway.endpoints[0].received)
             for _ in range(20):
                 assert (await gateway.ask("/safe/")).status == 200
