--- a/plumarch/daemon/gateway.py
+++ b/plumarch/daemon/gateway.py
@@ -197,7 +197,7 @@
             self.duties.follow_rollouts,
             self.registration.run,
             self.quarantine.follow_forever,
-            self.quarantine.keep_forever,
+            self.quarantine.write_forever,
             self.wakes.watch_forever,
             self._keep_house,
             self._watch_settings,
--- a/plumarch/gateway/callers/admission.py
+++ b/plumarch/gateway/callers/admission.py
@@ -21,7 +21,7 @@
 ROUTE_RANKS = 3
 """Ranks of routes that are told apart within one rank of a workspace."""
 
-LEAST_URGENT = 9
+LOWEST_URGENCY = 9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
       units: what it was charged of its workspace's allotment.
       ends_ms: when it is given up, by the steady clock.
       prompt_tokens: tokens of its prompt.
-      most_out: the most tokens that its answer may have.
+      max_output_tokens: the most tokens that its answer may have.
       fingerprint: what all tries of the same request share.
     """
 
@@ -63,7 +63,7 @@
     parts: tuple[traffic.PromptPart, ...]
     prompt_tokens: int
     version: int
-    most_out: int = 0
+    max_output_tokens: int = 0
     fingerprint: str = ""
 
     def workspace_name(self) -> str:
@@ -79,10 +79,10 @@
 def _rank(workspace: traffic.Workspace | None, route: traffic.Route) -> int:
     workspace_rank = workspace.priority if workspace else 0
     route_rank = min(route.priority, ROUTE_RANKS - 1)
-    return min(LEAST_URGENT, max(0, workspace_rank) * ROUTE_RANKS + max(0, route_rank))
+    return min(LOWEST_URGENCY, max(0, workspace_rank) * ROUTE_RANKS + max(0, route_rank))
 
 
-def over_memory_budget(state: fleet_state.FleetState, admitted: Admitted) -> Refusal:
+def refuse_over_memory_budget(state: fleet_state.FleetState, admitted: Admitted) -> Refusal:
     """Return the refusal of a request whose workspace may hold no more, and refund it."""
     if admitted.workspace is not None:
         state.quota.refund(admitted.workspace, admitted.units)
@@ -110,7 +110,7 @@
         workspace = table.workspaces_by_key.get(key)
         if workspace is None:
             return Refusal(401, "unknown_key")
-    if _ends_too_soon(state, route):
+    if _stops_too_soon(state, route):
         return Refusal(503, "stopping", RETRY_ELSEWHERE_MS)
     workspace_name = workspace.name if workspace else ""
     fingerprint = request_identity.fingerprint(workspace_name, request)
@@ -124,8 +124,8 @@
     if back_in_ms is not None:
         back_in_ms = return_times.spread(back_in_ms, state.rng)
         return Refusal(503, "memory", back_in_ms, workspace_name)
-    prompt_tokens, most_out = _token_counts(request.header(names.token_counts))
-    units = _units(workspace, prompt_tokens + most_out)
+    prompt_tokens, max_output_tokens = _token_counts(request.header(names.token_counts))
+    units = _units(workspace, prompt_tokens + max_output_tokens)
     if workspace is not None:
         wait_ms = state.quota.admit(workspace, units, _quota_rank(table, route))
         if wait_ms > 0:
@@ -138,11 +138,11 @@
         service=_service_of(route, request_id),
         workspace=workspace,
         units=units,
-        ends_ms=request.began_ms + _time_allowed(request, names, route),
+        ends_ms=request.began_ms + _timeout_ms(request, names, route),
         parts=parse_parts(request.header(names.prompt_parts)),
         prompt_tokens=prompt_tokens,
         version=table.version,
-        most_out=most_out,
+        max_output_tokens=max_output_tokens,
         fingerprint=fingerprint,
     )
 
@@ -157,7 +157,7 @@
     return max(0, route.priority - table.most_urgent_stream)
 
 
-def _ends_too_soon(state: fleet_state.FleetState, route: traffic.Route) -> bool:
+def _stops_too_soon(state: fleet_state.FleetState, route: traffic.Route) -> bool:
     """Return whether this process ends before a request of a route is likely to be answered."""
     if state.stops_at_ms is None:
         return False
@@ -187,7 +187,7 @@
     return float(tokens or workspace.plain_tokens)
 
 
-def time_asked_ms(names: dialect.Dialect, headers: caller_requests.Headers) -> float:
+def requested_timeout_ms(names: dialect.Dialect, headers: caller_requests.Headers) -> float:
     """Return how long a request may take by its own word, or the default."""
     try:
         asked = float(dialect.header_value(headers, names.deadline_ms))
@@ -196,10 +196,10 @@
     return asked if math.isfinite(asked) else DEFAULT_DEADLINE_MS
 
 
-def _time_allowed(
+def _timeout_ms(
     request: caller_requests.CallerRequest, names: dialect.Dialect, route: traffic.Route
 ) -> float:
-    asked = time_asked_ms(names, request.headers)
+    asked = requested_timeout_ms(names, request.headers)
     return min(asked, route.timeout_ms) if route.timeout_ms > 0 else asked
 
 
--- a/plumarch/gateway/callers/caller_connection.py
+++ b/plumarch/gateway/callers/caller_connection.py
@@ -30,7 +30,7 @@
 """A caller that reads nothing for so long is ended. A judgement: longer than a lost network or a
 caller's busy spell lasts, shorter than most requests' own deadlines."""
 
-FULL_BACK_MS = 1_000.0
+RETRY_AFTER_MS = 1_000.0
 """When a caller whose body there was no room for had better come back, where nothing is known of
 how fast memory is given back."""
 
@@ -44,7 +44,7 @@
       draining: whether each answer ends its connection.
       memory: what is held for callers.
       time_allowed_ms: returns how long a request may take, by its headers.
-      cut: called when a caller is ended: why, and how many bytes it hasn't read.
+      on_disconnect: called when a caller is ended: why, and how many bytes it hasn't read.
       back_in_ms: returns after how long there may be room for so many bytes.
       stall_ms: how long a caller may read nothing.
     """
@@ -58,8 +58,8 @@
         default_factory=lambda: memory_account.from_limit(memory_account.DEFAULT_LIMIT_MB)
     )
     time_allowed_ms: Callable[[caller_requests.Headers], float] = lambda _: BODY_TIME_MS
-    cut: Callable[[str, int], None] = lambda _, __: None
-    back_in_ms: Callable[[int], float] = lambda _: FULL_BACK_MS
+    on_disconnect: Callable[[str, int], None] = lambda _, __: None
+    back_in_ms: Callable[[int], float] = lambda _: RETRY_AFTER_MS
     stall_ms: float = CALLER_STALL_MS
 
     def connection(self) -> "CallerConnection":
@@ -99,7 +99,7 @@
         self.began_ms = -1
         self.started = False
         self.lingering = False
-        self.ended_because = ""
+        self.disconnect_reason = ""
 
     def _new_http(self) -> h11.Connection:
         limit = self.server.limits.header_bytes
@@ -111,14 +111,14 @@
         """Wait for a request."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        keepalive.watch(transport)
-        outgoing.keep_little_in_kernel(transport)
+        keepalive.enable_probes(transport)
+        outgoing.limit_kernel_buffer(transport)
         self.output = outgoing.Outgoing(
             transport,
             self.server.memory,
             self.unread,
             self.server.stall_ms,
-            lambda: self.cut("caller_stalled"),
+            lambda: self.disconnect("caller_stalled"),
         )
         self.server.connections.add(self)
         self._await_request()
@@ -128,14 +128,14 @@
         if self.lingering:
             return
         self.http.receive_data(data)
-        self._take_in()
+        self._process_received()
 
-    def _take_in(self) -> None:
+    def _process_received(self) -> None:
         """Go on with what has arrived."""
         if self.began_ms < 0 and self.task is None:
             self.began_ms = self.server.clock.now()
-            self._set_timer(self.server.limits.header_timeout_ms, self._head_too_slow)
-        self.body.heard(self.server.clock.now())
+            self._set_timer(self.server.limits.header_timeout_ms, self._head_timed_out)
+        self.body.note_received(self.server.clock.now())
         if self.task is None:
             self._advance()
         self._count_ahead()
@@ -144,7 +144,7 @@
         """Count bytes that arrived and can't be read as a request yet."""
         ahead = len(self.http.trailing_data[0])
         if not self.server.memory.resize(self.ahead, ahead):
-            self.cut("no_memory")
+            self.disconnect("no_memory")
         elif ahead > READ_AHEAD_BYTES and self.task is not None and self.transport is not None:
             self.transport.pause_reading()
 
@@ -190,18 +190,18 @@
             while self.task is None and not self.lingering:
                 event = self.http.next_event()
                 if isinstance(event, h11.Request):
-                    self._take_head(event)
+                    self._handle_head(event)
                 elif isinstance(event, h11.Data):
-                    self._take_body(bytes(event.data))
+                    self._handle_body(bytes(event.data))
                 elif isinstance(event, h11.EndOfMessage):
                     self._serve()
                 else:
-                    self._await_body()
+                    self._schedule_body_check()
                     return
         except h11.RemoteProtocolError as error:
             self._reject(error.error_status_hint)
 
-    def _take_head(self, head: h11.Request) -> None:
+    def _handle_head(self, head: h11.Request) -> None:
         self.head = head
         self._stop_timer()
         size = sum(len(name) + len(value) + 4 for name, value in head.headers)
@@ -218,31 +218,31 @@
             informed = h11.InformationalResponse(status_code=100, headers=[])
             self._write(self.http.send(informed))
 
-    def _take_body(self, data: bytes) -> None:
+    def _handle_body(self, data: bytes) -> None:
         refused = self.body.take(data)
         if refused:
             self._reject(refused)
 
-    def _await_body(self) -> None:
+    def _schedule_body_check(self) -> None:
         if self.head is not None and self.timer is None:
-            self._set_timer(self.body.next_look_ms(self.server.clock.now()), self._look_at_body)
+            self._set_timer(self.body.next_check_ms(self.server.clock.now()), self._check_body)
 
-    def _look_at_body(self) -> None:
+    def _check_body(self) -> None:
         """Refuse a body that doesn't come; nothing of it was sent on."""
         self._stop_timer()
-        if self.body.too_slow(self.server.clock.now()):
+        if self.body.timed_out(self.server.clock.now()):
             self._reject(408)
         else:
-            self._await_body()
+            self._schedule_body_check()
 
-    def _head_too_slow(self) -> None:
+    def _head_timed_out(self) -> None:
         if self.head is None:
             self._reject(408)
 
     def _reject(self, status: int) -> None:
         """Refuse what can't be read as a request, and end the connection."""
         headers = [(b"connection", b"close")]
-        if status == incoming_body.NO_ROOM:
+        if status == incoming_body.NO_MEMORY:
             back_in_ms = self.server.back_in_ms(self.body.reservation.size)
             headers.append((b"retry-after", f"{back_in_ms / 1000.0:.3f}".encode()))
         self.body.end()
@@ -268,7 +268,7 @@
         with contextlib.suppress(asyncio.CancelledError):
             await self.server.handler.handle(request, self)
         self.task = None
-        self.forget_body()
+        self.release_body()
         self._next_request()
 
     def _next_request(self) -> None:
@@ -279,7 +279,7 @@
             self._await_request()
             self.transport.resume_reading()
             if self.ahead.size:
-                self._take_in()
+                self._process_received()
         elif self.http.our_state is h11.MUST_CLOSE:
             self._linger()
         else:
@@ -314,13 +314,13 @@
             self.body.reservation, workspace
         )
 
-    def forget_body(self) -> None:
+    def release_body(self) -> None:
         """Give back the request's body, which is not sent again."""
         if self.request is not None:
             self.request.body = b""
         self.body.end()
 
-    def chunk(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         """Send a part of the body."""
         self._write(self.http.send(h11.Data(data=data)))
 
@@ -346,11 +346,11 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def cut(self, reason: str) -> None:
+    def disconnect(self, reason: str) -> None:
         """End a caller for what it doesn't read, or for what there is no room for."""
-        if not self.ended_because:
-            self.ended_because = reason
-            self.server.cut(reason, self.unread.size)
+        if not self.disconnect_reason:
+            self.disconnect_reason = reason
+            self.server.on_disconnect(reason, self.unread.size)
         self.abort()
 
     # The end of a connection.
@@ -365,15 +365,15 @@
         if self.transport is None or self.lingering:
             return
         self.lingering = True
-        self._set_timer(LINGER_S * 1000.0, self._linger_over)
+        self._set_timer(LINGER_S * 1000.0, self._end_linger)
         if self.transport.can_write_eof():
             with contextlib.suppress(OSError):
                 self.transport.write_eof()
 
-    def _linger_over(self) -> None:
+    def _end_linger(self) -> None:
         """End the connection, but not before the caller has read its answer, or is cut."""
         if self.output is not None and self.output.unread():
-            self._set_timer(LINGER_S * 1000.0, self._linger_over)
+            self._set_timer(LINGER_S * 1000.0, self._end_linger)
         else:
             self.abort()
 
@@ -384,7 +384,7 @@
 
     def _write(self, data: bytes | None) -> None:
         if data and self.output is not None and not self.output.write(data):
-            self.cut("no_memory")
+            self.disconnect("no_memory")
 
     def _set_timer(self, delay_ms: float, action: Callable[[], None]) -> None:
         self._stop_timer()
--- a/plumarch/gateway/callers/caller_requests.py
+++ b/plumarch/gateway/callers/caller_requests.py
@@ -50,11 +50,11 @@
 
     Attributes:
       started: whether its head was sent.
-      ended_because: why it was cut short by the gateway, or "".
+      disconnect_reason: why it was cut short by the gateway, or "".
     """
 
     started: bool
-    ended_because: str
+    disconnect_reason: str
 
     def assign(self, workspace: str) -> bool:
         """Say whose request it is; False if the workspace may not hold as much as it does."""
@@ -68,11 +68,11 @@
         """Begin an answer whose length is not known."""
         ...
 
-    def forget_body(self) -> None:
+    def release_body(self) -> None:
         """Give back the request's body, which is not sent again."""
         ...
 
-    def chunk(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         """Send a part of its body."""
         ...
 
@@ -84,7 +84,7 @@
         """Wait until the caller has read all that it was sent."""
         ...
 
-    def cut(self, reason: str) -> None:
+    def disconnect(self, reason: str) -> None:
         """End the answer so, because the caller does not read it."""
         ...
 
--- a/plumarch/gateway/callers/incoming_body.py
+++ b/plumarch/gateway/callers/incoming_body.py
@@ -6,7 +6,7 @@
 from plumarch.limits import memory_account
 
 TOO_LARGE = 413
-NO_ROOM = 503
+NO_MEMORY = 503
 """Statuses to refuse with: the body is over the caller's limit, or this node can't hold it."""
 
 
@@ -37,7 +37,7 @@
         self.last_seen_ms = now
         self.ends_ms = ends_ms
 
-    def heard(self, now: int) -> None:
+    def note_received(self, now: int) -> None:
         """Note that bytes came."""
         self.last_seen_ms = now
 
@@ -51,15 +51,15 @@
         if size > self.limits.body_bytes:
             return TOO_LARGE
         if not self.memory.resize(self.reservation, size):
-            return NO_ROOM
+            return NO_MEMORY
         self.data += data
         return 0
 
-    def too_slow(self, now: int) -> bool:
+    def timed_out(self, now: int) -> bool:
         """Return whether nothing came for too long, or the request's time is over."""
         return now >= self.ends_ms or now - self.last_seen_ms >= self.limits.idle_timeout_ms
 
-    def next_look_ms(self, now: int) -> float:
+    def next_check_ms(self, now: int) -> float:
         """Return in which time the body may first be too slow."""
         return max(1.0, min(self.ends_ms, self.last_seen_ms + self.limits.idle_timeout_ms) - now)
 
--- a/plumarch/gateway/callers/slow_callers_test.py
+++ b/plumarch/gateway/callers/slow_callers_test.py
@@ -24,7 +24,7 @@
 """The stand-in endpoint accepts 500 connections on a loop that has more to do: a connection must
 not fail for that, since each caller's run is waited for."""
 
-MAX_HELD = 40 * 2**20
+MAX_BUFFERED_BYTES = 40 * 2**20
 """Of a node whose process may take 200 MB."""
 
 
@@ -67,12 +67,12 @@
             await self.changed.wait()
 
 
-async def silent_caller(gateway: relay_test.Gateway, path: str) -> socket.socket:
+async def non_reading_caller(gateway: relay_test.Gateway, path: str) -> socket.socket:
     """Connect, ask, and read nothing."""
-    return await connect_silently(gateway.port, path)
+    return await connect_without_reading(gateway.port, path)
 
 
-async def connect_silently(port: int, path: str) -> socket.socket:
+async def connect_without_reading(port: int, path: str) -> socket.socket:
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, MIN_BUFFER)
     sock.setblocking(False)
@@ -82,16 +82,16 @@
     return sock
 
 
-def small_socket_buffers(gateway: relay_test.Gateway) -> None:
+def shrink_socket_buffers(gateway: relay_test.Gateway) -> None:
     """Let callers' sockets keep little, as accepted ones take it over."""
-    little_in_kernel(gateway.listener.sockets[0])
+    shrink_send_buffer(gateway.listener.sockets[0])
 
 
-def little_in_kernel(listening: socket.socket) -> None:
+def shrink_send_buffer(listening: socket.socket) -> None:
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MIN_BUFFER)
 
 
-def bytes_held(gateway: relay_test.Gateway) -> int:
+def buffered_bytes(gateway: relay_test.Gateway) -> int:
     """Return the bytes in all buffers towards callers and from endpoints."""
     held = sum(
         one.transport.get_write_buffer_size()
@@ -113,21 +113,21 @@
     async def test() -> None:
         flood = Flood(whole_bytes)
         async with relay_test.Gateway(flood.answer) as gateway:
-            small_socket_buffers(gateway)
-            widen(gateway)
-            callers = [await silent_caller(gateway, path) for _ in range(CALLERS)]
+            shrink_socket_buffers(gateway)
+            raise_capacity(gateway)
+            callers = [await non_reading_caller(gateway, path) for _ in range(CALLERS)]
             await flood.wait_over(CALLERS)
-            held = bytes_held(gateway)
+            held = buffered_bytes(gateway)
             memory = gateway.state.memory
             assert memory.total() <= memory.budget
-            assert held < MAX_HELD
+            assert held < MAX_BUFFERED_BYTES
             for sock in callers:
                 sock.close()
 
     relay_test.play(test)
 
 
-def widen(gateway: relay_test.Gateway) -> None:
+def raise_capacity(gateway: relay_test.Gateway) -> None:
     """Let the endpoint have places for all callers."""
     endpoints = gateway.state.registry.endpoints
     endpoints["e0"] = dataclasses.replace(endpoints["e0"], slots=10 * CALLERS)
@@ -151,8 +151,8 @@
 
 
 async def slow_caller(gateway: relay_test.Gateway, path: str) -> SlowCaller:
-    small_socket_buffers(gateway)
-    return SlowCaller(await silent_caller(gateway, path))
+    shrink_socket_buffers(gateway)
+    return SlowCaller(await non_reading_caller(gateway, path))
 
 
 async def until(condition: Callable[[], bool]) -> None:
@@ -171,7 +171,7 @@
 
 
 ALL_EVENTS = b"".join(padded(number) for number in range(1, EVENTS + 1))
-LITTLE_BUDGET = 2 * 2**20
+SMALL_BUDGET = 2 * 2**20
 """A stream alone may hold some 52 KB of it."""
 
 
@@ -198,7 +198,7 @@
             await until(lambda: logged(gateway, b'"answered"'))
             [connection] = gateway.callers.connections
             await until(lambda: connection.lingering)
-            connection._linger_over()
+            connection._end_linger()
             found = await caller.read_answer()
             assert (found.whole, found.body) == (True, flood.whole)
             await until(lambda: all_released(gateway))
@@ -236,7 +236,7 @@
         flood = Flood(whole_bytes=300_000)
         async with relay_test.Gateway(flood.answer) as gateway:
             memory = gateway.state.memory
-            memory.budget = LITTLE_BUDGET
+            memory.budget = SMALL_BUDGET
             # The workspace has room for the answer, but not for twice as much.
             for number in range(2):
                 other = memory_account.Reservation(number, "w", memory_account.Purpose.KEPT_BODIES)
@@ -255,7 +255,7 @@
     async def test() -> None:
         flood = Flood(whole_bytes=300_000)
         async with relay_test.Gateway(flood.answer) as gateway:
-            gateway.state.memory.budget = LITTLE_BUDGET
+            gateway.state.memory.budget = SMALL_BUDGET
             first = await slow_caller(gateway, "/safe/")
             await until(lambda: logged(gateway, b'"answered"'))
             second = await slow_caller(gateway, "/safe/")
@@ -274,7 +274,7 @@
     async def test() -> None:
         flood = Flood(whole_bytes=300_000)
         async with relay_test.Gateway(flood.answer) as gateway:
-            gateway.state.memory.budget = LITTLE_BUDGET
+            gateway.state.memory.budget = SMALL_BUDGET
             silent = await slow_caller(gateway, "/safe/")
             await until(lambda: logged(gateway, b'"answered"'))
             found = await gateway.ask("/unsafe/")
@@ -307,7 +307,7 @@
         flood = Flood(whole_bytes=60_000)
         async with relay_test.Gateway(flood.answer) as gateway:
             # All of the answer lies in the kernel: its socket buffer is the system's own.
-            caller = SlowCaller(await silent_caller(gateway, "/safe/"))
+            caller = SlowCaller(await non_reading_caller(gateway, "/safe/"))
             await until(lambda: bool(gateway.callers.connections))
             [connection] = gateway.callers.connections
             assert connection.transport is not None
@@ -318,12 +318,12 @@
                 assert isinstance(found, int)
                 return found
 
-            assert limit_ms() == keepalive.SILENCE_LIMIT_MS
-            patient_ms = keepalive.SILENCE_LIMIT_MS + round(gateway.callers.stall_ms)
+            assert limit_ms() == keepalive.USER_TIMEOUT_MS
+            patient_ms = keepalive.USER_TIMEOUT_MS + round(gateway.callers.stall_ms)
             await until(lambda: limit_ms() == patient_ms)
             reader, writer = await asyncio.open_connection(sock=caller.sock, limit=2**20)
             assert (await relay_test.read_answer(reader)).body == flood.whole
-            await until(lambda: limit_ms() == keepalive.SILENCE_LIMIT_MS)
+            await until(lambda: limit_ms() == keepalive.USER_TIMEOUT_MS)
             writer.close()
 
     relay_test.play(test)
--- a/plumarch/gateway/callers/slow_requests_test.py
+++ b/plumarch/gateway/callers/slow_requests_test.py
@@ -21,7 +21,7 @@
     return ("\r\n".join(first) + "\r\n\r\n").encode()
 
 
-async def said(gateway: relay_test.Gateway, *parts: bytes) -> relay_test.Answer:
+async def send_and_read(gateway: relay_test.Gateway, *parts: bytes) -> relay_test.Answer:
     """Return what a caller is told that sends some bytes and keeps its connection open."""
     reader, writer = await gateway.connect()
     for part in parts:
@@ -32,12 +32,12 @@
     return found
 
 
-def nothing_held(gateway: relay_test.Gateway) -> bool:
+def nothing_reserved(gateway: relay_test.Gateway) -> bool:
     return gateway.state.memory.total() == 0
 
 
-async def until_nothing_held(gateway: relay_test.Gateway) -> None:
-    while not nothing_held(gateway):
+async def until_nothing_reserved(gateway: relay_test.Gateway) -> None:
+    while not nothing_reserved(gateway):
         await asyncio.sleep(0.001)
 
 
@@ -53,19 +53,19 @@
 def test_a_body_by_the_byte_is_taken_until_the_requests_time_is_over():
     body = new_body()
     for now in range(1_000, 1_500, 90):
-        body.heard(now)
+        body.note_received(now)
         assert body.take(b"x") == 0
-        assert not body.too_slow(now + 89) or now + 89 >= 1_500
-    assert not body.too_slow(1_499)
-    assert body.too_slow(1_500)
+        assert not body.timed_out(now + 89) or now + 89 >= 1_500
+    assert not body.timed_out(1_499)
+    assert body.timed_out(1_500)
 
 
 def test_a_body_that_stops_is_too_slow_after_the_idle_time():
     body = new_body()
-    body.heard(1_010)
-    assert body.next_look_ms(1_010) == 100
-    assert not body.too_slow(1_109)
-    assert body.too_slow(1_110)
+    body.note_received(1_010)
+    assert body.next_check_ms(1_010) == 100
+    assert not body.timed_out(1_109)
+    assert body.timed_out(1_110)
 
 
 def test_bytes_of_a_body_are_counted_until_its_request_is_answered():
@@ -81,7 +81,7 @@
 
 
 def test_a_body_for_which_there_is_no_room_is_refused():
-    assert new_body(budget=60).take(b"x" * 11) == incoming_body.NO_ROOM
+    assert new_body(budget=60).take(b"x" * 11) == incoming_body.NO_MEMORY
 
 
 @pytest.mark.parametrize(
@@ -101,9 +101,9 @@
     async def test() -> None:
         async with relay_test.Gateway(relay_test.answers()) as gateway:
             gateway.callers.limits = LIMITS
-            found = await said(gateway, *sent)
+            found = await send_and_read(gateway, *sent)
             assert (found.status, gateway.sends()) == (status, 0)
-            await until_nothing_held(gateway)
+            await until_nothing_reserved(gateway)
 
     relay_test.play(test)
 
@@ -112,10 +112,10 @@
     async def test() -> None:
         async with relay_test.Gateway(relay_test.answers()) as gateway:
             gateway.state.memory.budget = 6_000
-            found = await said(gateway, head("Content-Length: 4000"), b"x" * 4_000)
+            found = await send_and_read(gateway, head("Content-Length: 4000"), b"x" * 4_000)
             assert (found.status, gateway.sends()) == (503, 0)
             assert float(found.headers["retry-after"]) > 0
-            await until_nothing_held(gateway)
+            await until_nothing_reserved(gateway)
 
     relay_test.play(test)
 
@@ -132,7 +132,7 @@
             assert (await relay_test.read_answer(reader)).body == b"one"
             assert [one.body for one in gateway.endpoints[0].received] == [b"a body"] * 4
             writer.close()
-            await until_nothing_held(gateway)
+            await until_nothing_reserved(gateway)
 
     relay_test.play(test)
 
@@ -217,7 +217,7 @@
 # Endpoints that don't read.
 
 
-def deaf_endpoint() -> socket.socket:
+def non_reading_endpoint() -> socket.socket:
     """Listen, but never read."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
@@ -232,7 +232,7 @@
     monkeypatch.setattr(exchange, "REQUEST_STALL_MS", 50.0)
 
     async def test() -> None:
-        deaf = deaf_endpoint()
+        deaf = non_reading_endpoint()
         async with relay_test.Gateway(relay_test.answers()) as gateway:
             endpoints = gateway.state.registry.endpoints
             address = f"127.0.0.1:{deaf.getsockname()[1]}"
@@ -241,7 +241,7 @@
             body = b"x" * traffic.CallerLimits().body_bytes
             found = await gateway.ask("/unsafe/", body=body)
             assert (found.status, "retry-after" in found.headers) == (502, False)
-            await until_nothing_held(gateway)
+            await until_nothing_reserved(gateway)
         deaf.close()
 
     relay_test.play(test)
--- a/plumarch/gateway/connections/exchange.py
+++ b/plumarch/gateway/connections/exchange.py
@@ -29,7 +29,7 @@
 REQUEST_STALL_MS = 3_000.0
 """How long an endpoint may take no byte of a request. As long as a silent peer is waited for."""
 
-ARRIVING = bytearray(READ_BYTES)
+READ_BUFFER = bytearray(READ_BYTES)
 """Where bytes arrive, for all connections: they are copied out before the next read."""
 
 
@@ -38,9 +38,9 @@
 
     Attributes:
       unparsed: bytes that arrived and were not asked for yet, at most.
-      held_back: whether reading waits for resume().
-      taken_nothing: whether the connection was given up before it accepted a byte of a request.
-      ended_with_peer: whether it was given up because the endpoint is known to have ended.
+      is_paused: whether reading waits for resume().
+      nothing_accepted: whether the connection was given up before it accepted a byte of a request.
+      peer_restarted: whether it was given up because the endpoint is known to have ended.
       outgoing: counts the request while the endpoint reads it, if it is counted.
     """
 
@@ -49,27 +49,27 @@
         self.transport: asyncio.Transport | None = None
         self.arrived = asyncio.Event()
         self.fault: str = ""
-        self.at_end = False
+        self.at_eof = False
         self.unparsed = 0
-        self.held_back = False
-        self.taken_nothing = False
-        self.ended_with_peer = False
+        self.is_paused = False
+        self.nothing_accepted = False
+        self.peer_restarted = False
         self.outgoing: outgoing.Outgoing | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport; notice a silent peer."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        keepalive.watch(transport)
+        keepalive.enable_probes(transport)
 
     def get_buffer(self, sizehint: int) -> bytearray:
         """Return where to put the bytes that come next."""
-        return ARRIVING
+        return READ_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
         """Take bytes in."""
         try:
-            self.http.receive_data(bytes(memoryview(ARRIVING)[:nbytes]))
+            self.http.receive_data(bytes(memoryview(READ_BUFFER)[:nbytes]))
         except (h11.RemoteProtocolError, RuntimeError) as error:
             self.fault = str(error)
         self.unparsed += nbytes
@@ -77,15 +77,15 @@
             self.transport.pause_reading()
         self.arrived.set()
 
-    def hold_back(self) -> None:
+    def pause(self) -> None:
         """Read nothing from the endpoint until resume()."""
-        self.held_back = True
+        self.is_paused = True
         if self.transport is not None:
             self.transport.pause_reading()
 
     def resume(self) -> None:
         """Read again."""
-        self.held_back = False
+        self.is_paused = False
         if self.transport is not None:
             self.transport.resume_reading()
 
@@ -99,8 +99,8 @@
 
     def eof_received(self) -> bool:
         """Note an orderly end of the peer's bytes."""
-        if not self.at_end:
-            self.at_end = True
+        if not self.at_eof:
+            self.at_eof = True
             try:
                 self.http.receive_data(b"")
             except (h11.RemoteProtocolError, RuntimeError) as error:
@@ -110,7 +110,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Note the end of the connection; without an orderly end it is a reset."""
-        if not self.at_end:
+        if not self.at_eof:
             self.fault = self.fault or f"connection lost: {exc or 'closed'}"
         if self.outgoing is not None:
             self.outgoing.end()
@@ -160,20 +160,20 @@
         if not memory.resize(reservation, len(request)):
             raise errors.SendBufferFull("The request can't be held. Ask another node.")
         if len(request) > outgoing.KERNEL_UNSENT_BYTES:
-            outgoing.keep_little_in_kernel(self.transport)
+            outgoing.limit_kernel_buffer(self.transport)
         self.transport.write(request)
         if not self.transport.get_write_buffer_size():
             memory.resize(reservation, 0)
             return
         self.outgoing = outgoing.Outgoing(
-            self.transport, memory, reservation, REQUEST_STALL_MS, self._not_read
+            self.transport, memory, reservation, REQUEST_STALL_MS, self._handle_stall
         )
-        self.outgoing.follow(len(request))
+        self.outgoing.track(len(request))
 
-    def _not_read(self) -> None:
+    def _handle_stall(self) -> None:
         """Give up an endpoint that doesn't read its request."""
         assert self.outgoing is not None
-        self.taken_nothing = self.outgoing.unread() == self.outgoing.written
+        self.nothing_accepted = self.outgoing.unread() == self.outgoing.written
         self.fault = self.fault or "the endpoint does not read the request"
         self.close()
         self.arrived.set()
@@ -189,9 +189,9 @@
             event = self._parse()
             if event is not None:
                 return event
-            self._all_parsed()
-            if self.fault or self.at_end:
-                raise self._broken()
+            self._continue_reading()
+            if self.fault or self.at_eof:
+                raise self._broken_error()
             self.arrived.clear()
             await self.arrived.wait()
 
@@ -208,15 +208,15 @@
         except TimeoutError as error:
             raise errors.AnswerTimeout(f"nothing came for {wait_ms:.0f} ms") from error
 
-    def _broken(self) -> errors.ExchangeError:
-        if self.taken_nothing:
+    def _broken_error(self) -> errors.ExchangeError:
+        if self.nothing_accepted:
             return errors.NotDispatched(self.fault)
         return errors.ConnectionBroken(self.fault or "the connection ended")
 
-    def _all_parsed(self) -> None:
+    def _continue_reading(self) -> None:
         """Read on: what arrived is parsed as far as it goes."""
         self.unparsed = 0
-        if not self.held_back and self.transport is not None:
+        if not self.is_paused and self.transport is not None:
             self.transport.resume_reading()
 
     def _parse(self) -> ReceivedEvent | None:
@@ -254,16 +254,16 @@
         Returns:
           False if this connection can't serve another one.
         """
-        if self.fault or self.at_end or self.http.trailing_data[0]:
+        if self.fault or self.at_eof or self.http.trailing_data[0]:
             return False
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
             return False
         self.http.start_next_cycle()
         return True
 
-    def end_with_peer(self, why: str) -> None:
+    def close_restarted(self, why: str) -> None:
         """Give the connection up, since the process at its other end is no more."""
-        self.ended_with_peer = True
+        self.peer_restarted = True
         self.fault = self.fault or why
         self.close()
         self.arrived.set()
@@ -292,7 +292,7 @@
     return exchange
 
 
-async def listens(address: str, timeout_ms: float) -> bool | None:
+async def is_listening(address: str, timeout_ms: float) -> bool | None:
     """Return whether a process takes connections at an address, or None if nothing answered.
 
     Args:
--- a/plumarch/gateway/connections/keepalive.py
+++ b/plumarch/gateway/connections/keepalive.py
@@ -9,7 +9,7 @@
 import asyncio
 import socket
 
-SILENCE_LIMIT_MS = 3_000
+USER_TIMEOUT_MS = 3_000
 """Bytes or probes unacknowledged for this long mean that the peer is unreachable. A judgement:
 longer than a resumable stream's patience, and than a lost packet and its second try."""
 
@@ -20,19 +20,19 @@
 in a row without an answer: three seconds after the peer was heard last."""
 
 
-def watch(transport: asyncio.BaseTransport) -> None:
+def enable_probes(transport: asyncio.BaseTransport) -> None:
     """Let the kernel probe a connection, and end it when the peer stays silent."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_LIMIT_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, INTERVAL_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
 
 
-def allow_unread(transport: asyncio.BaseTransport, more_ms: int) -> None:
+def extend_timeout(transport: asyncio.BaseTransport, more_ms: int) -> None:
     """Let the kernel wait longer for a peer that has no room for bytes.
 
     It counts the time of a peer that answers its probes but has no room for more like that of a
@@ -43,5 +43,5 @@
     """
     sock = transport.get_extra_info("socket")
     if sock is not None and sock.fileno() >= 0:
-        limit_ms = SILENCE_LIMIT_MS + more_ms
+        limit_ms = USER_TIMEOUT_MS + more_ms
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit_ms)
--- a/plumarch/gateway/connections/keepalive_test.py
+++ b/plumarch/gateway/connections/keepalive_test.py
@@ -37,7 +37,7 @@
         (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, keepalive.IDLE_S),
         (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, keepalive.INTERVAL_S),
         (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, keepalive.PROBES),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, keepalive.SILENCE_LIMIT_MS),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, keepalive.USER_TIMEOUT_MS),
     ],
 )
 def test_connections_to_endpoints_and_of_callers_are_probed(level: int, option: int, wanted: int):
--- a/plumarch/gateway/connections/open_runs.py
+++ b/plumarch/gateway/connections/open_runs.py
@@ -14,28 +14,28 @@
 class OpenRuns:
     """The open connections of requests, by identifier of the endpoint."""
 
-    known: dict[str, set[exchange.Exchange]] = dataclasses.field(default_factory=dict)
+    by_endpoint: dict[str, set[exchange.Exchange]] = dataclasses.field(default_factory=dict)
 
     def begin(self, endpoint: str, connection: exchange.Exchange) -> None:
         """Note a connection on which a request was sent."""
-        self.known.setdefault(endpoint, set()).add(connection)
+        self.by_endpoint.setdefault(endpoint, set()).add(connection)
 
     def end(self, endpoint: str, connection: exchange.Exchange) -> None:
         """Forget a connection that is over."""
-        there = self.known.get(endpoint)
+        there = self.by_endpoint.get(endpoint)
         if there is None:
             return
         there.discard(connection)
         if not there:
-            del self.known[endpoint]
+            del self.by_endpoint[endpoint]
 
-    def ended_with(self, endpoint: str) -> int:
+    def close_all(self, endpoint: str) -> int:
         """End all that runs at an endpoint whose process is no more.
 
         Returns:
           How many requests ran there.
         """
-        there = self.known.pop(endpoint, set())
+        there = self.by_endpoint.pop(endpoint, set())
         for connection in there:
-            connection.end_with_peer("the endpoint has started again")
+            connection.close_restarted("the endpoint has started again")
         return len(there)
--- a/plumarch/gateway/connections/outgoing.py
+++ b/plumarch/gateway/connections/outgoing.py
@@ -29,7 +29,7 @@
     Attributes:
       written: bytes since the start.
       empty: set while all bytes were accepted by the socket.
-      patience_ms: how much longer the kernel waits for the peer than for others.
+      extra_timeout_ms: how much longer the kernel waits for the peer than for others.
       stalled: called when the peer took none for too long.
     """
 
@@ -47,7 +47,7 @@
         self.progress = read_progress.ReadProgress(stall_ms, min(CHECK_MS, stall_ms))
         self.stalled = stalled
         self.written = 0
-        self.patience_ms = 0
+        self.extra_timeout_ms = 0
         self.timer: asyncio.TimerHandle | None = None
         self.empty = asyncio.Event()
         self.empty.set()
@@ -63,9 +63,9 @@
         if self.transport.is_closing():
             return True
         self.transport.write(data)
-        return self.follow(len(data))
+        return self.track(len(data))
 
-    def follow(self, size: int) -> bool:
+    def track(self, size: int) -> bool:
         """Count bytes that were just written, and look later whether the peer takes them.
 
         Returns:
@@ -99,9 +99,9 @@
         """Return the bytes that the socket didn't accept."""
         return self.transport.get_write_buffer_size()
 
-    def taken(self) -> int:
+    def acknowledged(self) -> int:
         """Return the bytes that the peer acknowledged, as far as the system tells."""
-        return self.written - self.unread() - _unacknowledged(self.transport)
+        return self.written - self.unread() - _unacknowledged_bytes(self.transport)
 
     def end(self) -> None:
         """Stop counting: the connection is over, and its buffers are gone."""
@@ -112,21 +112,21 @@
     def _check(self) -> None:
         self.timer = None
         self.count()
-        taken = self.taken()
-        if taken == self.written:
-            self._be_patient(0)
+        acknowledged = self.acknowledged()
+        if acknowledged == self.written:
+            self._extend_timeout(0)
             return
         # The kernel must not end the peer before its time to read is over.
-        self._be_patient(round(self.progress.limit_ms))
-        if self.progress.stalled(taken, _now_ms()):
+        self._extend_timeout(round(self.progress.limit_ms))
+        if self.progress.stalled(acknowledged, _now_ms()):
             self.stalled()
         else:
             self._check_later()
 
-    def _be_patient(self, more_ms: int) -> None:
-        if more_ms != self.patience_ms:
-            self.patience_ms = more_ms
-            keepalive.allow_unread(self.transport, more_ms)
+    def _extend_timeout(self, more_ms: int) -> None:
+        if more_ms != self.extra_timeout_ms:
+            self.extra_timeout_ms = more_ms
+            keepalive.extend_timeout(self.transport, more_ms)
 
     def _check_later(self) -> None:
         delay_s = self.progress.check_interval_ms / 1000.0
@@ -138,14 +138,14 @@
             self.timer = None
 
 
-def keep_little_in_kernel(transport: asyncio.BaseTransport) -> None:
+def limit_kernel_buffer(transport: asyncio.BaseTransport) -> None:
     """Bound the unsent bytes that the kernel keeps for a connection."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, KERNEL_UNSENT_BYTES)
 
 
-def _unacknowledged(transport: asyncio.BaseTransport) -> int:
+def _unacknowledged_bytes(transport: asyncio.BaseTransport) -> int:
     """Return the bytes in the kernel that the peer did not acknowledge.
 
     The kernel asks for more bytes only after a large part of its buffer is free. A slow peer
--- a/plumarch/gateway/dispatch/endpoint_outcomes.py
+++ b/plumarch/gateway/dispatch/endpoint_outcomes.py
@@ -57,7 +57,7 @@
     """Return what a request asks of an endpoint."""
     return endpoint_limits.demand(
         admitted.prompt_tokens,
-        admitted.most_out,
+        admitted.max_output_tokens,
         len(admitted.request.body),
         admission.urgency(admitted),
     )
--- a/plumarch/gateway/dispatch/lost_runs.py
+++ b/plumarch/gateway/dispatch/lost_runs.py
@@ -87,7 +87,7 @@
         question = self.questions.get(endpoint.id)
         if question is not None:
             question.runs.append(run)
-        elif attempt.exchange.ended_with_peer or self._is_known_to_have_ended(endpoint.id, now):
+        elif attempt.exchange.peer_restarted or self._is_known_to_have_ended(endpoint.id, now):
             self._count(endpoint, [run])
         else:
             asking = asyncio.get_running_loop().create_task(self._ask(endpoint))
@@ -105,10 +105,10 @@
     async def _ask(self, endpoint: traffic.Endpoint) -> None:
         timeout_ms = attempts.connect_timeout_ms(self.state, endpoint)
         try:
-            listens = await exchange.listens(endpoint.address, timeout_ms)
+            is_listening = await exchange.is_listening(endpoint.address, timeout_ms)
         finally:
             runs = self.questions.pop(endpoint.id).runs
-        if listens is False:
+        if is_listening is False:
             self._forget_old()
             self.ended_ms[endpoint.id] = self.state.clock.now()
             self._count(endpoint, runs)
@@ -118,7 +118,7 @@
                 "endpoint_lives",
                 endpoint=endpoint.id,
                 lost_runs=len(runs),
-                answered=listens is not None,
+                answered=is_listening is not None,
             )
 
     def _keep_doubt(self, endpoint: traffic.Endpoint, runs: list[LostRun]) -> None:
--- a/plumarch/gateway/dispatch/region_attempts_test.py
+++ b/plumarch/gateway/dispatch/region_attempts_test.py
@@ -54,7 +54,7 @@
     def start(self, status: int, headers: caller_requests.Headers) -> None:
         self.started, self.status = True, status
 
-    async def chunk(self, data: bytes) -> None:
+    async def send_chunk(self, data: bytes) -> None:
         pass
 
     def finish(self) -> None:
--- a/plumarch/gateway/dispatch/request_run.py
+++ b/plumarch/gateway/dispatch/request_run.py
@@ -247,7 +247,7 @@
             label = "let_go"
             self._note_let_go(attempt)
         except stream_relay.CallerTooSlow:
-            return Outcome(CALLER_LEFT, self.reply.ended_because)
+            return Outcome(CALLER_LEFT, self.reply.disconnect_reason)
         except errors.NoMemory:
             return self.fail(Outcome(502, "no_memory"))
         except attempts.NotRun as error:
--- a/plumarch/gateway/dispatch/slow_streams_test.py
+++ b/plumarch/gateway/dispatch/slow_streams_test.py
@@ -20,13 +20,13 @@
     async def test() -> None:
         flood = slow_callers_test.Flood()
         async with relay_test.Gateway(flood.answer) as gateway:
-            gateway.state.memory.budget = slow_callers_test.LITTLE_BUDGET
+            gateway.state.memory.budget = slow_callers_test.SMALL_BUDGET
             caller = await slow_callers_test.slow_caller(gateway, "/chat/")
             await flood.wait_over(1)
             await slow_callers_test.until(lambda: gateway.state.chooser.own == {})
             assert (
                 gateway.state.memory.total()
-                <= slow_callers_test.LITTLE_BUDGET // 32 + 2 * slow_callers_test.EVENT_BYTES
+                <= slow_callers_test.SMALL_BUDGET // 32 + 2 * slow_callers_test.EVENT_BYTES
             )
             assert slow_callers_test.logged(gateway, b"stream_let_go")
             assert not slow_callers_test.logged(gateway, b"stream_resumed")
@@ -57,7 +57,7 @@
     async def test() -> None:
         flood = slow_callers_test.Flood()
         async with relay_test.Gateway(flood.answer) as gateway:
-            gateway.state.memory.budget = slow_callers_test.LITTLE_BUDGET
+            gateway.state.memory.budget = slow_callers_test.SMALL_BUDGET
             caller = await slow_callers_test.slow_caller(gateway, "/chat/")
             await flood.wait_over(1)
             await slow_callers_test.until(
@@ -81,7 +81,7 @@
     async def test() -> None:
         flood = slow_callers_test.Flood()
         async with relay_test.Gateway(flood.answer) as gateway:
-            gateway.state.memory.budget = slow_callers_test.LITTLE_BUDGET
+            gateway.state.memory.budget = slow_callers_test.SMALL_BUDGET
             caller = await slow_callers_test.slow_caller(gateway, "/chat/")
             await slow_callers_test.until(
                 lambda: slow_callers_test.logged(gateway, b"stream_let_go")
@@ -103,10 +103,10 @@
     async def test() -> None:
         flood = slow_callers_test.Flood()
         async with relay_test.Gateway(flood.answer) as gateway:
-            gateway.state.memory.budget = slow_callers_test.LITTLE_BUDGET
+            gateway.state.memory.budget = slow_callers_test.SMALL_BUDGET
             caller = await slow_callers_test.slow_caller(gateway, "/diff/")
             await slow_callers_test.until(lambda: paused(gateway))
-            assert gateway.state.memory.total() <= slow_callers_test.LITTLE_BUDGET // 16
+            assert gateway.state.memory.total() <= slow_callers_test.SMALL_BUDGET // 16
             found = await caller.read_answer()
             assert (found.whole, found.body) == (True, slow_callers_test.ALL_EVENTS)
             assert len(received(gateway)) == 1
@@ -116,7 +116,7 @@
 
 
 def paused(gateway: relay_test.Gateway) -> bool:
-    return any(one.held_back for one in gc.get_objects() if isinstance(one, exchange.Exchange))
+    return any(one.is_paused for one in gc.get_objects() if isinstance(one, exchange.Exchange))
 
 
 def test_a_stream_that_may_not_be_resumed_is_ended_if_its_caller_does_not_read(
@@ -127,7 +127,7 @@
     async def test() -> None:
         flood = slow_callers_test.Flood()
         async with relay_test.Gateway(flood.answer) as gateway:
-            gateway.state.memory.budget = slow_callers_test.LITTLE_BUDGET
+            gateway.state.memory.budget = slow_callers_test.SMALL_BUDGET
             caller = await slow_callers_test.slow_caller(gateway, "/diff/")
             await flood.wait_over(1)
             await slow_callers_test.until(lambda: slow_callers_test.all_released(gateway))
@@ -161,7 +161,7 @@
 
         async with relay_test.Gateway(either) as gateway:
             # Also when slow callers have taken up all the room for answers.
-            gateway.state.memory.budget = slow_callers_test.LITTLE_BUDGET
+            gateway.state.memory.budget = slow_callers_test.SMALL_BUDGET
             slow = [await slow_callers_test.slow_caller(gateway, "/chat/") for _ in range(4)]
             await flood.wait_over(4)
             reader, writer = await gateway.connect()
@@ -182,7 +182,7 @@
     async def test() -> None:
         flood = slow_callers_test.Flood()
         async with relay_test.Gateway(flood.answer) as gateway:
-            gateway.state.memory.budget = slow_callers_test.LITTLE_BUDGET
+            gateway.state.memory.budget = slow_callers_test.SMALL_BUDGET
             caller = await slow_callers_test.slow_caller(gateway, path)
             await slow_callers_test.until(
                 lambda: paused(gateway) or slow_callers_test.logged(gateway, b"stream_let_go")
--- a/plumarch/gateway/dispatch/stream_relay.py
+++ b/plumarch/gateway/dispatch/stream_relay.py
@@ -119,17 +119,17 @@
     def _count(self, reservation: memory_account.Reservation, size: int) -> None:
         """Count what waits here for the caller or for the end of an event."""
         if not self.state.memory.resize(reservation, size):
-            self.reply.cut("no_memory")
+            self.reply.disconnect("no_memory")
             raise CallerTooSlow(f"no room for {size} bytes of a stream")
 
     async def _pause(self, attempt: attempts.Attempt) -> None:
         """Read nothing from the endpoint until the caller has read all."""
-        attempt.exchange.hold_back()
+        attempt.exchange.pause()
         try:
             async with asyncio.timeout(PAUSE_LIMIT_MS / 1000.0):
                 await self.reply.drained()
         except TimeoutError as error:
-            self.reply.cut("caller_too_slow")
+            self.reply.disconnect("caller_too_slow")
             raise CallerTooSlow("the endpoint can't be kept waiting") from error
         finally:
             attempt.exchange.resume()
@@ -139,7 +139,7 @@
     ) -> None:
         note_first_token(self.state, self.admitted, attempt, self.reply.started)
         self._start(head)
-        self.reply.chunk(event.raw)
+        self.reply.send_chunk(event.raw)
         self.progress.events += 1
         if event.id:
             self.progress.last_event_id = event.id
@@ -152,7 +152,7 @@
         headers = attempts.answer_headers(head, self.state.names)
         self.reply.start(head.status_code, headers)
         if not self.admitted.route.repeatable():
-            self.reply.forget_body()
+            self.reply.release_body()
 
 
 def note_first_token(
--- a/plumarch/gateway/dispatch/whole_answers.py
+++ b/plumarch/gateway/dispatch/whole_answers.py
@@ -84,7 +84,7 @@
     """
     if _try(memory, reservation, size):
         return
-    source.hold_back()
+    source.pause()
     try:
         # What arrived already stays here while the answer waits, so it counts.
         if not memory.resize(reservation, reservation.size + source.unparsed):
--- a/plumarch/gateway/fleet_state.py
+++ b/plumarch/gateway/fleet_state.py
@@ -188,7 +188,7 @@
             endpoint = change.endpoint
             lost_runs = 0
             if change.is_restarted:
-                lost_runs = self.runs.ended_with(change.id)
+                lost_runs = self.runs.close_all(change.id)
                 self.endpoint_restarted(change.id)
             self.log.write(
                 "endpoint",
--- a/plumarch/gateway/mixed_readers_test.py
+++ b/plumarch/gateway/mixed_readers_test.py
@@ -39,7 +39,7 @@
 
     async def call(self, kind: str, path: str) -> None:
         """Call once; an answer that is whole must be the right one."""
-        sock = await slow_callers_test.silent_caller(self.gateway, path)
+        sock = await slow_callers_test.non_reading_caller(self.gateway, path)
         if kind == "never":
             await asyncio.sleep(0.01 * self.rng.random())
             sock.close()
@@ -82,8 +82,8 @@
             crowds.append(crowd)
             memory = gateway.state.memory
             memory.budget = 4 * 2**20
-            slow_callers_test.small_socket_buffers(gateway)
-            slow_callers_test.widen(gateway)
+            slow_callers_test.shrink_socket_buffers(gateway)
+            slow_callers_test.raise_capacity(gateway)
             rng = random.Random(seed)
             calls = [crowd.call(rng.choice(KINDS), rng.choice(PATHS)) for _ in range(CALLERS)]
             await asyncio.gather(*calls)
--- a/plumarch/gateway/node_peak_test.py
+++ b/plumarch/gateway/node_peak_test.py
@@ -30,7 +30,7 @@
     callers = relay.new_server(state)
     loop = asyncio.get_running_loop()
     listener = await loop.create_server(callers.connection, "127.0.0.1", 0)
-    slow_callers_test.little_in_kernel(listener.sockets[0])
+    slow_callers_test.shrink_send_buffer(listener.sockets[0])
     print(listener.sockets[0].getsockname()[1], flush=True)
     await loop.run_in_executor(None, sys.stdin.read)
     callers.close_all()
@@ -64,7 +64,7 @@
             port = int(await node.stdout.readline())
             before = peak_kb(node.pid)
             callers = [
-                await slow_callers_test.connect_silently(port, path)
+                await slow_callers_test.connect_without_reading(port, path)
                 for _ in range(slow_callers_test.CALLERS)
             ]
             await flood.wait_over(slow_callers_test.CALLERS)
--- a/plumarch/gateway/relay.py
+++ b/plumarch/gateway/relay.py
@@ -24,7 +24,7 @@
             self._refuse(request, reply, admitted)
             return
         if not reply.assign(admitted.workspace_name()):
-            self._refuse(request, reply, admission.over_memory_budget(self.state, admitted))
+            self._refuse(request, reply, admission.refuse_over_memory_budget(self.state, admitted))
             return
         run = request_run.RequestRun(self.state, admitted, reply, self.lost)
         outcome = request_run.Outcome(request_run.CALLER_LEFT, "caller_left")
@@ -37,13 +37,13 @@
             outcome = request_run.Outcome(502, "internal_fault")
             run.fail(outcome)
         finally:
-            if outcome.status == request_run.CALLER_LEFT and reply.ended_because:
-                outcome = request_run.Outcome(outcome.status, reply.ended_because)
+            if outcome.status == request_run.CALLER_LEFT and reply.disconnect_reason:
+                outcome = request_run.Outcome(outcome.status, reply.disconnect_reason)
             self._record(admitted, run, outcome)
 
     def time_allowed_ms(self, headers: caller_requests.Headers) -> float:
         """Return how long a request may take by its own word."""
-        return admission.time_asked_ms(self.state.names, headers)
+        return admission.requested_timeout_ms(self.state.names, headers)
 
     def back_in_ms(self, size: int) -> float:
         """Return when a caller had better come back with a body that there was no room for."""
@@ -138,6 +138,6 @@
         handler,
         memory=state.memory,
         time_allowed_ms=handler.time_allowed_ms,
-        cut=handler.caller_cut,
+        on_disconnect=handler.caller_cut,
         back_in_ms=handler.back_in_ms,
     )
--- a/plumarch/gateway/store/follower.py
+++ b/plumarch/gateway/store/follower.py
@@ -20,13 +20,13 @@
 once, nobody would notice for as long."""
 
 LOOK_MS = 500.0
-SILENT_LOOKS = 3
+MAX_STALE_CHECKS = 3
 """A watch has fallen silent if it doesn't tell in three looks, 1.0 to 1.5 s, what peers told."""
 
 NEWS_PAUSE_MS = 200.0
 """Time between an answer and the next watch, so that changes in quick succession are one call."""
 
-SHARED_NEWS_PAUSE_MS = (200.0, 800.0)
+SHARED_WATCH_PAUSE_MS = (200.0, 800.0)
 """The same where others follow the store too. All are answered at the same change; pauses of 500 ms
 on average take 30% fewer calls than 200 ms where changes come each 0.5 s: one in 1.0 s for one in
 0.7 s. Drawn anew each time they don't fall together: of n followers the first one watches again
@@ -102,20 +102,20 @@
         self,
         state: fleet_state.FleetState,
         store: ports.Store,
-        on_news: Callable[[], None],
+        on_change: Callable[[], None],
         watches: Callable[[], bool] = lambda: True,
         shared: Callable[[], bool] = lambda: False,
     ) -> None:
         """Keep what following needs.
 
         Args:
-          on_news: told when something changed.
+          on_change: told when something changed.
           watches: whether this node is to follow the store now.
           shared: whether some nodes follow the store for all of the fleet now.
         """
         self.state = state
         self.store = store
-        self.on_news = on_news
+        self.on_change = on_change
         self.watches = watches
         self.shared = shared
 
@@ -153,7 +153,7 @@
                 revision = await step(revision)
                 self.state.reaches_store = True
                 dependency.answered()
-                pause_ms = self._news_pause_ms() if listed else FIRST_LIST_PAUSE_MS
+                pause_ms = self._watch_pause_ms() if listed else FIRST_LIST_PAUSE_MS
                 await asyncio.sleep(pause_ms / 1000.0)
                 listed = True
             except errors.PlatformRevisionExpired:
@@ -167,9 +167,9 @@
                 pauses = SHARED_BACKOFF if has_any() and self.shared() else BACKOFF
                 await asyncio.sleep(dependency.failed(error, pauses) / 1000.0)
 
-    def _news_pause_ms(self) -> float:
+    def _watch_pause_ms(self) -> float:
         if self.shared():
-            return self.state.rng.uniform(*SHARED_NEWS_PAUSE_MS)
+            return self.state.rng.uniform(*SHARED_WATCH_PAUSE_MS)
         return NEWS_PAUSE_MS
 
     def _watch_ms(self) -> int:
@@ -180,14 +180,14 @@
             news = await self.store.list_configuration()
         else:
             version = self.state.configuration_version()
-            news = await _unless_silent(
+            news = await _unless_stale(
                 self.store.watch_configuration(revision, self._watch_ms()),
                 lambda: self.state.configuration_version() > version,
             )
         if news.configuration is not None:
             table = routing_table.build(news.configuration)
             if self.state.adopt_table(table, STORE):
-                self.on_news()
+                self.on_change()
         return news.revision
 
     async def _endpoints(self, revision: int | None) -> int:
@@ -199,7 +199,7 @@
             self.state.unreadable.listed(ENDPOINTS, found.unreadable)
             reached = found.revision
         else:
-            news = await _unless_silent(
+            news = await _unless_stale(
                 self.store.watch_endpoints(revision, self._watch_ms()),
                 lambda: known.changed_revision > revision,
             )
@@ -209,17 +209,17 @@
             reached = news.revision
         self.state.registry_changed(changes, STORE)
         if changes:
-            self.on_news()
+            self.on_change()
         return reached
 
 
-async def _unless_silent(
-    watch: Coroutine[Any, Any, News], told_by_peers: Callable[[], bool]
+async def _unless_stale(
+    watch: Coroutine[Any, Any, News], changed_by_peers: Callable[[], bool]
 ) -> News:
     """Return what a watch answers.
 
     Args:
-      told_by_peers: whether peers told meanwhile of what the watch should have told.
+      changed_by_peers: whether peers told meanwhile of what the watch should have told.
     Raises:
       PlatformAnswerLost: the watch has fallen silent, by what peers told.
     """
@@ -230,8 +230,8 @@
             await asyncio.wait({answer}, timeout=LOOK_MS / 1000.0)
             if answer.done():
                 return answer.result()
-            looks = looks + 1 if told_by_peers() else 0
-            if looks >= SILENT_LOOKS:
+            looks = looks + 1 if changed_by_peers() else 0
+            if looks >= MAX_STALE_CHECKS:
                 raise errors.PlatformAnswerLost("A watch is silent on what peers told.")
     finally:
         answer.cancel()
--- a/plumarch/gateway/store/follower_test.py
+++ b/plumarch/gateway/store/follower_test.py
@@ -33,10 +33,10 @@
 
     def __init__(self, *script: object) -> None:
         self.script = list(script)
-        self.asked: list[str] = []
+        self.calls: list[str] = []
 
-    def next(self, asked: str) -> object:
-        self.asked.append(asked)
+    def next(self, call: str) -> object:
+        self.calls.append(call)
         if not self.script:
             raise Done
         answer = self.script.pop(0)
@@ -70,7 +70,7 @@
             await following.follow_configuration()
 
     asyncio.run(run())
-    return store.asked, state
+    return store.calls, state
 
 
 def news(version: int | None, revision: int) -> ports.ConfigurationUpdate:
@@ -78,26 +78,26 @@
 
 
 def test_a_list_then_watches_from_where_it_ended():
-    asked, state = follow(news(1, 10), news(None, 10), news(2, 15))
-    assert asked == ["list", "watch 10", "watch 10", "watch 15"]
+    calls, state = follow(news(1, 10), news(None, 10), news(2, 15))
+    assert calls == ["list", "watch 10", "watch 10", "watch 15"]
     assert state.table.version == 2
 
 
 def test_a_forgotten_history_is_listed_again_at_once():
-    asked, _ = follow(news(1, 10), errors.PlatformRevisionExpired("gone"), news(2, 30))
-    assert asked == ["list", "watch 10", "list", "watch 30"]
+    calls, _ = follow(news(1, 10), errors.PlatformRevisionExpired("gone"), news(2, 30))
+    assert calls == ["list", "watch 10", "list", "watch 30"]
 
 
 def test_a_node_that_leaves_watching_to_others_lists_once_and_again_when_they_are_gone(monkeypatch):
     monkeypatch.setattr(follower, "NOT_WATCHING_MS", 0.0)
-    asked, _ = follow(news(1, 10), news(2, 20), watches=[False, False, True, True])
-    assert asked == ["list", "list", "watch 20"]
+    calls, _ = follow(news(1, 10), news(2, 20), watches=[False, False, True, True])
+    assert calls == ["list", "list", "watch 20"]
 
 
 def test_after_a_failure_the_short_call_comes_first():
     lost = errors.PlatformAnswerLost("silent")
-    asked, _ = follow(news(1, 10), lost, news(1, 12))
-    assert asked == ["list", "watch 10", "list", "watch 12"]
+    calls, _ = follow(news(1, 10), lost, news(1, 12))
+    assert calls == ["list", "watch 10", "list", "watch 12"]
 
 
 def test_an_older_configuration_never_comes_back():
@@ -135,7 +135,7 @@
         self.given_up = 0
 
     async def watch_configuration(self, revision: int, wait_ms: int) -> object:
-        self.asked.append(f"watch {revision}")
+        self.calls.append(f"watch {revision}")
         self.waiting.set()
         try:
             await asyncio.Event().wait()
@@ -155,13 +155,13 @@
         await store.waiting.wait()
         for _ in range(50):
             await asyncio.sleep(0)
-        assert store.asked == ["list", "watch 10"]
+        assert store.calls == ["list", "watch 10"]
         state.adopt_table(routing_table.build(configuration(2)), "a peer")
         with contextlib.suppress(Done):
             await task
 
     asyncio.run(run())
-    assert store.asked == ["list", "watch 10", "list", "list"]
+    assert store.calls == ["list", "watch 10", "list", "list"]
     assert store.given_up == 1
     assert not state.reaches_store
 
@@ -172,11 +172,11 @@
     monkeypatch.setattr(follower, "NOT_WATCHING_MS", 0.0)
     store = ScriptedStore(errors.PlatformUnavailable("429"), errors.PlatformUnavailable("503"))
     state = gateway_parts.new_state(clock.ManualClock())
-    asked_whether: list[int] = []
+    watch_checks: list[int] = []
 
     def watches() -> bool:
-        asked_whether.append(len(store.asked))
-        return len(asked_whether) > 20
+        watch_checks.append(len(store.calls))
+        return len(watch_checks) > 20
 
     following = follower.Follower(
         state,
@@ -186,12 +186,12 @@
     )
     failed = follower.Dependency.failed
 
-    def told_after_second(*told: object) -> float:
-        if len(store.asked) == 2:
+    def fail_then_adopt(*told: object) -> float:
+        if len(store.calls) == 2:
             state.adopt_table(routing_table.build(configuration(3)), "a peer")
         return failed(*told)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(follower.Dependency, "failed", told_after_second)
+    monkeypatch.setattr(follower.Dependency, "failed", fail_then_adopt)
 
     async def run() -> None:
         with contextlib.suppress(Done):
@@ -199,4 +199,4 @@
 
     asyncio.run(run())
     assert state.table.version == 3
-    assert asked_whether[:20] == [2] * 20
+    assert watch_checks[:20] == [2] * 20
--- a/plumarch/gateway/store/quarantine_record.py
+++ b/plumarch/gateway/store/quarantine_record.py
@@ -26,10 +26,10 @@
 """How long the store holds a watch: changes are rare, and calls are paid for. A connection that
 falls silent is noticed by probes after 3 s."""
 
-KEPT_POINTS = 2 * quarantine.EARLY_POINTS
+MIN_POINTS = 2 * quarantine.EARLY_POINTS
 """Points from which on a request is written: the third end may come where nobody else is heard."""
 
-MAX_KEPT = 64
+MAX_SUSPECTS = 64
 """Requests in the record, the most suspect first; some 400 bytes each, of the megabyte that a value
 may have."""
 
@@ -107,20 +107,20 @@
             found = await self.store.list_records(KIND, stale=self.revision == 0)
             self.state.unreadable.listed(KIND, found.unreadable)
             if not found.found and self.revision:
-                self._lift()
+                self._clear_all()
             for record in found.found:
-                self._take(record)
+                self._apply_record(record)
             return found.revision
         news = await self.store.watch_records(KIND, revision, WATCH_MS)
         changed = [record.name for record in news.changed]
         self.state.unreadable.changed(KIND, [*changed, *news.removed], news.unreadable)
         if NAME in news.removed:
-            self._lift()
+            self._clear_all()
         for record in news.changed:
-            self._take(record)
+            self._apply_record(record)
         return news.revision
 
-    def _take(self, record: records.Record) -> None:
+    def _apply_record(self, record: records.Record) -> None:
         if record.name != NAME or record.revision < self.revision:
             return
         suspects = decode(record.value)
@@ -132,38 +132,38 @@
         self.revision = record.revision
         self.recorded = {one.fingerprint: one for one in suspects}
         for name in suspect_updates.adopt(self.state, suspects, follower.STORE):
-            self._tell(name)
+            self._publish(name)
 
-    def _lift(self) -> None:
+    def _clear_all(self) -> None:
         """Let all requests run again, since operators removed the record."""
         self.revision, self.recorded = 0, {}
         known = self.state.quarantine
         lifted = [name for name in known.suspects if known.clear_suspect(name)]
         self.state.log.write("quarantine_lifted", urgent=True, requests=len(lifted))
         for name in lifted:
-            self._tell(name)
+            self._publish(name)
 
-    def _tell(self, fingerprint: str) -> None:
+    def _publish(self, fingerprint: str) -> None:
         if self.state.publish_suspect is not None:
             self.state.publish_suspect(fingerprint)
 
     # Writing.
 
-    async def keep_forever(self) -> None:
+    async def write_forever(self) -> None:
         """Write what is missing while this node follows the record, forever."""
         while True:
             pause_ms = LOOK_MS
             try:
                 if self.follows():
-                    await self.keep()
+                    await self.write_due()
             except errors.PlatformConflict:
                 # Somebody else wrote first; its watch, or this read, tells what.
-                await self._read()
+                await self._reload()
             except errors.PlatformError as error:
                 pause_ms = self.dependency.failed(error, follower.SHARED_BACKOFF)
             await asyncio.sleep(pause_ms / 1000.0)
 
-    async def keep(self) -> None:
+    async def write_due(self) -> None:
         """Write what is missing once it is due.
 
         Raises:
@@ -185,7 +185,7 @@
         found = []
         for one in self.state.quarantine.suspects.values():
             known = self.recorded.get(one.fingerprint)
-            if known is None and one.points() < KEPT_POINTS:
+            if known is None and one.points() < MIN_POINTS:
                 continue
             merged = quarantine.merge(known or quarantine.Suspect(one.fingerprint), one)
             if merged != known:
@@ -198,7 +198,9 @@
         Raises:
           PlatformConflict: it changed since it was read.
         """
-        wanted = kept({**self.recorded, **{one.fingerprint: one for one in changed}}, self._now())
+        wanted = most_suspect(
+            {**self.recorded, **{one.fingerprint: one for one in changed}}, self._now()
+        )
         record = records.Record(NAME, encode(wanted), self.revision)
         written = await self.store.write_record(KIND, record)
         self.dependency.answered()
@@ -213,14 +215,14 @@
     def _now(self) -> int:
         return self.state.wall.now()
 
-    async def _read(self) -> None:
+    async def _reload(self) -> None:
         try:
             found = await self.store.read_record(KIND, NAME)
         except errors.PlatformError as error:
             self.state.log.write("quarantine_unread", error=str(error))
             return
         if found is not None:
-            self._take(found)
+            self._apply_record(found)
         else:
             self.revision, self.recorded = 0, {}
 
@@ -228,7 +230,7 @@
 
     async def claim(self, fingerprint: str) -> bool:
         """Return whether this node, and no other one, may try a request that is held back now."""
-        await self._read()
+        await self._reload()
         hold = self.state.quarantine.find_quarantined(fingerprint)
         if hold is None:
             return True
@@ -244,18 +246,18 @@
             )
             return False
         self.state.quarantine.record_trial(fingerprint, trials)
-        self._tell(fingerprint)
+        self._publish(fingerprint)
         self.state.log.write(
             "quarantine_trial", urgent=True, fingerprint=fingerprint, trials=trials
         )
         return True
 
 
-def kept(suspects: dict[str, quarantine.Suspect], now: int) -> list[quarantine.Suspect]:
+def most_suspect(suspects: dict[str, quarantine.Suspect], now: int) -> list[quarantine.Suspect]:
     """Return what the record is to hold: the most suspect that are not long past."""
     found = [one for one in suspects.values() if not one.is_over(now)]
     found.sort(key=lambda one: (-one.points(), -one.last_ms(), one.fingerprint))
-    return found[:MAX_KEPT]
+    return found[:MAX_SUSPECTS]
 
 
 def encode(suspects: list[quarantine.Suspect]) -> str:
--- a/plumarch/gateway/store/quarantine_record_test.py
+++ b/plumarch/gateway/store/quarantine_record_test.py
@@ -39,7 +39,7 @@
         node.state.publish_suspect(fingerprint)
 
 
-def without_hold(replay: store_replay.StoreReplay) -> list[str]:
+def not_quarantined(replay: store_replay.StoreReplay) -> list[str]:
     live = replay.fleet.live()
     return [node.name for node in live if node.state.quarantine.find_quarantined("f") is None]
 
@@ -50,9 +50,9 @@
         observe_crashes(replay.fleet.live()[4], 0, 3)
         await replay.run(500)
         replay.restart_all()
-        assert len(without_hold(replay)) == len(replay.fleet.live())
+        assert len(not_quarantined(replay)) == len(replay.fleet.live())
         await replay.run(CONTACT_MS)
-        assert without_hold(replay) == []
+        assert not_quarantined(replay) == []
 
     play(size, test)
 
@@ -65,7 +65,7 @@
         await replay.run(2_000)
         observe_crashes(replay.fleet.live()[0], 0, 3)
         await replay.run(CONTACT_MS)
-        assert without_hold(replay) == []
+        assert not_quarantined(replay) == []
 
     play(size, test)
 
@@ -80,7 +80,7 @@
         observe_crashes(next(node for node in live if node.data_centre != far), 0, 2)
         observe_crashes(next(node for node in live if node.data_centre == far), 2, 1)
         await replay.run(CONTACT_MS)
-        assert without_hold(replay) == []
+        assert not_quarantined(replay) == []
 
     play(size, test)
 
@@ -95,7 +95,7 @@
         await replay.run(6_000)
         replay.restart_all()
         await replay.run(CONTACT_MS)
-        assert without_hold(replay) == []
+        assert not_quarantined(replay) == []
 
     play(SMALL, test)
 
@@ -142,12 +142,12 @@
     async def test(replay: store_replay.StoreReplay) -> None:
         observe_crashes(replay.fleet.live()[0], 0, 3)
         await replay.run(1_000)
-        assert without_hold(replay) == []
+        assert not_quarantined(replay) == []
         replay.store.remove(quarantine_record.KIND, quarantine_record.NAME)
         await replay.run(1_000)
-        assert len(without_hold(replay)) == len(replay.fleet.live())
+        assert len(not_quarantined(replay)) == len(replay.fleet.live())
         await replay.run(10_000)
-        assert len(without_hold(replay)) == len(replay.fleet.live())
+        assert len(not_quarantined(replay)) == len(replay.fleet.live())
 
     play(size, test)
 
@@ -163,7 +163,7 @@
         replay.store.kept[key] = spoiled
         replay.store.wake()
         await replay.run(1_000)
-        assert without_hold(replay) == []
+        assert not_quarantined(replay) == []
         found = quarantine_record.decode(replay.store.kept[key].value)
         assert found is not None and [one.fingerprint for one in found] == ["f"]
 
@@ -179,7 +179,7 @@
         )
         for number in range(200)
     }
-    kept = quarantine_record.kept(found, now)
-    assert len(kept) == quarantine_record.MAX_KEPT
-    assert all(one.is_quarantined() for one in kept)
-    assert quarantine_record.decode(quarantine_record.encode(kept)) == kept
+    most_suspect = quarantine_record.most_suspect(found, now)
+    assert len(most_suspect) == quarantine_record.MAX_SUSPECTS
+    assert all(one.is_quarantined() for one in most_suspect)
+    assert quarantine_record.decode(quarantine_record.encode(most_suspect)) == most_suspect
--- a/plumarch/gateway/store/registration.py
+++ b/plumarch/gateway/store/registration.py
@@ -19,10 +19,10 @@
 SETTLE_MS = 1_500
 """A process that just started hears first how large the fleet is, and who its elders are."""
 
-ALONE_AGAIN_MS = 3_000
+ISOLATED_READ_INTERVAL_MS = 3_000
 """How often a node that hears nobody reads again who there is."""
 
-MIN_FOUND = 2
+MIN_LIVE_NODES = 2
 """Elders of a data centre that are written down and live, below which its record is renewed."""
 
 
@@ -55,10 +55,10 @@
         self.gossip = gossip
         self.store = store
         self.dependency = follower.Dependency(state, "store-nodes")
-        self.begun_ms = state.clock.now()
+        self.started_ms = state.clock.now()
         self.read_ms: int | None = None
         self.known: dict[str, records.Record] = {}
-        self.contested = False
+        self.write_uncertain = False
 
     async def run(self) -> None:
         """Keep the entry right, forever."""
@@ -78,19 +78,19 @@
         """
         now = self.state.clock.now()
         alone = not self.view.live()
-        if self.read_ms is None or (alone and now - self.read_ms >= ALONE_AGAIN_MS):
-            await self._read()
-        if now - self.begun_ms < SETTLE_MS:
+        if self.read_ms is None or (alone and now - self.read_ms >= ISOLATED_READ_INTERVAL_MS):
+            await self._reload()
+        if now - self.started_ms < SETTLE_MS:
             return
         wanted = self._wanted()
         if wanted is not None and not self._is_written(wanted):
             await self._write(wanted)
 
-    async def _read(self) -> None:
+    async def _reload(self) -> None:
         # A list that may be old costs less and names nodes as well; it can't settle what became of
         # a write.
-        found = await self.store.list_records(node_record.KIND, stale=not self.contested)
-        self.contested = False
+        found = await self.store.list_records(node_record.KIND, stale=not self.write_uncertain)
+        self.write_uncertain = False
         self.dependency.answered()
         self.read_ms = self.state.clock.now()
         self.state.unreadable.listed(node_record.KIND, found.unreadable)
@@ -126,7 +126,7 @@
         live = {one.address for one in self.view.neighbours() if self.view.is_alive(one)}
         live.add(self.view.address)
         found = [one for one in written if one.address in live]
-        return len(found) >= min(MIN_FOUND, len(wanted.nodes))
+        return len(found) >= min(MIN_LIVE_NODES, len(wanted.nodes))
 
     async def _write(self, wanted: WantedRecord) -> None:
         name = wanted.name
@@ -137,7 +137,7 @@
             self.known[name] = await self.store.write_record(node_record.KIND, record)
         except (errors.PlatformConflict, errors.PlatformAnswerLost):
             self.read_ms = None
-            self.contested = True
+            self.write_uncertain = True
             raise
         self.dependency.answered()
         self.state.log.write("registered", name=name, nodes=[one.address for one in wanted.nodes])
--- a/plumarch/standins/store_replay.py
+++ b/plumarch/standins/store_replay.py
@@ -233,7 +233,7 @@
         self.quarantines[node.name] = record
         self.tasks[node.name] = [
             asyncio.ensure_future(record.follow_forever()),
-            asyncio.ensure_future(record.keep_forever()),
+            asyncio.ensure_future(record.write_forever()),
             asyncio.ensure_future(following.follow_configuration()),
             asyncio.ensure_future(following.follow_endpoints()),
             asyncio.ensure_future(entry.run()),
