--- a/plumarch/gateway/callers/__init__.py
+++ b/plumarch/gateway/callers/__init__.py
@@ -1,1 +1,1 @@
-"""What callers ask: their connections, requests, identity and admission."""
+"""Callers' connections and requests, and their admission."""
--- a/plumarch/gateway/callers/admission.py
+++ b/plumarch/gateway/callers/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is taken on: route, key, allotment."""
+"""Admits requests by route, key, memory and quota."""
 
 import dataclasses
 import math
@@ -14,24 +14,24 @@
 RETRY_WITHOUT_CONFIGURATION_MS = 500.0
 RETRY_ELSEWHERE_MS = 10.0
 PLAIN_ANSWER_MS = 1_500.0
-"""A plain request that arrives later than this before the end of the process is refused."""
+"""Plain requests are refused when less than this is left before the process stops."""
 
 DEFAULT_DEADLINE_MS = 30_000.0
 
 ROUTE_RANKS = 3
-"""Ranks of routes that are told apart within one rank of a workspace."""
+"""Distinct route ranks within one workspace rank."""
 
 LOWEST_URGENCY = 9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """A final answer of the gateway itself.
+    """A refusal that the gateway itself answers with.
 
     Attributes:
       reason: one word for logs and metrics.
-      retry_after_ms: when to come back, for a request that has not run; else None.
-      units: what it asked of its workspace's allotment.
+      retry_after_ms: for a request that has not run; else None.
+      units: cost of the request in its workspace's quota.
     """
 
     status: int
@@ -43,14 +43,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admitted:
-    """A request that was taken on.
+    """A request that was admitted.
 
     Attributes:
-      units: what it was charged of its workspace's allotment.
-      ends_ms: when it is given up, by the steady clock.
-      prompt_tokens: tokens of its prompt.
-      max_output_tokens: the most tokens that its answer may have.
-      fingerprint: what all tries of the same request share.
+      units: what its workspace's quota was charged.
+      ends_ms: its deadline, by the steady clock.
+      max_output_tokens: maximum length of its answer, in tokens.
+      fingerprint: the same for all tries of the request.
     """
 
     request: caller_requests.CallerRequest
@@ -67,12 +66,12 @@
     fingerprint: str = ""
 
     def workspace_name(self) -> str:
-        """Return the workspace's name, or "" for a public route."""
+        """Return the workspace's name; "" for a public route."""
         return self.workspace.name if self.workspace else ""
 
 
 def urgency(admitted: Admitted) -> int:
-    """Return how urgent a request is to an engine: 0 first; a workspace's rank goes first."""
+    """Return a request's priority at an engine, 0 being first; workspace rank before route rank."""
     return _rank(admitted.workspace, admitted.route)
 
 
@@ -83,7 +82,7 @@
 
 
 def refuse_over_memory_budget(state: fleet_state.FleetState, admitted: Admitted) -> Refusal:
-    """Return the refusal of a request whose workspace may hold no more, and refund it."""
+    """Refund a request and return its refusal: its workspace is over its memory limit."""
     if admitted.workspace is not None:
         state.quota.refund(admitted.workspace, admitted.units)
     back_in_ms = return_times.spread(
@@ -95,7 +94,7 @@
 def admit(
     state: fleet_state.FleetState, request: caller_requests.CallerRequest
 ) -> Admitted | Refusal:
-    """Decide whether a request is taken on, and charge its workspace."""
+    """Admit or refuse a request; charge its workspace if it is admitted."""
     table = state.table
     names = state.names
     if table is None:
@@ -114,13 +113,13 @@
         return Refusal(503, "stopping", RETRY_ELSEWHERE_MS)
     workspace_name = workspace.name if workspace else ""
     fingerprint = request_identity.fingerprint(workspace_name, request)
-    hold = state.quarantine.find_quarantined(fingerprint)
-    if hold is not None and hold.back_in_ms > 0:
-        # Each further run would end one more endpoint, and all that runs beside it.
-        return Refusal(503, "quarantined", float(hold.back_in_ms), workspace_name)
+    quarantined = state.quarantine.find_quarantined(fingerprint)
+    if quarantined is not None and quarantined.back_in_ms > 0:
+        # Another run would crash another endpoint and fail the other requests there.
+        return Refusal(503, "quarantined", float(quarantined.back_in_ms), workspace_name)
     rank = _rank(workspace, route)
-    held = memory_admission.MemoryUsage(state.memory.total(), state.memory.budget)
-    back_in_ms = state.pressure.refuse(held, len(request.body), rank, state.memory.released)
+    usage = memory_admission.MemoryUsage(state.memory.total(), state.memory.budget)
+    back_in_ms = state.pressure.refuse(usage, len(request.body), rank, state.memory.released)
     if back_in_ms is not None:
         back_in_ms = return_times.spread(back_in_ms, state.rng)
         return Refusal(503, "memory", back_in_ms, workspace_name)
@@ -148,17 +147,14 @@
 
 
 def _quota_rank(table: routing_table.RoutingTable, route: traffic.Route) -> int:
-    """Return how urgent a request is among those that share an allotment.
-
-    Plain calls are charged little and never stand back.
-    """
+    """Return a request's rank within its workspace's quota; plain requests always rank first."""
     if route.kind is not traffic.RouteKind.STREAMING:
         return 0
     return max(0, route.priority - table.most_urgent_stream)
 
 
 def _stops_too_soon(state: fleet_state.FleetState, route: traffic.Route) -> bool:
-    """Return whether this process ends before a request of a route is likely to be answered."""
+    """Return whether this process stops before a request is likely to be answered."""
     if state.stops_at_ms is None:
         return False
     if route.kind is traffic.RouteKind.STREAMING:
@@ -188,23 +184,23 @@
 
 
 def requested_timeout_ms(names: dialect.Dialect, headers: caller_requests.Headers) -> float:
-    """Return how long a request may take by its own word, or the default."""
+    """Return the timeout in a request's deadline header, or the default."""
     try:
-        asked = float(dialect.header_value(headers, names.deadline_ms))
+        timeout_ms = float(dialect.header_value(headers, names.deadline_ms))
     except ValueError:
         return DEFAULT_DEADLINE_MS
-    return asked if math.isfinite(asked) else DEFAULT_DEADLINE_MS
+    return timeout_ms if math.isfinite(timeout_ms) else DEFAULT_DEADLINE_MS
 
 
 def _timeout_ms(
     request: caller_requests.CallerRequest, names: dialect.Dialect, route: traffic.Route
 ) -> float:
-    asked = requested_timeout_ms(names, request.headers)
-    return min(asked, route.timeout_ms) if route.timeout_ms > 0 else asked
+    timeout_ms = requested_timeout_ms(names, request.headers)
+    return min(timeout_ms, route.timeout_ms) if route.timeout_ms > 0 else timeout_ms
 
 
 def _service_of(route: traffic.Route, request_id: str) -> str:
-    """Return the service a request goes to, by weight and the same on each node."""
+    """Choose a service by weight; all nodes choose the same one for a request id."""
     if len(route.shares) == 1:
         return route.shares[0].service
     total = sum(share.weight for share in route.shares)
@@ -217,7 +213,7 @@
 
 
 def parse_parts(value: str) -> tuple[traffic.PromptPart, ...]:
-    """Read a prompt's parts, ID:TOKENS by commas; ends at the first that is malformed."""
+    """Parse prompt parts, comma-separated ID:TOKENS, up to the first malformed one."""
     parts = []
     for word in value.split(","):
         name, _, tokens = word.strip().partition(":")
@@ -232,9 +228,9 @@
     headers: Sequence[tuple[bytes, bytes]],
     workspace: traffic.Workspace | None,
 ) -> list[tuple[bytes, bytes]]:
-    """Return a caller's headers as an endpoint may see them.
+    """Return the headers that an endpoint receives.
 
-    Left out are those of the connection, the key, and those that only the gateway may set.
+    Connection headers, the key and headers reserved for the gateway are dropped.
     """
     dropped = dialect.not_for_endpoints(names)
     for name, value in headers:
--- a/plumarch/gateway/callers/admission_test.py
+++ b/plumarch/gateway/callers/admission_test.py
@@ -1,4 +1,4 @@
-"""How urgent a request is to an engine."""
+"""Priority of requests at an engine."""
 
 import dataclasses
 
@@ -34,7 +34,7 @@
     ("route_rank", "workspace_rank", "urgency"),
     [(0, None, 0), (2, None, 2), (0, 0, 0), (1, 0, 1), (0, 1, 3), (2, 1, 5), (9, 0, 2), (2, 9, 9)],
 )
-def test_a_workspaces_rank_goes_before_the_routes(
+def test_workspace_rank_takes_precedence_over_route_rank(
     route_rank: int, workspace_rank: int | None, urgency: int
 ):
     assert admission.urgency(admitted(route_rank, workspace_rank)) == urgency
--- a/plumarch/gateway/callers/caller_connection.py
+++ b/plumarch/gateway/callers/caller_connection.py
@@ -1,7 +1,6 @@
-"""HTTP/1.1 towards callers: limits, keep-alive, and answers that break visibly.
+"""HTTP/1.1 server for callers, on h11.
 
-Framing is h11's. uvicorn offers neither limits on a header's size and time nor a say in how
-an answer ends, so the callers' side of the gateway is a protocol of its own.
+uvicorn can't limit a header's size and time, nor abort an answer so that the caller notices.
 """
 
 import asyncio
@@ -18,34 +17,33 @@
 from plumarch.limits import memory_account
 
 LINGER_S = 1.0
-"""How long unread bytes are taken in after a final answer, so that it is not lost in a reset."""
+"""Time for which bytes are still read after a final answer: closing a socket with unread bytes
+resets the connection, and the caller may lose the answer."""
 
 READ_AHEAD_BYTES = 65_536
-"""Bytes of later requests that are taken in while one is served: a head and a short body."""
+"""Maximum bytes of pipelined requests that are read while a request is served."""
 
 BODY_TIME_MS = 30_000.0
-"""How long a body may take where the request doesn't say how long it may."""
+"""Default time limit for receiving a body."""
 
 CALLER_STALL_MS = 10_000.0
-"""A caller that reads nothing for so long is ended. A judgement: longer than a lost network or a
-caller's busy spell lasts, shorter than most requests' own deadlines."""
+"""A caller that reads nothing for this long is disconnected."""
 
 RETRY_AFTER_MS = 1_000.0
-"""When a caller whose body there was no room for had better come back, where nothing is known of
-how fast memory is given back."""
+"""Default Retry-After of a request whose body exceeds the memory budget."""
 
 
 @dataclasses.dataclass(slots=True)
 class CallerServer:
-    """What all connections of callers share.
+    """State shared by all connections of callers.
 
     Attributes:
-      limits: of the configuration in force.
-      draining: whether each answer ends its connection.
-      memory: what is held for callers.
-      time_allowed_ms: returns how long a request may take, by its headers.
-      on_disconnect: called when a caller is ended: why, and how many bytes it hasn't read.
-      back_in_ms: returns after how long there may be room for so many bytes.
+      limits: of the current configuration.
+      draining: whether connections are closed after each answer.
+      memory: account of the memory reserved for callers.
+      time_allowed_ms: returns a request's timeout from its headers.
+      on_disconnect: called with the reason and the unread bytes when a caller is disconnected.
+      back_in_ms: returns the expected time until a number of bytes is free.
       stall_ms: how long a caller may read nothing.
     """
 
@@ -63,26 +61,26 @@
     stall_ms: float = CALLER_STALL_MS
 
     def connection(self) -> "CallerConnection":
-        """Return the protocol for a new connection."""
+        """Return a protocol for a new connection."""
         return CallerConnection(self)
 
     def busy(self) -> int:
-        """Return how many connections have a request in progress, or a ready answer to read."""
+        """Return the number of connections with a request in progress or an unread answer."""
         return sum(1 for one in self.connections if one.task is not None or one.unread.size)
 
     def close_idle(self) -> None:
-        """End the connections on which no request has begun."""
+        """Close idle connections."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
     def close_all(self) -> None:
-        """End all connections, and with them the requests in progress."""
+        """Abort all connections and their requests."""
         for connection in list(self.connections):
             connection.abort()
 
 
 class CallerConnection(asyncio.Protocol):
-    """One connection of a caller; serves one request at a time."""
+    """A caller's connection; serves one request at a time."""
 
     def __init__(self, server: CallerServer) -> None:
         self.server = server
@@ -105,10 +103,10 @@
         limit = self.server.limits.header_bytes
         return h11.Connection(h11.SERVER, max_incomplete_event_size=limit)
 
-    # Events of the transport.
+    # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for a request."""
+        """Set up the transport and wait for a request."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         keepalive.enable_probes(transport)
@@ -124,14 +122,14 @@
         self._await_request()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes in, and go on as far as they allow."""
+        """Parse received bytes."""
         if self.lingering:
             return
         self.http.receive_data(data)
         self._process_received()
 
     def _process_received(self) -> None:
-        """Go on with what has arrived."""
+        """Process buffered bytes."""
         if self.began_ms < 0 and self.task is None:
             self.began_ms = self.server.clock.now()
             self._set_timer(self.server.limits.header_timeout_ms, self._head_timed_out)
@@ -141,7 +139,7 @@
         self._count_ahead()
 
     def _count_ahead(self) -> None:
-        """Count bytes that arrived and can't be read as a request yet."""
+        """Reserve memory for bytes that aren't parsed yet."""
         ahead = len(self.http.trailing_data[0])
         if not self.server.memory.resize(self.ahead, ahead):
             self.disconnect("no_memory")
@@ -149,16 +147,16 @@
             self.transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """Treat a caller that closed its side as gone.
+        """Cancel the request of a caller that closed its side.
 
-        The connection itself ends when the caller has read all that it was sent, or is cut.
+        The transport closes once the caller has read its answer, or is disconnected.
         """
         if self.task is not None:
             self.task.cancel()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop work for a caller that left."""
+        """Cancel the request and release the connection's memory."""
         self.server.connections.discard(self)
         self._stop_timer()
         if self.output is not None:
@@ -169,14 +167,14 @@
             self.task.cancel()
 
     def pause_writing(self) -> None:
-        """Do nothing: what the caller doesn't read is counted at each write."""
+        """Do nothing: unread bytes are counted at each write."""
 
     def resume_writing(self) -> None:
-        """Note that the caller has read all."""
+        """Update the count of unread bytes."""
         if self.output is not None:
             self.output.count()
 
-    # Reading a request.
+    # Receiving a request
 
     def _await_request(self) -> None:
         self.head = None
@@ -219,7 +217,7 @@
             self._write(self.http.send(informed))
 
     def _handle_body(self, data: bytes) -> None:
-        refused = self.body.take(data)
+        refused = self.body.add(data)
         if refused:
             self._reject(refused)
 
@@ -228,7 +226,7 @@
             self._set_timer(self.body.next_check_ms(self.server.clock.now()), self._check_body)
 
     def _check_body(self) -> None:
-        """Refuse a body that doesn't come; nothing of it was sent on."""
+        """Reject a body that timed out; none of it was sent to an endpoint."""
         self._stop_timer()
         if self.body.timed_out(self.server.clock.now()):
             self._reject(408)
@@ -240,7 +238,7 @@
             self._reject(408)
 
     def _reject(self, status: int) -> None:
-        """Refuse what can't be read as a request, and end the connection."""
+        """Reject a request before it is handled, and close the connection."""
         headers = [(b"connection", b"close")]
         if status == incoming_body.NO_MEMORY:
             back_in_ms = self.server.back_in_ms(self.body.reservation.size)
@@ -249,7 +247,7 @@
         self.send(status, headers, b"")
         self._linger()
 
-    # Serving it.
+    # Serving a request
 
     def _serve(self) -> None:
         assert self.head is not None
@@ -257,7 +255,7 @@
             bytes(self.head.method),
             bytes(self.head.target),
             tuple((bytes(name), bytes(value)) for name, value in self.head.headers),
-            self.body.whole(),
+            self.body.complete(),
             self.began_ms,
         )
         self._stop_timer()
@@ -285,10 +283,10 @@
         else:
             self.transport.abort()
 
-    # The Reply.
+    # caller_requests.Reply
 
     def send(self, status: int, headers: caller_requests.Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         sized = [*headers, (b"content-length", str(len(body)).encode())]
         self.start(status, sized)
         if body and not self._is_head():
@@ -296,7 +294,7 @@
         self.finish()
 
     def start(self, status: int, headers: caller_requests.Headers) -> None:
-        """Begin an answer."""
+        """Start an answer."""
         self.started = True
         named = list(headers)
         if self.server.draining:
@@ -308,60 +306,60 @@
             self._write(self.http.send(response))
 
     def assign(self, workspace: str) -> bool:
-        """Say whose request it is; False if the workspace may not hold as much as it does."""
+        """Charge reserved memory to a workspace; False if that exceeds the workspace's limit."""
         memory = self.server.memory
         return memory.assign(self.unread, workspace) and memory.assign(
             self.body.reservation, workspace
         )
 
     def release_body(self) -> None:
-        """Give back the request's body, which is not sent again."""
+        """Release the request's body."""
         if self.request is not None:
             self.request.body = b""
         self.body.end()
 
     def send_chunk(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the answer's body."""
         self._write(self.http.send(h11.Data(data=data)))
 
     def has_room(self, size: int) -> bool:
-        """Return whether the caller has read all, or little enough for so many bytes more."""
+        """Return whether size more bytes stay within the limit of unread bytes."""
         unread = self.output.unread() if self.output is not None else 0
         if not unread:
             return True
         return unread + size <= self.server.memory.stream_bound(self.unread.workspace)
 
     async def drained(self) -> None:
-        """Wait until the caller has read all that it was sent."""
+        """Wait until the send buffer is empty."""
         if self.output is not None:
             await self.output.empty.wait()
 
     def finish(self) -> None:
-        """End the answer as complete."""
+        """Complete the answer."""
         with contextlib.suppress(h11.LocalProtocolError):
             self._write(self.http.send(h11.EndOfMessage()))
 
     def abort(self) -> None:
-        """End the connection at once; what was not read is dropped."""
+        """Abort the connection; unread bytes are dropped."""
         if self.transport is not None:
             self.transport.abort()
 
     def disconnect(self, reason: str) -> None:
-        """End a caller for what it doesn't read, or for what there is no room for."""
+        """Disconnect a caller that doesn't read, or that needs more memory than is free."""
         if not self.disconnect_reason:
             self.disconnect_reason = reason
             self.server.on_disconnect(reason, self.unread.size)
         self.abort()
 
-    # The end of a connection.
+    # Closing
 
     def close_if_idle(self) -> None:
-        """End the connection unless a request has begun."""
+        """Close the connection unless a request has begun."""
         if self.began_ms < 0 and self.task is None and self.transport is not None:
             self.transport.close()
 
     def _linger(self) -> None:
-        """Close, but first take in what the caller still sends."""
+        """Close the sending side, and discard what the caller still sends for a while."""
         if self.transport is None or self.lingering:
             return
         self.lingering = True
@@ -371,14 +369,12 @@
                 self.transport.write_eof()
 
     def _end_linger(self) -> None:
-        """End the connection, but not before the caller has read its answer, or is cut."""
+        """Abort the connection once the caller has read its answer."""
         if self.output is not None and self.output.unread():
             self._set_timer(LINGER_S * 1000.0, self._end_linger)
         else:
             self.abort()
 
-    # Small things.
-
     def _is_head(self) -> bool:
         return self.head is not None and bytes(self.head.method) == b"HEAD"
 
@@ -398,5 +394,5 @@
 
 
 def _declared_size(head: h11.Request) -> int:
-    """Return the length that a request's body is said to have; h11 lets only numbers through."""
+    """Return the Content-Length of a request, which h11 has checked to be a number."""
     return int(dialect.header_value(head.headers, b"content-length") or 0)
--- a/plumarch/gateway/callers/caller_requests.py
+++ b/plumarch/gateway/callers/caller_requests.py
@@ -1,4 +1,4 @@
-"""A caller's request, its answer, and who serves it, as the parts of the gateway see them."""
+"""Interfaces of a caller's request, its reply and the request handler."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -21,15 +21,15 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-"""Words beside the statuses that the gateway itself answers with."""
+"""Reason phrases of the statuses that the gateway itself answers with."""
 
 
 @dataclasses.dataclass(slots=True)
 class CallerRequest:
-    """A request read whole.
+    """A request that was received completely.
 
     Attributes:
-      body: emptied once it is certain that it isn't sent again.
+      body: emptied once the request can't be sent to another endpoint.
       headers: names in lower case.
       began_ms: when its first byte arrived.
     """
@@ -50,50 +50,50 @@
 
     Attributes:
       started: whether its head was sent.
-      disconnect_reason: why it was cut short by the gateway, or "".
+      disconnect_reason: why the gateway disconnected the caller, or "".
     """
 
     started: bool
     disconnect_reason: str
 
     def assign(self, workspace: str) -> bool:
-        """Say whose request it is; False if the workspace may not hold as much as it does."""
+        """Charge reserved memory to a workspace; False if that exceeds the workspace's limit."""
         ...
 
     def send(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         ...
 
     def start(self, status: int, headers: Headers) -> None:
-        """Begin an answer whose length is not known."""
+        """Start an answer of unknown length."""
         ...
 
     def release_body(self) -> None:
-        """Give back the request's body, which is not sent again."""
+        """Release the request's body."""
         ...
 
     def send_chunk(self, data: bytes) -> None:
-        """Send a part of its body."""
+        """Send a chunk of the answer's body."""
         ...
 
     def has_room(self, size: int) -> bool:
-        """Return whether the caller has read enough to be sent so many bytes more."""
+        """Return whether size more bytes stay within the limit of unread bytes."""
         ...
 
     async def drained(self) -> None:
-        """Wait until the caller has read all that it was sent."""
+        """Wait until the send buffer is empty."""
         ...
 
     def disconnect(self, reason: str) -> None:
-        """End the answer so, because the caller does not read it."""
+        """Disconnect a caller that doesn't read its answer."""
         ...
 
     def finish(self) -> None:
-        """End the answer as complete."""
+        """Complete the answer."""
         ...
 
     def abort(self) -> None:
-        """End the answer so that the caller sees that it is not complete."""
+        """Abort the connection, so that the caller sees an incomplete answer."""
         ...
 
 
@@ -101,10 +101,10 @@
     """Serves requests."""
 
     async def handle(self, request: CallerRequest, reply: Reply) -> None:
-        """Answer one request; cancelled if the caller leaves."""
+        """Answer one request; cancelled if the caller disconnects."""
         ...
 
 
 def reason(status: int) -> bytes:
-    """Return the words beside a status, or b"" for one that the gateway gives none."""
+    """Return a status's reason phrase, or b"" if there is none."""
     return REASONS.get(status, b"")
--- a/plumarch/gateway/callers/incoming_body.py
+++ b/plumarch/gateway/callers/incoming_body.py
@@ -1,4 +1,4 @@
-"""The body of a caller's request while it arrives: bounded in bytes, time and pauses."""
+"""A request body that is being received, limited in size, time and idle time."""
 
 from collections.abc import Hashable
 
@@ -7,18 +7,17 @@
 
 TOO_LARGE = 413
 NO_MEMORY = 503
-"""Statuses to refuse with: the body is over the caller's limit, or this node can't hold it."""
+"""Statuses: the body exceeds the size limit, or this node's memory budget."""
 
 
 class IncomingBody:
-    """A body that arrives, and is kept until its request is answered.
+    """A request body; its memory stays reserved until the request is answered.
 
     Attributes:
-      reservation: what counts its bytes in the node's account of memory.
-      data: what has arrived; emptied once the body is whole.
-      limits: what the caller may send.
-      last_seen_ms: when bytes came last.
-      ends_ms: when the request is given up.
+      reservation: its bytes in the node's memory account.
+      data: bytes received; emptied once the body is complete.
+      last_seen_ms: when bytes were last received.
+      ends_ms: deadline of the request.
     """
 
     def __init__(self, memory: memory_account.MemoryAccount, connection: Hashable) -> None:
@@ -32,17 +31,17 @@
         self.ends_ms = 0.0
 
     def begin(self, limits: traffic.CallerLimits, now: int, ends_ms: float) -> None:
-        """Expect a body."""
+        """Start receiving a body."""
         self.limits = limits
         self.last_seen_ms = now
         self.ends_ms = ends_ms
 
     def note_received(self, now: int) -> None:
-        """Note that bytes came."""
+        """Record that bytes were received."""
         self.last_seen_ms = now
 
-    def take(self, data: bytes) -> int:
-        """Take bytes in.
+    def add(self, data: bytes) -> int:
+        """Add received bytes.
 
         Returns:
           0, or the status to refuse the request with.
@@ -56,22 +55,22 @@
         return 0
 
     def timed_out(self, now: int) -> bool:
-        """Return whether nothing came for too long, or the request's time is over."""
+        """Return whether the idle timeout or the request's deadline has passed."""
         return now >= self.ends_ms or now - self.last_seen_ms >= self.limits.idle_timeout_ms
 
     def next_check_ms(self, now: int) -> float:
-        """Return in which time the body may first be too slow."""
+        """Return the time until the body can first time out."""
         return max(1.0, min(self.ends_ms, self.last_seen_ms + self.limits.idle_timeout_ms) - now)
 
-    def whole(self) -> bytes:
-        """Return the body, which is counted until the end of its request."""
+    def complete(self) -> bytes:
+        """Return the complete body; its memory stays reserved."""
         found = bytes(self.data)
         self.data.clear()
         self.memory.change_purpose(self.reservation, memory_account.Purpose.KEPT_BODIES)
         return found
 
     def end(self) -> None:
-        """Give back what was held."""
+        """Release the reserved memory."""
         self.data.clear()
         self.memory.resize(self.reservation, 0)
         self.memory.assign(self.reservation, "")
--- a/plumarch/gateway/callers/request_identity_test.py
+++ b/plumarch/gateway/callers/request_identity_test.py
@@ -1,4 +1,4 @@
-"""What is the same in all tries of a request, and what isn't."""
+"""Fingerprints of requests."""
 
 from plumarch.gateway.callers import caller_requests, request_identity
 
@@ -14,13 +14,13 @@
     return caller_requests.CallerRequest(**{**given, **changes})
 
 
-def test_tries_under_new_ids_and_at_other_times_are_the_same_request():
+def test_retries_with_other_ids_and_times_have_the_same_fingerprint():
     first = request_identity.fingerprint("w", request())
     again = request(headers=((b"x-request-id", b"r2"), (b"last-event-id", b"4")), began_ms=900)
     assert request_identity.fingerprint("w", again) == first
 
 
-def test_another_caller_path_method_or_body_is_another_request():
+def test_workspace_path_method_and_body_change_the_fingerprint():
     first = request_identity.fingerprint("w", request())
     others = {
         request_identity.fingerprint("v", request()),
--- a/plumarch/gateway/callers/slow_requests_test.py
+++ b/plumarch/gateway/callers/slow_requests_test.py
@@ -54,7 +54,7 @@
     body = new_body()
     for now in range(1_000, 1_500, 90):
         body.note_received(now)
-        assert body.take(b"x") == 0
+        assert body.add(b"x") == 0
         assert not body.timed_out(now + 89) or now + 89 >= 1_500
     assert not body.timed_out(1_499)
     assert body.timed_out(1_500)
@@ -70,9 +70,9 @@
 
 def test_bytes_of_a_body_are_counted_until_its_request_is_answered():
     body = new_body()
-    assert body.take(b"x" * 5_000) == 0
-    assert body.take(b"x") == incoming_body.TOO_LARGE
-    assert body.whole() == b"x" * 5_000
+    assert body.add(b"x" * 5_000) == 0
+    assert body.add(b"x") == incoming_body.TOO_LARGE
+    assert body.complete() == b"x" * 5_000
     held = body.memory.held
     assert held[memory_account.Purpose.KEPT_BODIES] == 5_000
     body.end()
@@ -81,7 +81,7 @@
 
 
 def test_a_body_for_which_there_is_no_room_is_refused():
-    assert new_body(budget=60).take(b"x" * 11) == incoming_body.NO_MEMORY
+    assert new_body(budget=60).add(b"x" * 11) == incoming_body.NO_MEMORY
 
 
 @pytest.mark.parametrize(
