--- a/plumarch/gateway/connections/__init__.py
+++ b/plumarch/gateway/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to callers and endpoints: writing, asking, probing, and the runs on them."""
+"""Connections: requests to endpoints, write buffers, keep-alive probes, and open runs."""
--- a/plumarch/gateway/connections/exchange.py
+++ b/plumarch/gateway/connections/exchange.py
@@ -1,8 +1,6 @@
-"""HTTP/1.1 towards endpoints and platforms: one connection, full control over its bytes.
+"""HTTP/1.1 client connections to endpoints and platforms, on h11.
 
-Framing is h11's; h11 does no I/O, so that this module decides when a byte is sent and whether
-a connection is used again. Libraries with connection pools repeat some calls by themselves,
-which a request that may run once can't bear.
+HTTP clients with connection pools retry some requests by themselves; a request here may run once.
 """
 
 import asyncio
@@ -20,28 +18,27 @@
 ReceivedEvent = h11.Response | h11.Data | h11.EndOfMessage
 
 READ_BYTES = 16_384
-"""Bytes that are read from a connection at once. Many connections are read in one turn of the
-loop, before any of the bytes is passed on."""
+"""Maximum bytes of one read; small, as one iteration of the event loop reads many connections."""
 
 READ_AHEAD_BYTES = 65_536
-"""Bytes that are taken in while nobody asks for them; then the connection is not read."""
+"""Unparsed bytes above which reading is paused."""
 
 REQUEST_STALL_MS = 3_000.0
-"""How long an endpoint may take no byte of a request. As long as a silent peer is waited for."""
+"""An endpoint that accepts no byte of a request for this long is given up."""
 
 READ_BUFFER = bytearray(READ_BYTES)
-"""Where bytes arrive, for all connections: they are copied out before the next read."""
+"""Shared by all connections; bytes are copied out of it before the next read."""
 
 
 class Exchange(asyncio.BufferedProtocol):
     """A connection on which requests are sent and answers are read as events.
 
     Attributes:
-      unparsed: bytes that arrived and were not asked for yet, at most.
+      unparsed: upper bound of the received bytes that are not parsed yet.
       is_paused: whether reading waits for resume().
-      nothing_accepted: whether the connection was given up before it accepted a byte of a request.
-      peer_restarted: whether it was given up because the endpoint is known to have ended.
-      outgoing: counts the request while the endpoint reads it, if it is counted.
+      nothing_accepted: whether it was closed before the endpoint accepted a byte of the request.
+      peer_restarted: whether it was closed because the endpoint has restarted.
+      outgoing: tracks the request while the endpoint reads it, if its memory is counted.
     """
 
     def __init__(self) -> None:
@@ -57,17 +54,17 @@
         self.outgoing: outgoing.Outgoing | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; notice a silent peer."""
+        """Keep the transport and enable keep-alive probes."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         keepalive.enable_probes(transport)
 
     def get_buffer(self, sizehint: int) -> bytearray:
-        """Return where to put the bytes that come next."""
+        """Return the shared read buffer."""
         return READ_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Take bytes in."""
+        """Pass received bytes to the parser."""
         try:
             self.http.receive_data(bytes(memoryview(READ_BUFFER)[:nbytes]))
         except (h11.RemoteProtocolError, RuntimeError) as error:
@@ -78,27 +75,27 @@
         self.arrived.set()
 
     def pause(self) -> None:
-        """Read nothing from the endpoint until resume()."""
+        """Pause reading until resume()."""
         self.is_paused = True
         if self.transport is not None:
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read again."""
+        """Resume reading."""
         self.is_paused = False
         if self.transport is not None:
             self.transport.resume_reading()
 
     def pause_writing(self) -> None:
-        """Do nothing: what the endpoint doesn't read is counted at each write."""
+        """Do nothing: unread bytes are counted at each write."""
 
     def resume_writing(self) -> None:
-        """Note that the endpoint has read all."""
+        """Update the count of unread bytes."""
         if self.outgoing is not None:
             self.outgoing.count()
 
     def eof_received(self) -> bool:
-        """Note an orderly end of the peer's bytes."""
+        """Record an orderly end of the peer's data."""
         if not self.at_eof:
             self.at_eof = True
             try:
@@ -109,7 +106,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note the end of the connection; without an orderly end it is a reset."""
+        """Record the end of the connection; without a preceding EOF it is a fault."""
         if not self.at_eof:
             self.fault = self.fault or f"connection lost: {exc or 'closed'}"
         if self.outgoing is not None:
@@ -125,17 +122,17 @@
         memory: memory_account.MemoryAccount | None = None,
         workspace: str = "",
     ) -> None:
-        """Write a whole request.
+        """Write a complete request.
 
         Args:
-          memory: where the request counts until the endpoint has read it, if it does.
-          workspace: whose request it is.
+          memory: account that the request is charged to until the endpoint has read it, if any.
+          workspace: name of the request's workspace.
         Raises:
-          ConnectFailed: the connection has ended: no byte is sent.
-          SendBufferFull: the request can't be held: no byte is sent.
+          ConnectFailed: the connection has ended; no byte was sent.
+          SendBufferFull: there is no memory for the request; no byte was sent.
         """
         if self.transport is None or self.transport.is_closing():
-            raise errors.ConnectFailed("The connection ended before the request. Try again.")
+            raise errors.ConnectFailed("The connection closed before the request. Try again.")
         try:
             parts = [
                 self.http.send(h11.Request(method=method, target=target, headers=list(headers)))
@@ -158,7 +155,7 @@
         purpose = memory_account.Purpose.UNSENT_REQUESTS
         reservation = memory_account.Reservation(self, workspace, purpose)
         if not memory.resize(reservation, len(request)):
-            raise errors.SendBufferFull("The request can't be held. Ask another node.")
+            raise errors.SendBufferFull("No memory to send the request. Try another node.")
         if len(request) > outgoing.KERNEL_UNSENT_BYTES:
             outgoing.limit_kernel_buffer(self.transport)
         self.transport.write(request)
@@ -171,7 +168,7 @@
         self.outgoing.track(len(request))
 
     def _handle_stall(self) -> None:
-        """Give up an endpoint that doesn't read its request."""
+        """Close the connection to an endpoint that doesn't read its request."""
         assert self.outgoing is not None
         self.nothing_accepted = self.outgoing.unread() == self.outgoing.written
         self.fault = self.fault or "the endpoint does not read the request"
@@ -179,11 +176,11 @@
         self.arrived.set()
 
     async def next(self) -> ReceivedEvent:
-        """Return the next part of the answer; informational answers are skipped.
+        """Return the next event of the answer; informational answers are skipped.
 
         Raises:
-          NotDispatched: no byte of the request was accepted.
-          ConnectionBroken: the answer broke off or is not HTTP.
+          NotDispatched: the endpoint accepted no byte of the request.
+          ConnectionBroken: the answer is incomplete or not HTTP.
         """
         while True:
             event = self._parse()
@@ -196,25 +193,25 @@
             await self.arrived.wait()
 
     async def next_within(self, wait_ms: float) -> ReceivedEvent:
-        """Return the next part of the answer if it comes in time.
+        """Return the next event of the answer.
 
         Raises:
-          ConnectionBroken: the answer broke off or is not HTTP.
-          AnswerTimeout: nothing came.
+          ConnectionBroken: the answer is incomplete or not HTTP.
+          AnswerTimeout: nothing was received within wait_ms.
         """
         try:
             async with asyncio.timeout(max(0.001, wait_ms / 1000.0)):
                 return await self.next()
         except TimeoutError as error:
-            raise errors.AnswerTimeout(f"nothing came for {wait_ms:.0f} ms") from error
+            raise errors.AnswerTimeout(f"nothing received for {wait_ms:.0f} ms") from error
 
     def _broken_error(self) -> errors.ExchangeError:
         if self.nothing_accepted:
             return errors.NotDispatched(self.fault)
-        return errors.ConnectionBroken(self.fault or "the connection ended")
+        return errors.ConnectionBroken(self.fault or "the peer closed the connection")
 
     def _continue_reading(self) -> None:
-        """Read on: what arrived is parsed as far as it goes."""
+        """Resume reading once all received bytes are parsed."""
         self.unparsed = 0
         if not self.is_paused and self.transport is not None:
             self.transport.resume_reading()
@@ -234,7 +231,7 @@
         """Read the rest of an answer's body.
 
         Raises:
-          ConnectionBroken: it broke off, or is longer than the limit.
+          ConnectionBroken: it is incomplete, or longer than limit bytes.
         """
         parts: list[bytes] = []
         size = 0
@@ -249,11 +246,7 @@
                     raise errors.ConnectionBroken(f"the answer is longer than {limit} bytes")
 
     def reuse(self) -> bool:
-        """Make ready for another request.
-
-        Returns:
-          False if this connection can't serve another one.
-        """
+        """Prepare for another request; return False if the connection can't be reused."""
         if self.fault or self.at_eof or self.http.trailing_data[0]:
             return False
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
@@ -262,14 +255,14 @@
         return True
 
     def close_restarted(self, why: str) -> None:
-        """Give the connection up, since the process at its other end is no more."""
+        """Close the connection, since the process at its other end has restarted."""
         self.peer_restarted = True
         self.fault = self.fault or why
         self.close()
         self.arrived.set()
 
     def close(self) -> None:
-        """End the connection at once; a request in progress is thereby cancelled."""
+        """Abort the connection, which cancels a request in progress."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -279,9 +272,9 @@
 
     Args:
       address: IP:port.
-      timeout_ms: the longest time to wait.
+      timeout_ms: maximum time to wait.
     Raises:
-      ConnectFailed: it did not come up.
+      ConnectFailed: no connection within the timeout.
     """
     loop = asyncio.get_running_loop()
     try:
@@ -293,11 +286,11 @@
 
 
 async def is_listening(address: str, timeout_ms: float) -> bool | None:
-    """Return whether a process takes connections at an address, or None if nothing answered.
+    """Return whether a process accepts connections at an address, or None if unknown.
 
     Args:
       address: IP:port.
-      timeout_ms: the longest time to wait.
+      timeout_ms: maximum time to wait.
     """
     loop = asyncio.get_running_loop()
     try:
--- a/plumarch/gateway/connections/keepalive.py
+++ b/plumarch/gateway/connections/keepalive.py
@@ -1,27 +1,20 @@
-"""Keep-alive probes: how a connection that fell silent is noticed.
-
-A peer that lost power, lies behind a cut, or whose connection a box on the way forgot says nothing
-at all. Bytes that it does not acknowledge show that; while only an answer is awaited, nothing but
-probes does. Without them the caller of a stream that may not be repeated, whose engine went dark,
-hears nothing until its deadline.
-"""
+"""TCP keep-alive probes, which detect an unreachable peer while only an answer is awaited."""
 
 import asyncio
 import socket
 
 USER_TIMEOUT_MS = 3_000
-"""Bytes or probes unacknowledged for this long mean that the peer is unreachable. A judgement:
-longer than a resumable stream's patience, and than a lost packet and its second try."""
+"""The kernel closes a connection whose bytes or probes are unacknowledged for this long."""
 
 IDLE_S = 1
 INTERVAL_S = 1
 PROBES = 2
-"""A connection is probed after a second without bytes, each second, and is over after two probes
-in a row without an answer: three seconds after the peer was heard last."""
+"""An idle connection is probed each second and closed after two unanswered probes, which is 3 s
+after the peer's last packet."""
 
 
 def enable_probes(transport: asyncio.BaseTransport) -> None:
-    """Let the kernel probe a connection, and end it when the peer stays silent."""
+    """Let the kernel probe a connection, and close it when the peer is unreachable."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
@@ -33,13 +26,12 @@
 
 
 def extend_timeout(transport: asyncio.BaseTransport, more_ms: int) -> None:
-    """Let the kernel wait longer for a peer that has no room for bytes.
+    """Extend the kernel's timeout for a peer that is slow to read.
 
-    It counts the time of a peer that answers its probes but has no room for more like that of a
-    silent one.
+    TCP_USER_TIMEOUT also closes a connection whose peer answers probes but whose window is full.
 
     Args:
-      more_ms: on top of the time that a silent peer is waited for; 0 for that time again.
+      more_ms: added to USER_TIMEOUT_MS.
     """
     sock = transport.get_extra_info("socket")
     if sock is not None and sock.fileno() >= 0:
--- a/plumarch/gateway/connections/keepalive_test.py
+++ b/plumarch/gateway/connections/keepalive_test.py
@@ -1,4 +1,4 @@
-"""Connections on both sides are probed."""
+"""Keep-alive options of connections to callers and endpoints."""
 
 import asyncio
 import socket
--- a/plumarch/gateway/connections/open_runs.py
+++ b/plumarch/gateway/connections/open_runs.py
@@ -1,8 +1,6 @@
-"""The connections on which requests run, by endpoint: they are over once it has started again.
+"""Connections with a request in progress, closed when their endpoint has restarted.
 
-A machine that ends without a word leaves its connections silent. The word that its process was born
-anew is proof that all that ran at the old one is lost; without it a request waits for its time
-limit.
+A VM that loses power resets no connection, so that its requests would wait for their deadline.
 """
 
 import dataclasses
@@ -12,30 +10,26 @@
 
 @dataclasses.dataclass(slots=True)
 class OpenRuns:
-    """The open connections of requests, by identifier of the endpoint."""
+    """Connections with a request in progress, by endpoint identifier."""
 
     by_endpoint: dict[str, set[exchange.Exchange]] = dataclasses.field(default_factory=dict)
 
     def begin(self, endpoint: str, connection: exchange.Exchange) -> None:
-        """Note a connection on which a request was sent."""
+        """Add a connection on which a request was sent."""
         self.by_endpoint.setdefault(endpoint, set()).add(connection)
 
     def end(self, endpoint: str, connection: exchange.Exchange) -> None:
-        """Forget a connection that is over."""
-        there = self.by_endpoint.get(endpoint)
-        if there is None:
+        """Remove a connection."""
+        connections = self.by_endpoint.get(endpoint)
+        if connections is None:
             return
-        there.discard(connection)
-        if not there:
+        connections.discard(connection)
+        if not connections:
             del self.by_endpoint[endpoint]
 
     def close_all(self, endpoint: str) -> int:
-        """End all that runs at an endpoint whose process is no more.
-
-        Returns:
-          How many requests ran there.
-        """
-        there = self.by_endpoint.pop(endpoint, set())
-        for connection in there:
-            connection.close_restarted("the endpoint has started again")
-        return len(there)
+        """Close all connections to a restarted endpoint; return their number."""
+        connections = self.by_endpoint.pop(endpoint, set())
+        for connection in connections:
+            connection.close_restarted("the endpoint has restarted")
+        return len(connections)
--- a/plumarch/gateway/connections/outgoing.py
+++ b/plumarch/gateway/connections/outgoing.py
@@ -1,7 +1,6 @@
-"""Bytes on their way to a peer: counted while it doesn't read them, ended when it reads nothing.
+"""Write buffers of connections, counted in the node's memory account; stalled peers are reported.
 
-asyncio's transports take any amount of bytes and keep what the socket doesn't accept. Here that
-rest is counted in the node's account of memory; bytes for which there is no room are not kept.
+asyncio's transports buffer any number of bytes that the socket doesn't accept.
 """
 
 import asyncio
@@ -15,22 +14,20 @@
 from plumarch.limits import memory_account, read_progress
 
 CHECK_MS = 1_000.0
-"""How often a peer with bytes to read is looked at; well below the times that it is allowed, and
-below the one after which the kernel ends a peer that has no room."""
+"""Interval of the checks for a stalled peer; must be below keepalive.USER_TIMEOUT_MS."""
 
 KERNEL_UNSENT_BYTES = 65_536
-"""Unsent bytes that the kernel takes over for a connection. More would be memory that is not
-counted here, and is not needed: what is on its way already is bounded by TCP itself."""
+"""Limit of a connection's unsent bytes in the kernel, whose memory is not counted here."""
 
 
 class Outgoing:
     """The bytes written to one connection.
 
     Attributes:
-      written: bytes since the start.
-      empty: set while all bytes were accepted by the socket.
-      extra_timeout_ms: how much longer the kernel waits for the peer than for others.
-      stalled: called when the peer took none for too long.
+      written: total number of bytes.
+      empty: set while the socket has accepted all bytes.
+      extra_timeout_ms: added to the kernel's timeout of the connection.
+      stalled: called when the peer has read nothing for too long.
     """
 
     def __init__(
@@ -51,14 +48,14 @@
         self.timer: asyncio.TimerHandle | None = None
         self.empty = asyncio.Event()
         self.empty.set()
-        # The transport tells of each time that its buffer is empty again, whatever its size was.
+        # With a limit of 0 the transport calls resume_writing whenever its buffer is empty.
         transport.set_write_buffer_limits(0)
 
     def write(self, data: bytes) -> bool:
-        """Write.
+        """Write bytes.
 
         Returns:
-          False if what the socket didn't accept may not be held: the connection must be aborted.
+          False if there is no memory for unread bytes: the connection must be aborted.
         """
         if self.transport.is_closing():
             return True
@@ -66,23 +63,23 @@
         return self.track(len(data))
 
     def track(self, size: int) -> bool:
-        """Count bytes that were just written, and look later whether the peer takes them.
+        """Count bytes that were just written, and check later whether the peer reads them.
 
         Returns:
-          False if what the socket didn't accept may not be held.
+          False if there is no memory for unread bytes.
         """
         if self.timer is None:
-            # Nothing was under way: the peer has taken all that was written before.
+            # The peer has acknowledged all earlier bytes.
             self.progress.begin(self.written, _now_ms())
             self._check_later()
         self.written += size
         return self.count()
 
     def count(self) -> bool:
-        """Count what the socket didn't accept yet.
+        """Reserve memory for bytes that the socket hasn't accepted.
 
         Returns:
-          False if so much may not be held.
+          False if there is no memory for them.
         """
         unread = self.unread()
         if not unread and not self.reservation.size:
@@ -96,15 +93,15 @@
         return True
 
     def unread(self) -> int:
-        """Return the bytes that the socket didn't accept."""
+        """Return the number of bytes that the socket hasn't accepted."""
         return self.transport.get_write_buffer_size()
 
     def acknowledged(self) -> int:
-        """Return the bytes that the peer acknowledged, as far as the system tells."""
+        """Return the number of bytes that the peer has acknowledged."""
         return self.written - self.unread() - _unacknowledged_bytes(self.transport)
 
     def end(self) -> None:
-        """Stop counting: the connection is over, and its buffers are gone."""
+        """Stop tracking and release the reserved memory."""
         self._stop_timer()
         self.memory.resize(self.reservation, 0)
         self.empty.set()
@@ -116,7 +113,7 @@
         if acknowledged == self.written:
             self._extend_timeout(0)
             return
-        # The kernel must not end the peer before its time to read is over.
+        # The kernel must not close the connection before the stall limit.
         self._extend_timeout(round(self.progress.limit_ms))
         if self.progress.stalled(acknowledged, _now_ms()):
             self.stalled()
@@ -139,23 +136,23 @@
 
 
 def limit_kernel_buffer(transport: asyncio.BaseTransport) -> None:
-    """Bound the unsent bytes that the kernel keeps for a connection."""
+    """Limit the unsent bytes that the kernel buffers for a connection."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, KERNEL_UNSENT_BYTES)
 
 
 def _unacknowledged_bytes(transport: asyncio.BaseTransport) -> int:
-    """Return the bytes in the kernel that the peer did not acknowledge.
+    """Return the number of bytes in the kernel that the peer has not acknowledged.
 
-    The kernel asks for more bytes only after a large part of its buffer is free. A slow peer
-    would look like one that reads nothing by that alone.
+    A socket becomes writable only once much of its buffer is free, so that writability alone would
+    make a slow peer look stalled.
     """
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return 0
-    answer = fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, struct.pack("i", 0))
-    return int(struct.unpack("i", answer)[0])
+    pending = fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, struct.pack("i", 0))
+    return int(struct.unpack("i", pending)[0])
 
 
 def _now_ms() -> float:
