--- a/plumarch/gateway/store/follower_test.py
+++ b/plumarch/gateway/store/follower_test.py
@@ -1,4 +1,4 @@
-"""Following a store that fails, forgets its history, and comes back."""
+"""Following a store that fails, expires its history, and recovers."""
 
 import asyncio
 import contextlib
@@ -25,11 +25,11 @@
 
 
 class Done(Exception):
-    """The script of a store is over."""
+    """The store's script has ended."""
 
 
 class ScriptedStore:
-    """Answers calls from a script, and keeps what was asked."""
+    """Answers calls from a script and records them."""
 
     def __init__(self, *script: object) -> None:
         self.script = list(script)
@@ -73,61 +73,61 @@
     return store.calls, state
 
 
-def news(version: int | None, revision: int) -> ports.ConfigurationUpdate:
+def update(version: int | None, revision: int) -> ports.ConfigurationUpdate:
     return ports.ConfigurationUpdate(configuration(version) if version else None, revision)
 
 
-def test_a_list_then_watches_from_where_it_ended():
-    calls, state = follow(news(1, 10), news(None, 10), news(2, 15))
+def test_watches_continue_from_the_revision_of_the_list():
+    calls, state = follow(update(1, 10), update(None, 10), update(2, 15))
     assert calls == ["list", "watch 10", "watch 10", "watch 15"]
     assert state.table.version == 2
 
 
-def test_a_forgotten_history_is_listed_again_at_once():
-    calls, _ = follow(news(1, 10), errors.PlatformRevisionExpired("gone"), news(2, 30))
+def test_an_expired_revision_is_listed_again_at_once():
+    calls, _ = follow(update(1, 10), errors.PlatformRevisionExpired("gone"), update(2, 30))
     assert calls == ["list", "watch 10", "list", "watch 30"]
 
 
-def test_a_node_that_leaves_watching_to_others_lists_once_and_again_when_they_are_gone(monkeypatch):
+def test_a_node_that_does_not_watch_lists_once_and_again_when_it_has_to_watch(monkeypatch):
     monkeypatch.setattr(follower, "NOT_WATCHING_MS", 0.0)
-    calls, _ = follow(news(1, 10), news(2, 20), watches=[False, False, True, True])
+    calls, _ = follow(update(1, 10), update(2, 20), watches=[False, False, True, True])
     assert calls == ["list", "list", "watch 20"]
 
 
-def test_after_a_failure_the_short_call_comes_first():
+def test_a_failed_watch_is_followed_by_a_list():
     lost = errors.PlatformAnswerLost("silent")
-    calls, _ = follow(news(1, 10), lost, news(1, 12))
+    calls, _ = follow(update(1, 10), lost, update(1, 12))
     assert calls == ["list", "watch 10", "list", "watch 12"]
 
 
-def test_an_older_configuration_never_comes_back():
-    _, state = follow(news(5, 10), news(4, 11))
+def test_an_older_configuration_is_not_adopted():
+    _, state = follow(update(5, 10), update(4, 11))
     assert state.table.version == 5
 
 
-def test_what_cannot_be_read_changes_nothing():
-    _, state = follow(news(5, 10), errors.PlatformNonsense("?"), news(6, 11))
+def test_a_malformed_answer_changes_nothing():
+    _, state = follow(update(5, 10), errors.PlatformNonsense("?"), update(6, 11))
     assert state.table.version == 6
 
 
-def test_loss_and_return_are_each_told_once():
+def test_loss_and_recovery_are_each_logged_once():
     down = errors.PlatformUnavailable("down")
-    _, state = follow(news(1, 10), down, down, down, news(1, 10))
+    _, state = follow(update(1, 10), down, down, down, update(1, 10))
     lines = bytes(state.log.pending).decode()
     assert lines.count('"kind":"lost"') == 1
     assert lines.count('"kind":"regained"') == 1
 
 
-def test_a_store_that_does_not_answer_counts_as_out_of_reach_until_it_does():
+def test_a_store_is_unreachable_until_it_answers_again():
     down = errors.PlatformUnavailable("down")
-    _, state = follow(news(1, 10), down)
+    _, state = follow(update(1, 10), down)
     assert not state.reaches_store
-    _, state = follow(news(1, 10), down, news(1, 10))
+    _, state = follow(update(1, 10), down, update(1, 10))
     assert state.reaches_store
 
 
 class SilentStore(ScriptedStore):
-    """A store whose watches wait until they are given up, as on a connection that says nothing."""
+    """A store whose watches never return."""
 
     def __init__(self, *script: object) -> None:
         super().__init__(*script)
@@ -144,9 +144,9 @@
         raise AssertionError
 
 
-def test_a_watch_that_is_silent_on_what_peers_told_is_given_up_and_the_store_listed(monkeypatch):
+def test_a_watch_that_misses_a_change_from_peers_is_cancelled_and_the_store_listed(monkeypatch):
     monkeypatch.setattr(follower, "LOOK_MS", 0.0)
-    store = SilentStore(news(1, 10), errors.PlatformAnswerLost("silent"))
+    store = SilentStore(update(1, 10), errors.PlatformAnswerLost("silent"))
     state = gateway_parts.new_state(clock.ManualClock())
     following = follower.Follower(state, store, lambda: None)  # type: ignore[arg-type]
 
@@ -166,7 +166,7 @@
     assert not state.reaches_store
 
 
-def test_a_node_turned_away_from_its_start_serves_by_its_peers_and_leaves_asking_to_others(
+def test_a_node_rejected_since_its_start_serves_its_peers_data_and_stops_calling_the_store(
     monkeypatch,
 ):
     monkeypatch.setattr(follower, "NOT_WATCHING_MS", 0.0)
--- a/plumarch/gateway/store/quarantine_record.py
+++ b/plumarch/gateway/store/quarantine_record.py
@@ -1,10 +1,7 @@
-"""The quarantine in the platform's store: what outlives all processes, and reaches nodes cut off.
+"""The quarantine's record in the platform's store, for isolated nodes and full restarts of a fleet.
 
-Nodes tell each other in milliseconds of a request that ends its endpoints. The record is for those
-that no peer reaches, and for processes that start when all others have ended. One node follows and
-writes it, from two ends on: the oldest of those that hear each other and reach the store, so that
-each part of a fleet that is cut has one. The record also decides who makes a trial: the node whose
-conditional write takes.
+In each partition of the fleet the most senior node that reaches the store watches and writes it. A
+trial run of a quarantined request is granted to the node whose conditional write succeeds.
 """
 
 import asyncio
@@ -23,34 +20,33 @@
 NAME = "requests"
 
 WATCH_MS = 20_000
-"""How long the store holds a watch: changes are rare, and calls are paid for. A connection that
-falls silent is noticed by probes after 3 s."""
+"""How long the store holds a watch: long, as changes are rare and calls are billed."""
 
 MIN_POINTS = 2 * quarantine.EARLY_POINTS
-"""Points from which on a request is written: the third end may come where nobody else is heard."""
+"""Points from which a request is recorded, one crash before it is quarantined: the next crash may
+occur in another partition."""
 
 MAX_SUSPECTS = 64
-"""Requests in the record, the most suspect first; some 400 bytes each, of the megabyte that a value
-may have."""
+"""Maximum number of requests in the record, about 400 bytes each; the store's values are limited
+to 1 MB."""
 
 FIRST_LIST_MS = 500.0
-"""A process that starts hears first whether another one follows the record: each call is paid for,
-and nodes tell it at once what is held back."""
+"""Delay of the first list, in which a new process learns whether another one follows the record."""
 
-LOOK_MS = 100.0
-"""How often a node looks whether something is to be written."""
+WRITE_CHECK_MS = 100.0
+"""How often a node checks whether something has to be written."""
 
 SUSPECT_DELAY_MS = 500
-"""How long a request that isn't held back yet waits to be written, with others of the same time."""
+"""Delay of writing a request that isn't quarantined yet, which batches writes."""
 
 
 class QuarantineRecord:
-    """One node's side of the record.
+    """One node's copy of the record.
 
     Attributes:
-      recorded: what the record was known to hold last, by fingerprint.
-      revision: of the record as it was read or written last; 0 if none was found.
-      due_ms: when this node writes what is missing; None if nothing is.
+      recorded: content of the record when last read or written, by fingerprint.
+      revision: of the record when last read or written; 0 if there was none.
+      due_ms: when this node writes missing requests; None if there are none.
     """
 
     def __init__(
@@ -59,10 +55,10 @@
         store: ports.Store,
         follows: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Keep what the record needs.
+        """Create the copy.
 
         Args:
-          follows: whether this node is the one that follows the record now.
+          follows: returns whether this node has to watch and write the record now.
         """
         self.state = state
         self.store = store
@@ -73,15 +69,15 @@
         self.due_ms: int | None = None
         state.claim_trial = self.claim
 
-    # Following.
+    # Reading
 
     async def follow_forever(self) -> None:
-        """Take in what the record holds while this node follows it, forever."""
+        """Apply changes of the record while this node follows it, forever."""
         dependency = follower.Dependency(self.state, "store-quarantine")
         revision: int | None = None
         await asyncio.sleep(FIRST_LIST_MS / 1000.0)
         while True:
-            # While the store answers nobody, it is asked for what is needed more.
+            # While the store is down, only configuration and endpoints are requested.
             if not self.follows() or not self.state.reaches_store:
                 revision = None
                 await asyncio.sleep(follower.NOT_WATCHING_MS / 1000.0)
@@ -96,14 +92,13 @@
                 await asyncio.sleep(pause_ms / 1000.0)
 
     async def step(self, revision: int | None) -> int:
-        """List the record, or wait for a change of it from a revision; return the one reached.
+        """List the record, or watch it from a revision; return the revision reached.
 
         Raises:
           PlatformError: the store did not answer.
         """
         if revision is None:
-            # The first list may be some seconds old: it costs a tenth, and the watch after it
-            # begins where it ends.
+            # The first list may be stale: it costs a tenth, and the watch continues from it.
             found = await self.store.list_records(KIND, stale=self.revision == 0)
             self.state.unreadable.listed(KIND, found.unreadable)
             if not found.found and self.revision:
@@ -111,14 +106,14 @@
             for record in found.found:
                 self._apply_record(record)
             return found.revision
-        news = await self.store.watch_records(KIND, revision, WATCH_MS)
-        changed = [record.name for record in news.changed]
-        self.state.unreadable.changed(KIND, [*changed, *news.removed], news.unreadable)
-        if NAME in news.removed:
+        update = await self.store.watch_records(KIND, revision, WATCH_MS)
+        changed = [record.name for record in update.changed]
+        self.state.unreadable.changed(KIND, [*changed, *update.removed], update.unreadable)
+        if NAME in update.removed:
             self._clear_all()
-        for record in news.changed:
+        for record in update.changed:
             self._apply_record(record)
-        return news.revision
+        return update.revision
 
     def _apply_record(self, record: records.Record) -> None:
         if record.name != NAME or record.revision < self.revision:
@@ -135,7 +130,7 @@
             self._publish(name)
 
     def _clear_all(self) -> None:
-        """Let all requests run again, since operators removed the record."""
+        """Lift all quarantines, since operators removed the record."""
         self.revision, self.recorded = 0, {}
         known = self.state.quarantine
         lifted = [name for name in known.suspects if known.clear_suspect(name)]
@@ -147,27 +142,27 @@
         if self.state.publish_suspect is not None:
             self.state.publish_suspect(fingerprint)
 
-    # Writing.
+    # Writing
 
     async def write_forever(self) -> None:
-        """Write what is missing while this node follows the record, forever."""
+        """Write missing requests while this node follows the record, forever."""
         while True:
-            pause_ms = LOOK_MS
+            pause_ms = WRITE_CHECK_MS
             try:
                 if self.follows():
                     await self.write_due()
             except errors.PlatformConflict:
-                # Somebody else wrote first; its watch, or this read, tells what.
+                # Another node wrote first: merge with its record before the next write.
                 await self._reload()
             except errors.PlatformError as error:
                 pause_ms = self.dependency.failed(error, follower.SHARED_BACKOFF)
             await asyncio.sleep(pause_ms / 1000.0)
 
     async def write_due(self) -> None:
-        """Write what is missing once it is due.
+        """Write missing requests once they are due.
 
         Raises:
-          PlatformError: the store did not do it; to be tried again.
+          PlatformError: the write failed; to be retried.
         """
         missing = self._missing()
         now = self.state.clock.now()
@@ -181,7 +176,7 @@
             await self._write(missing)
 
     def _missing(self) -> list[quarantine.Suspect]:
-        """Return what this node knows of requests, and the record lacks."""
+        """Return this node's suspects that the record lacks or has an older state of."""
         found = []
         for one in self.state.quarantine.suspects.values():
             known = self.recorded.get(one.fingerprint)
@@ -193,10 +188,10 @@
         return found
 
     async def _write(self, changed: list[quarantine.Suspect]) -> None:
-        """Write the record with what changed.
+        """Write the record with changed requests.
 
         Raises:
-          PlatformConflict: it changed since it was read.
+          PlatformConflict: the record changed since it was read.
         """
         wanted = most_suspect(
             {**self.recorded, **{one.fingerprint: one for one in changed}}, self._now()
@@ -226,10 +221,10 @@
         else:
             self.revision, self.recorded = 0, {}
 
-    # Trials.
+    # Trials
 
     async def claim(self, fingerprint: str) -> bool:
-        """Return whether this node, and no other one, may try a request that is held back now."""
+        """Claim the trial run of a quarantined request; only one node is granted it."""
         await self._reload()
         hold = self.state.quarantine.find_quarantined(fingerprint)
         if hold is None:
@@ -254,22 +249,22 @@
 
 
 def most_suspect(suspects: dict[str, quarantine.Suspect], now: int) -> list[quarantine.Suspect]:
-    """Return what the record is to hold: the most suspect that are not long past."""
+    """Return the unexpired suspects with the most points, at most MAX_SUSPECTS."""
     found = [one for one in suspects.values() if not one.is_over(now)]
     found.sort(key=lambda one: (-one.points(), -one.last_ms(), one.fingerprint))
     return found[:MAX_SUSPECTS]
 
 
 def encode(suspects: list[quarantine.Suspect]) -> str:
-    """Return requests as the store keeps them."""
-    told = [suspect_entries.to_message(one, quarantine.MAX_CRASHES) for one in suspects]
-    return msgspec.json.encode(told).decode()
+    """Encode suspects as a record's value."""
+    entries = [suspect_entries.to_message(one, quarantine.MAX_CRASHES) for one in suspects]
+    return msgspec.json.encode(entries).decode()
 
 
 def decode(value: str) -> list[quarantine.Suspect] | None:
-    """Return the requests of a record, or None if it can't be read."""
+    """Decode a record's value, or return None if it is malformed."""
     try:
-        told = msgspec.json.decode(value, type=list[suspect_entries.ReportedSuspect])
+        entries = msgspec.json.decode(value, type=list[suspect_entries.ReportedSuspect])
     except msgspec.DecodeError:
         return None
-    return [suspect_entries.from_message(one) for one in told]
+    return [suspect_entries.from_message(one) for one in entries]
--- a/plumarch/gateway/store/quarantine_record_test.py
+++ b/plumarch/gateway/store/quarantine_record_test.py
@@ -1,4 +1,4 @@
-"""The quarantine outlives all processes, reaches nodes cut off, and grants one trial at a time."""
+"""The quarantine survives restarts, reaches isolated nodes, and grants one trial at a time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,7 +13,7 @@
 LARGE = gossip_fleet.Size(3, 12)
 SETTLE_MS = 4_000
 CONTACT_MS = 3_000
-"""Within this time whoever reaches the store is to know."""
+"""Maximum time until all nodes that reach the store know of a request."""
 
 
 def play(
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("size", [SMALL, LARGE])
-def test_a_fleet_that_lost_all_its_processes_still_holds_a_request_back(size: gossip_fleet.Size):
+def test_a_request_stays_quarantined_after_all_processes_restart(size: gossip_fleet.Size):
     async def test(replay: store_replay.StoreReplay) -> None:
         observe_crashes(replay.fleet.live()[4], 0, 3)
         await replay.run(500)
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("size", [SMALL, LARGE])
-def test_a_node_that_hears_nobody_and_reaches_the_store_learns_of_it(size: gossip_fleet.Size):
+def test_a_node_that_reaches_only_the_store_learns_of_a_quarantine(size: gossip_fleet.Size):
     async def test(replay: store_replay.StoreReplay) -> None:
         alone = replay.fleet.live()[-1]
         replay.fleet.cut = lambda one, other: alone in (one, other)
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("size", [SMALL, LARGE])
-def test_ends_that_were_seen_on_both_sides_of_a_cut_add_up(size: gossip_fleet.Size):
+def test_crashes_seen_on_both_sides_of_a_partition_add_up(size: gossip_fleet.Size):
     async def test(replay: store_replay.StoreReplay) -> None:
         far = "dc-c"
         replay.fleet.cut = lambda one, other: (one.data_centre == far) != (other.data_centre == far)
@@ -85,7 +85,7 @@
     play(size, test)
 
 
-def test_what_was_seen_while_the_store_was_away_is_written_once_it_is_back():
+def test_crashes_seen_while_the_store_was_down_are_written_after_it_recovers():
     async def test(replay: store_replay.StoreReplay) -> None:
         replay.store.down = True
         await replay.run(1_000)
@@ -100,7 +100,7 @@
     play(SMALL, test)
 
 
-def test_single_ends_are_not_written_and_an_idle_fleet_makes_few_calls_for_the_record():
+def test_single_crashes_are_not_written_and_an_idle_fleet_makes_few_calls():
     async def test(replay: store_replay.StoreReplay) -> None:
         before = dict(replay.store.by_call)
         for number, node in enumerate(replay.fleet.live()):
@@ -112,7 +112,7 @@
     play(LARGE, test)
 
 
-def test_of_all_nodes_that_claim_a_trial_one_gets_it():
+def test_a_trial_is_granted_to_one_of_all_nodes_that_claim_it():
     async def test(replay: store_replay.StoreReplay) -> None:
         observe_crashes(replay.fleet.live()[0], 0, 3)
         await replay.run(1_000)
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize("size", [SMALL, LARGE])
-def test_operators_let_all_run_again_by_removing_the_record(size: gossip_fleet.Size):
+def test_removing_the_record_lifts_all_quarantines(size: gossip_fleet.Size):
     async def test(replay: store_replay.StoreReplay) -> None:
         observe_crashes(replay.fleet.live()[0], 0, 3)
         await replay.run(1_000)
@@ -152,7 +152,7 @@
     play(size, test)
 
 
-def test_a_record_that_cannot_be_read_is_written_anew():
+def test_a_malformed_record_is_rewritten():
     async def test(replay: store_replay.StoreReplay) -> None:
         observe_crashes(replay.fleet.live()[0], 0, 3)
         await replay.run(1_000)
@@ -170,7 +170,7 @@
     play(SMALL, test)
 
 
-def test_the_record_keeps_the_most_suspect_within_its_bound():
+def test_the_record_retains_the_highest_scores_up_to_its_maximum_size():
     now = 1_700_000_000_000
     found = {
         f"{number:03}": quarantine.Suspect(
--- a/plumarch/gateway/store/registration.py
+++ b/plumarch/gateway/store/registration.py
@@ -1,7 +1,6 @@
-"""How a node that starts learns of others from the platform's store, and how it is found there.
+"""Node records in the platform's store, by which new nodes find the fleet when its seeds are gone.
 
-Each node reads what is written there once. What it writes is needed only by those that start
-while the seeds that they were given are gone, so it is written seldom: each call is priced.
+Calls are billed: each node reads the records once, and writes are rare.
 """
 
 import asyncio
@@ -14,33 +13,33 @@
 from plumarch.membership import fleet_view, node_record, tiers
 
 CHECK_MS = 1_000.0
-"""How often a node asks itself whether it should be written down."""
+"""How often a node checks whether it has to write a record."""
 
 SETTLE_MS = 1_500
-"""A process that just started hears first how large the fleet is, and who its elders are."""
+"""Delay of the first write, in which a new process learns the fleet's size and its seniors."""
 
 ISOLATED_READ_INTERVAL_MS = 3_000
-"""How often a node that hears nobody reads again who there is."""
+"""How often a node that sees no other live node reads the records again."""
 
 MIN_LIVE_NODES = 2
-"""Elders of a data centre that are written down and live, below which its record is renewed."""
+"""A data centre's record is rewritten when fewer of its nodes are alive."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WantedRecord:
-    """A record that a node is to keep, and whom it is to name."""
+    """A record that this node has to maintain, and the nodes that it lists."""
 
     name: str
     nodes: list[node_record.NodeRecord]
 
 
 class Registration:
-    """One node's entry in the store.
+    """Reads the store's node records and maintains this node's.
 
     Attributes:
-      read_ms: when the records were read last; None if they are to be read now.
-      known: the records as they were read or written last, by name.
-      contested: whether a write conflicted or got no answer since.
+      read_ms: when the records were last read; None if they have to be read now.
+      known: the records when last read or written, by name.
+      write_uncertain: whether a write since then conflicted or got no answer.
     """
 
     def __init__(
@@ -61,7 +60,7 @@
         self.write_uncertain = False
 
     async def run(self) -> None:
-        """Keep the entry right, forever."""
+        """Read and write records, forever."""
         while True:
             pause_ms = CHECK_MS
             try:
@@ -74,7 +73,7 @@
         """Read or write what is due.
 
         Raises:
-          PlatformError: the store did not do it; to be tried again.
+          PlatformError: the call failed; to be retried.
         """
         now = self.state.clock.now()
         alone = not self.view.live()
@@ -87,8 +86,7 @@
             await self._write(wanted)
 
     async def _reload(self) -> None:
-        # A list that may be old costs less and names nodes as well; it can't settle what became of
-        # a write.
+        # A stale list is cheaper, but doesn't show the outcome of the last write.
         found = await self.store.list_records(node_record.KIND, stale=not self.write_uncertain)
         self.write_uncertain = False
         self.dependency.answered()
@@ -104,7 +102,7 @@
         self.gossip.send_heartbeat_soon()
 
     def _wanted(self) -> WantedRecord | None:
-        """Return the record that this node is to keep, or None if it is for others to keep one."""
+        """Return the record that this node has to maintain, if any."""
         view = self.view
         if view.role is tiers.Role.FLAT and view.estimated_size() <= tiers.FLAT_FLEET:
             mine = node_record.NodeRecord(view.address, view.data_centre)
@@ -118,7 +116,7 @@
         )
 
     def _is_written(self, wanted: WantedRecord) -> bool:
-        """Return whether a record names enough nodes that live."""
+        """Return whether the stored record lists enough live nodes."""
         record = self.known.get(wanted.name)
         written = node_record.decode(record) if record is not None else None
         if not written:
--- a/plumarch/gateway/store/registration_test.py
+++ b/plumarch/gateway/store/registration_test.py
@@ -1,4 +1,4 @@
-"""Entries in the store: few calls, and found by those that start."""
+"""Node records in the store: few calls, and found by new nodes."""
 
 import asyncio
 import dataclasses
@@ -14,10 +14,13 @@
 
 @dataclasses.dataclass
 class Store:
-    """A store that counts its calls, and refuses or loses some.
+    """A store that counts its calls and loses some.
 
     Attributes:
-      old: the records as lists show them that may be some seconds old.
+      old: the records that stale lists return.
+      lose: number of writes to apply without an answer.
+      late: number of writes to apply later, without an answer.
+      left: the writes to apply later.
     """
 
     found: dict[str, records.Record] = dataclasses.field(default_factory=dict)
@@ -82,7 +85,7 @@
         fleet.run(1_000)
 
 
-def test_in_a_large_fleet_one_node_of_each_data_centre_writes_its_elders():
+def test_in_a_large_fleet_one_node_of_each_data_centre_writes_its_seniors():
     fleet = gossip_fleet.GossipFleet(gossip_fleet.Size(3, 12))
     store = Store()
     entries = register_all(fleet, store)
@@ -107,7 +110,7 @@
     assert "dc-a-1" in store.found
 
 
-def test_a_record_is_renewed_when_its_elders_are_gone():
+def test_a_record_is_rewritten_when_its_seniors_are_gone():
     fleet = gossip_fleet.GossipFleet(gossip_fleet.Size(3, 12))
     store = Store()
     entries = register_all(fleet, store)
@@ -123,7 +126,7 @@
     assert not now_named & named
 
 
-def test_a_lost_answer_is_read_back_and_not_written_again():
+def test_a_write_without_an_answer_is_read_back_and_not_repeated():
     fleet = gossip_fleet.GossipFleet(gossip_fleet.Size(2, 3))
     store = Store(lose=2)
     entries = register_all(fleet, store)
@@ -131,7 +134,7 @@
     assert store.writes == 6
 
 
-def test_writes_carried_out_late_have_no_effect_beside_those_made_in_their_place():
+def test_late_writes_conflict_with_those_that_replaced_them():
     fleet = gossip_fleet.GossipFleet(gossip_fleet.Size(2, 3))
     store = Store(late=4)
     entries = register_all(fleet, store)
@@ -144,7 +147,7 @@
     assert store.writes == 6
 
 
-def test_writes_carried_out_late_are_found_and_not_made_again():
+def test_late_writes_are_read_back_and_not_repeated():
     fleet = gossip_fleet.GossipFleet(gossip_fleet.Size(2, 3))
     store = Store(late=6)
     entries = register_all(fleet, store)
@@ -157,7 +160,7 @@
     assert store.writes == 6
 
 
-def test_what_became_of_a_write_is_not_settled_by_a_list_that_may_be_old():
+def test_the_outcome_of_a_write_is_not_read_from_a_stale_list():
     fleet = gossip_fleet.GossipFleet(gossip_fleet.Size(2, 3))
     store = Store(lose=2)
     entries = register_all(fleet, store)
@@ -166,7 +169,7 @@
     assert (store.lists, store.stale_lists, store.writes) == (8, 6, 6)
 
 
-def test_nodes_without_seeds_find_each_other_by_the_store():
+def test_a_node_without_seeds_finds_the_fleet_by_the_store():
     fleet = gossip_fleet.GossipFleet(gossip_fleet.Size(3, 12))
     store = Store()
     run(fleet, register_all(fleet, store))
@@ -184,7 +187,7 @@
     assert newcomer.view.role is tiers.Role.MEMBER
 
 
-def test_a_store_that_is_down_is_asked_again():
+def test_a_failed_list_is_retried():
     fleet = gossip_fleet.GossipFleet(gossip_fleet.Size(1, 1))
     store = Store(down=True)
     entries = register_all(fleet, store)
--- a/plumarch/gateway/store/store_calls_test.py
+++ b/plumarch/gateway/store/store_calls_test.py
@@ -1,4 +1,4 @@
-"""Calls to the store by a whole fleet: few, within its limits, and no change missed by a node."""
+"""Store calls of a whole fleet: few, within the store's limits, and no node misses a change."""
 
 from collections.abc import Awaitable, Callable
 
@@ -15,11 +15,11 @@
 WRITES_PER_S = 1_200
 READS_PER_S = 6_000
 START_MS = 2_250
-"""From the start to the last call that it is worth: nodes write themselves down after 2 s."""
+"""Time until a fleet has made all calls of its start; nodes write their records after 2 s."""
 
 SETTLE_MS = 4_000
 REACHED_MS = 2_500
-"""Within this time a change is to reach all nodes: rules allow 2 to 4 s."""
+"""Maximum time until a change reaches all nodes; the requirement is 2 to 4 s."""
 
 
 def endpoint(state: traffic.EndpointState = traffic.EndpointState.READY) -> traffic.Endpoint:
@@ -51,7 +51,7 @@
     assert max(store.writes.values(), default=0) < WRITES_PER_S
 
 
-def test_a_fleet_that_starts_at_once_and_again_after_all_lost_power_makes_few_calls():
+def test_a_fleet_whose_nodes_all_start_and_restart_at_once_makes_few_calls():
     async def test(replay: store_replay.StoreReplay, store: store_replay.CountedStore) -> None:
         for _ in range(2):
             await replay.run(START_MS)
@@ -65,7 +65,7 @@
     assert store.reads.total() < 3.2 * started
 
 
-def test_a_store_that_comes_back_after_ten_seconds_is_not_overrun():
+def test_a_store_that_recovers_after_ten_seconds_is_not_overloaded():
     async def test(replay: store_replay.StoreReplay, store: store_replay.CountedStore) -> None:
         await replay.run(1_500)
         before = store.calls()
@@ -103,7 +103,7 @@
 
 
 async def change_all(replay: store_replay.StoreReplay) -> None:
-    """Change the configuration and an endpoint, and see both known by all nodes that run."""
+    """Change the configuration and an endpoint, and assert that all running nodes learn both."""
     replay.store.configure()
     replay.store.put(endpoint(traffic.EndpointState.DRAINING))
     await replay.run(REACHED_MS)
@@ -150,7 +150,7 @@
     play(SIZE, test)
 
 
-def test_a_node_turned_away_from_its_start_serves_and_hears_of_changes_by_its_peers():
+def test_a_node_rejected_since_its_start_serves_and_gets_changes_from_its_peers():
     async def test(replay: store_replay.StoreReplay, store: store_replay.CountedStore) -> None:
         alone = {"dc-a-0", "dc-b-3", "dc-c-11"}
         store.refused |= alone
@@ -164,7 +164,7 @@
     play(SIZE, test)
 
 
-def test_a_data_centre_that_is_cut_off_from_the_others_has_two_followers_again():
+def test_a_partitioned_data_centre_has_two_followers_again():
     async def test(replay: store_replay.StoreReplay, store: store_replay.CountedStore) -> None:
         await replay.run(SETTLE_MS)
         replay.fleet.cut = lambda one, other: one.data_centre != other.data_centre
