--- a/plumarch/gateway/callers/slow_callers_test.py
+++ b/plumarch/gateway/callers/slow_callers_test.py
@@ -1,4 +1,4 @@
-"""Callers that read slowly or not at all, with real sockets: what is held for them is bounded."""
+"""Callers that read slowly or not at all, with real sockets: buffered bytes are bounded."""
 
 import asyncio
 import dataclasses
@@ -18,14 +18,13 @@
 EVENTS = 24
 EVENT_BYTES = 16_384
 MIN_BUFFER = 4_096
-"""Of callers' sockets, so that what they don't read stays in the gateway, not in the kernel."""
+"""Buffer size of callers' sockets, so that unread bytes stay in the gateway, not in the kernel."""
 
 CONNECT_MS = 10_000.0
-"""The stand-in endpoint accepts 500 connections on a loop that has more to do: a connection must
-not fail for that, since each caller's run is waited for."""
+"""Long enough for the stand-in endpoint to accept 500 connections on a busy event loop."""
 
 MAX_BUFFERED_BYTES = 40 * 2**20
-"""Of a node whose process may take 200 MB."""
+"""For a node whose process may use 200 MB."""
 
 
 def padded(number: int, size: int = EVENT_BYTES) -> bytes:
@@ -34,12 +33,12 @@
 
 
 class Flood:
-    """An endpoint that writes an answer as fast as it is read, and counts its runs."""
+    """An endpoint that writes an answer as fast as it is read, and counts ended requests."""
 
     def __init__(self, whole_bytes: int = 0) -> None:
         self.chunks = [scripted.chunk(padded(number)) for number in range(1, EVENTS + 1)]
         self.whole = b"x" * whole_bytes
-        self.over = 0
+        self.ended = 0
         self.changed = asyncio.Event()
 
     async def answer(self, request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
@@ -57,18 +56,18 @@
             writer.write(scripted.chunk(b""))
             await writer.drain()
         finally:
-            self.over += 1
+            self.ended += 1
             self.changed.set()
 
-    async def wait_over(self, count: int) -> None:
-        """Wait until so many runs have ended."""
-        while self.over < count:
+    async def wait_ended(self, count: int) -> None:
+        """Wait until count requests have ended."""
+        while self.ended < count:
             self.changed.clear()
             await self.changed.wait()
 
 
 async def non_reading_caller(gateway: relay_test.Gateway, path: str) -> socket.socket:
-    """Connect, ask, and read nothing."""
+    """Send a request and read nothing."""
     return await connect_without_reading(gateway.port, path)
 
 
@@ -83,7 +82,7 @@
 
 
 def shrink_socket_buffers(gateway: relay_test.Gateway) -> None:
-    """Let callers' sockets keep little, as accepted ones take it over."""
+    """Shrink the send buffers of callers' sockets, which inherit the listening socket's."""
     shrink_send_buffer(gateway.listener.sockets[0])
 
 
@@ -92,20 +91,20 @@
 
 
 def buffered_bytes(gateway: relay_test.Gateway) -> int:
-    """Return the bytes in all buffers towards callers and from endpoints."""
-    held = sum(
+    """Return the bytes in all write buffers of callers and read buffers of endpoints."""
+    buffered = sum(
         one.transport.get_write_buffer_size()
         for one in gateway.callers.connections
         if one.transport is not None
     )
     exchanges = [one for one in gc.get_objects() if isinstance(one, exchange.Exchange)]
-    return held + sum(len(one.http.trailing_data[0]) for one in exchanges)
+    return buffered + sum(len(one.http.trailing_data[0]) for one in exchanges)
 
 
 @pytest.mark.parametrize(
     ("path", "whole_bytes"), [("/chat/", 0), ("/safe/", 200_000)], ids=["streams", "whole"]
 )
-def test_500_callers_that_read_nothing_leave_the_node_within_bounds(
+def test_memory_is_bounded_with_500_callers_that_read_nothing(
     path: str, whole_bytes: int, monkeypatch: pytest.MonkeyPatch
 ):
     monkeypatch.setattr(attempts, "CONNECT_TIMEOUT_MS", CONNECT_MS)
@@ -116,11 +115,11 @@
             shrink_socket_buffers(gateway)
             raise_capacity(gateway)
             callers = [await non_reading_caller(gateway, path) for _ in range(CALLERS)]
-            await flood.wait_over(CALLERS)
-            held = buffered_bytes(gateway)
+            await flood.wait_ended(CALLERS)
+            buffered = buffered_bytes(gateway)
             memory = gateway.state.memory
             assert memory.total() <= memory.budget
-            assert held < MAX_BUFFERED_BYTES
+            assert buffered < MAX_BUFFERED_BYTES
             for sock in callers:
                 sock.close()
 
@@ -128,22 +127,22 @@
 
 
 def raise_capacity(gateway: relay_test.Gateway) -> None:
-    """Let the endpoint have places for all callers."""
+    """Give the endpoint capacity for all callers."""
     endpoints = gateway.state.registry.endpoints
     endpoints["e0"] = dataclasses.replace(endpoints["e0"], slots=10 * CALLERS)
 
 
-# What becomes of one slow caller.
+# A single slow caller
 
 
 class SlowCaller:
-    """A caller that reads when the test tells it to."""
+    """A caller that reads on demand."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
 
     async def read_answer(self) -> relay_test.Answer:
-        """Read until the end."""
+        """Read the complete answer."""
         reader, writer = await asyncio.open_connection(sock=self.sock, limit=2**20)
         found = await relay_test.read_answer(reader)
         writer.close()
@@ -156,7 +155,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Let the loop turn until something is true; the test's own limit ends it otherwise."""
+    """Wait until a condition is true; bounded by the test's timeout."""
     while not condition():
         await asyncio.sleep(0.001)
 
@@ -172,16 +171,16 @@
 
 ALL_EVENTS = b"".join(padded(number) for number in range(1, EVENTS + 1))
 SMALL_BUDGET = 2 * 2**20
-"""A stream alone may hold some 52 KB of it."""
+"""A single stream may use about 52 KB of it."""
 
 
-def test_a_caller_that_takes_nothing_is_ended_and_its_run_stopped():
+def test_a_stalled_caller_is_disconnected_and_its_run_cancelled():
     async def test() -> None:
         flood = Flood()
         async with relay_test.Gateway(flood.answer) as gateway:
             gateway.callers.stall_ms = 30.0
             caller = await slow_caller(gateway, "/chat/")
-            await flood.wait_over(1)
+            await flood.wait_ended(1)
             await until(lambda: all_released(gateway) and not gateway.callers.connections)
             assert logged(gateway, b'"reason":"caller_stalled"')
             assert not (await caller.read_answer()).whole
@@ -189,7 +188,7 @@
     relay_test.play(test)
 
 
-def test_a_ready_answer_is_delivered_late_also_on_a_connection_that_ends():
+def test_a_slow_caller_gets_its_complete_answer_while_the_gateway_drains():
     async def test() -> None:
         flood = Flood(whole_bytes=300_000)
         async with relay_test.Gateway(flood.answer) as gateway:
@@ -207,22 +206,22 @@
 
 
 @pytest.mark.parametrize("second", ["200 OK", "500 Oops"])
-def test_a_failed_answer_that_is_kept_for_a_second_try_counts_until_that_has_ended(second: str):
+def test_a_failed_answer_reserves_memory_until_its_retry_has_ended(second: str):
     async def test() -> None:
-        asked, go_on = asyncio.Event(), asyncio.Event()
+        requested, go_on = asyncio.Event(), asyncio.Event()
         kept = b"x" * 100_000
 
         async def last(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            asked.set()
+            requested.set()
             await go_on.wait()
             writer.write(scripted.answer(request, second, body=kept))
 
         first = relay_test.answers("500 Oops", body=kept)
         async with relay_test.Gateway(first, last) as gateway:
             answer = asyncio.create_task(gateway.ask("/safe/"))
-            await asked.wait()
-            held = gateway.state.memory.held
-            assert held[memory_account.Purpose.UNREAD_ANSWERS] >= len(kept)
+            await requested.wait()
+            reserved = gateway.state.memory.held
+            assert reserved[memory_account.Purpose.UNREAD_ANSWERS] >= len(kept)
             go_on.set()
             found = await answer
             assert (found.status, found.body) == (int(second[:3]), kept)
@@ -231,13 +230,13 @@
     relay_test.play(test)
 
 
-def test_an_answer_counts_once_as_it_goes_to_a_slow_caller():
+def test_an_answer_to_a_slow_caller_is_counted_once():
     async def test() -> None:
         flood = Flood(whole_bytes=300_000)
         async with relay_test.Gateway(flood.answer) as gateway:
             memory = gateway.state.memory
             memory.budget = SMALL_BUDGET
-            # The workspace has room for the answer, but not for twice as much.
+            # The workspace's memory limit allows the answer once, but not twice.
             for number in range(2):
                 other = memory_account.Reservation(number, "w", memory_account.Purpose.KEPT_BODIES)
                 assert memory.resize(other, 270_000)
@@ -249,7 +248,7 @@
     relay_test.play(test)
 
 
-def test_a_whole_answer_waits_until_others_have_read_theirs(monkeypatch: pytest.MonkeyPatch):
+def test_a_plain_answer_waits_until_other_callers_free_memory(monkeypatch: pytest.MonkeyPatch):
     monkeypatch.setattr(whole_answers, "ROOM_WAIT_MS", 20_000.0)
 
     async def test() -> None:
@@ -266,7 +265,7 @@
     relay_test.play(test)
 
 
-def test_a_whole_answer_without_room_is_a_failure_that_promises_nothing(
+def test_a_plain_answer_without_memory_fails_without_retry_after(
     monkeypatch: pytest.MonkeyPatch,
 ):
     monkeypatch.setattr(whole_answers, "ROOM_WAIT_MS", 20.0)
@@ -275,10 +274,10 @@
         flood = Flood(whole_bytes=300_000)
         async with relay_test.Gateway(flood.answer) as gateway:
             gateway.state.memory.budget = SMALL_BUDGET
-            silent = await slow_caller(gateway, "/safe/")
+            stalled = await slow_caller(gateway, "/safe/")
             await until(lambda: logged(gateway, b'"answered"'))
             found = await gateway.ask("/unsafe/")
-            silent.sock.close()
+            stalled.sock.close()
             assert (found.status, "retry-after" in found.headers) == (502, False)
             assert logged(gateway, b'"reason":"no_memory"')
             usable = gateway.state.health.usable(list(gateway.state.registry.endpoints.values()))
@@ -287,7 +286,7 @@
     relay_test.play(test)
 
 
-def test_an_answer_to_head_reserves_nothing_for_the_length_that_it_tells():
+def test_an_answer_to_head_reserves_no_memory_for_its_content_length():
     async def test() -> None:
         async with relay_test.Gateway(relay_test.answers(body=b"", length=10**9)) as gateway:
             reader, writer = await gateway.connect()
@@ -298,7 +297,7 @@
     relay_test.play(test)
 
 
-def test_the_kernel_waits_longer_for_a_caller_only_while_it_has_bytes_to_take(
+def test_the_kernels_timeout_is_extended_only_while_a_caller_has_unread_bytes(
     monkeypatch: pytest.MonkeyPatch,
 ):
     monkeypatch.setattr(outgoing, "CHECK_MS", 5.0)
@@ -306,7 +305,7 @@
     async def test() -> None:
         flood = Flood(whole_bytes=60_000)
         async with relay_test.Gateway(flood.answer) as gateway:
-            # All of the answer lies in the kernel: its socket buffer is the system's own.
+            # The complete answer fits the kernel's default socket buffer.
             caller = SlowCaller(await non_reading_caller(gateway, "/safe/"))
             await until(lambda: bool(gateway.callers.connections))
             [connection] = gateway.callers.connections
@@ -319,8 +318,8 @@
                 return found
 
             assert limit_ms() == keepalive.USER_TIMEOUT_MS
-            patient_ms = keepalive.USER_TIMEOUT_MS + round(gateway.callers.stall_ms)
-            await until(lambda: limit_ms() == patient_ms)
+            extended_ms = keepalive.USER_TIMEOUT_MS + round(gateway.callers.stall_ms)
+            await until(lambda: limit_ms() == extended_ms)
             reader, writer = await asyncio.open_connection(sock=caller.sock, limit=2**20)
             assert (await relay_test.read_answer(reader)).body == flood.whole
             await until(lambda: limit_ms() == keepalive.USER_TIMEOUT_MS)
--- a/plumarch/gateway/callers/slow_requests_test.py
+++ b/plumarch/gateway/callers/slow_requests_test.py
@@ -1,4 +1,4 @@
-"""Requests that arrive slowly or without end, and endpoints that don't read them."""
+"""Requests that arrive slowly or never end, and endpoints that don't read them."""
 
 import asyncio
 import dataclasses
@@ -22,7 +22,7 @@
 
 
 async def send_and_read(gateway: relay_test.Gateway, *parts: bytes) -> relay_test.Answer:
-    """Return what a caller is told that sends some bytes and keeps its connection open."""
+    """Send bytes, keep the connection open and return the answer."""
     reader, writer = await gateway.connect()
     for part in parts:
         writer.write(part)
@@ -41,7 +41,7 @@
         await asyncio.sleep(0.001)
 
 
-# Bodies that arrive slowly.
+# Slow bodies
 
 
 def new_body(budget: int = 120_000) -> incoming_body.IncomingBody:
@@ -50,7 +50,7 @@
     return body
 
 
-def test_a_body_by_the_byte_is_taken_until_the_requests_time_is_over():
+def test_a_body_that_trickles_is_accepted_until_the_requests_deadline():
     body = new_body()
     for now in range(1_000, 1_500, 90):
         body.note_received(now)
@@ -60,7 +60,7 @@
     assert body.timed_out(1_500)
 
 
-def test_a_body_that_stops_is_too_slow_after_the_idle_time():
+def test_a_body_that_stops_times_out_after_the_idle_timeout():
     body = new_body()
     body.note_received(1_010)
     assert body.next_check_ms(1_010) == 100
@@ -68,19 +68,19 @@
     assert body.timed_out(1_110)
 
 
-def test_bytes_of_a_body_are_counted_until_its_request_is_answered():
+def test_memory_of_a_body_is_reserved_until_its_request_is_answered():
     body = new_body()
     assert body.add(b"x" * 5_000) == 0
     assert body.add(b"x") == incoming_body.TOO_LARGE
     assert body.complete() == b"x" * 5_000
-    held = body.memory.held
-    assert held[memory_account.Purpose.KEPT_BODIES] == 5_000
+    reserved = body.memory.held
+    assert reserved[memory_account.Purpose.KEPT_BODIES] == 5_000
     body.end()
     assert body.memory.total() == 0
     assert body.memory.by_connection == {}
 
 
-def test_a_body_for_which_there_is_no_room_is_refused():
+def test_a_body_over_the_memory_budget_is_refused():
     assert new_body(budget=60).add(b"x" * 11) == incoming_body.NO_MEMORY
 
 
@@ -95,7 +95,7 @@
     ],
     ids=["stops", "late", "declared", "chunk stops", "never ends"],
 )
-def test_a_body_that_does_not_come_whole_is_refused_and_nothing_is_sent_on(
+def test_an_incomplete_or_oversized_body_is_refused_and_not_sent_to_an_endpoint(
     sent: list[bytes], status: int
 ):
     async def test() -> None:
@@ -108,7 +108,7 @@
     relay_test.play(test)
 
 
-def test_without_room_for_a_body_the_answer_says_when_to_come_back():
+def test_a_refusal_for_lack_of_memory_has_a_retry_after_header():
     async def test() -> None:
         async with relay_test.Gateway(relay_test.answers()) as gateway:
             gateway.state.memory.budget = 6_000
@@ -120,7 +120,7 @@
     relay_test.play(test)
 
 
-def test_requests_in_a_row_on_one_connection_are_all_answered():
+def test_pipelined_requests_are_all_answered():
     async def test() -> None:
         async with relay_test.Gateway(relay_test.answers(body=b"one")) as gateway:
             reader, writer = await gateway.connect()
@@ -137,10 +137,10 @@
     relay_test.play(test)
 
 
-# Near the budget.
+# Near the memory budget
 
 
-def test_near_the_budget_the_least_urgent_are_refused_first_and_nothing_is_sent():
+def test_near_the_memory_budget_the_least_urgent_requests_are_refused_first():
     async def test() -> None:
         async with relay_test.Gateway(relay_test.answers()) as gateway:
             memory = gateway.state.memory
@@ -176,7 +176,7 @@
     relay_test.play(test)
 
 
-def test_a_workspace_that_holds_too_much_is_refused_and_not_charged():
+def test_a_workspace_over_its_memory_limit_is_refused():
     async def test() -> None:
         async with relay_test.Gateway(relay_test.answers()) as gateway:
             memory = gateway.state.memory
@@ -193,13 +193,13 @@
     relay_test.play(test)
 
 
-def test_without_room_to_send_a_request_no_further_endpoint_is_connected_to():
+def test_without_memory_to_send_a_request_no_further_endpoint_is_tried():
     async def test() -> None:
         answering = [relay_test.answers() for _ in range(3)]
         async with relay_test.Gateway(*answering) as gateway:
             memory = gateway.state.memory
             memory.budget = 30_000
-            # The workspace has room for the body, but not for it on its way as well.
+            # The workspace's memory limit allows the body, but not its send buffer as well.
             for number in range(3):
                 other = memory_account.Reservation(
                     number, "w", memory_account.Purpose.UNREAD_ANSWERS
@@ -214,11 +214,11 @@
     relay_test.play(test)
 
 
-# Endpoints that don't read.
+# Endpoints that don't read
 
 
 def non_reading_endpoint() -> socket.socket:
-    """Listen, but never read."""
+    """Return a listening socket that is never read."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     sock.bind(("127.0.0.1", 0))
@@ -226,23 +226,23 @@
     return sock
 
 
-def test_a_request_that_an_endpoint_reads_in_part_is_given_up_as_unknown(
+def test_a_request_that_an_endpoint_stops_reading_fails_with_unknown_outcome(
     monkeypatch: pytest.MonkeyPatch,
 ):
     monkeypatch.setattr(exchange, "REQUEST_STALL_MS", 50.0)
 
     async def test() -> None:
-        deaf = non_reading_endpoint()
+        unread_socket = non_reading_endpoint()
         async with relay_test.Gateway(relay_test.answers()) as gateway:
             endpoints = gateway.state.registry.endpoints
-            address = f"127.0.0.1:{deaf.getsockname()[1]}"
+            address = f"127.0.0.1:{unread_socket.getsockname()[1]}"
             endpoints["e0"] = dataclasses.replace(endpoints["e0"], address=address)
             gateway.callers.limits = traffic.CallerLimits()
             body = b"x" * traffic.CallerLimits().body_bytes
             found = await gateway.ask("/unsafe/", body=body)
             assert (found.status, "retry-after" in found.headers) == (502, False)
             await until_nothing_reserved(gateway)
-        deaf.close()
+        unread_socket.close()
 
     relay_test.play(test)
 
@@ -277,7 +277,7 @@
 @pytest.mark.parametrize(
     ("accepted", "expected"), [(0, errors.NotDispatched), (1, errors.ConnectionBroken)]
 )
-def test_only_a_request_of_which_no_byte_was_accepted_has_not_run(
+def test_a_stalled_request_counts_as_not_dispatched_only_if_no_byte_was_accepted(
     accepted: int, expected: type[Exception], monkeypatch: pytest.MonkeyPatch
 ):
     monkeypatch.setattr(exchange, "REQUEST_STALL_MS", 5.0)
@@ -298,7 +298,7 @@
     relay_test.play(test)
 
 
-def test_a_request_for_which_there_is_no_room_is_not_sent():
+def test_a_request_over_the_memory_budget_is_not_sent():
     async def test() -> None:
         opened = exchange.Exchange()
         transport = FullTransport()
--- a/plumarch/gateway/dispatch/slow_streams_test.py
+++ b/plumarch/gateway/dispatch/slow_streams_test.py
@@ -22,7 +22,7 @@
         async with relay_test.Gateway(flood.answer) as gateway:
             gateway.state.memory.budget = slow_callers_test.SMALL_BUDGET
             caller = await slow_callers_test.slow_caller(gateway, "/chat/")
-            await flood.wait_over(1)
+            await flood.wait_ended(1)
             await slow_callers_test.until(lambda: gateway.state.chooser.own == {})
             assert (
                 gateway.state.memory.total()
@@ -59,7 +59,7 @@
         async with relay_test.Gateway(flood.answer) as gateway:
             gateway.state.memory.budget = slow_callers_test.SMALL_BUDGET
             caller = await slow_callers_test.slow_caller(gateway, "/chat/")
-            await flood.wait_over(1)
+            await flood.wait_ended(1)
             await slow_callers_test.until(
                 lambda: slow_callers_test.logged(gateway, b"stream_let_go")
             )
@@ -129,7 +129,7 @@
         async with relay_test.Gateway(flood.answer) as gateway:
             gateway.state.memory.budget = slow_callers_test.SMALL_BUDGET
             caller = await slow_callers_test.slow_caller(gateway, "/diff/")
-            await flood.wait_over(1)
+            await flood.wait_ended(1)
             await slow_callers_test.until(lambda: slow_callers_test.all_released(gateway))
             assert slow_callers_test.logged(gateway, b'"caller_cut"')
             assert slow_callers_test.logged(gateway, b'"reason":"caller_too_slow"')
@@ -163,7 +163,7 @@
             # Also when slow callers have taken up all the room for answers.
             gateway.state.memory.budget = slow_callers_test.SMALL_BUDGET
             slow = [await slow_callers_test.slow_caller(gateway, "/chat/") for _ in range(4)]
-            await flood.wait_over(4)
+            await flood.wait_ended(4)
             reader, writer = await gateway.connect()
             writer.write(relay_test.request_bytes("/diff/"))
             # Each event is asked for only when the one before has come whole.
--- a/plumarch/gateway/node_peak_test.py
+++ b/plumarch/gateway/node_peak_test.py
@@ -67,7 +67,7 @@
                 await slow_callers_test.connect_without_reading(port, path)
                 for _ in range(slow_callers_test.CALLERS)
             ]
-            await flood.wait_over(slow_callers_test.CALLERS)
+            await flood.wait_ended(slow_callers_test.CALLERS)
             grown = peak_kb(node.pid) - before
             print(f"{before} KB before, grown by {grown} KB")
             assert grown < MAX_GROWTH_KB
--- a/plumarch/gateway/store/follower.py
+++ b/plumarch/gateway/store/follower.py
@@ -10,7 +10,7 @@
 from plumarch.gateway import fleet_state, ports
 
 WATCH_MS = 2_500
-"""How long the store holds the watch of a single follower, which detects a stale watch only then."""
+"""How long the store holds a single follower's watch, which can only be found stale at its end."""
 
 SHARED_WATCH_MS = 5_000
 """The same with several followers: longer, as peers also report changes that a watch missed."""
@@ -195,8 +195,8 @@
                 lambda: known.changed_revision > revision,
             )
             changes = known.apply(update.changes, update.revision, STORE)
-            read_or_gone = [one.id for one in update.changes if not one.is_unreadable]
-            self.state.unreadable.changed(ENDPOINTS, read_or_gone, update.unreadable)
+            read_or_removed = [one.id for one in update.changes if not one.is_unreadable]
+            self.state.unreadable.changed(ENDPOINTS, read_or_removed, update.unreadable)
             reached = update.revision
         self.state.registry_changed(changes, STORE)
         if changes:
--- a/plumarch/gateway/store/follower_test.py
+++ b/plumarch/gateway/store/follower_test.py
@@ -126,7 +126,7 @@
     assert state.reaches_store
 
 
-class SilentStore(ScriptedStore):
+class UnresponsiveStore(ScriptedStore):
     """A store whose watches never return."""
 
     def __init__(self, *script: object) -> None:
@@ -146,7 +146,7 @@
 
 def test_a_watch_that_misses_a_change_from_peers_is_cancelled_and_the_store_listed(monkeypatch):
     monkeypatch.setattr(follower, "LOOK_MS", 0.0)
-    store = SilentStore(update(1, 10), errors.PlatformAnswerLost("silent"))
+    store = UnresponsiveStore(update(1, 10), errors.PlatformAnswerLost("silent"))
     state = gateway_parts.new_state(clock.ManualClock())
     following = follower.Follower(state, store, lambda: None)  # type: ignore[arg-type]
 
@@ -186,10 +186,10 @@
     )
     failed = follower.Dependency.failed
 
-    def fail_then_adopt(*told: object) -> float:
+    def fail_then_adopt(*args: object) -> float:
         if len(store.calls) == 2:
             state.adopt_table(routing_table.build(configuration(3)), "a peer")
-        return failed(*told)  # type: ignore[arg-type]
+        return failed(*args)  # type: ignore[arg-type]
 
     monkeypatch.setattr(follower.Dependency, "failed", fail_then_adopt)
 
