--- a/plumarch/gateway/callers/admission.py
+++ b/plumarch/gateway/callers/admission.py
@@ -26,12 +26,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """A refusal that the gateway itself answers with.
+    """A request refused by the gateway.
 
     Attributes:
       reason: one word for logs and metrics.
-      retry_after_ms: for a request that has not run; else None.
-      units: cost of the request in its workspace's quota.
+      retry_after_ms: None if the request may have run.
+      units: the request's cost in its workspace's quota.
     """
 
     status: int
@@ -43,13 +43,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admitted:
-    """A request that was admitted.
+    """An admitted request.
 
     Attributes:
-      units: what its workspace's quota was charged.
-      ends_ms: its deadline, by the steady clock.
-      max_output_tokens: maximum length of its answer, in tokens.
-      fingerprint: the same for all tries of the request.
+      units: charged to its workspace's quota.
+      ends_ms: deadline, by the steady clock.
     """
 
     request: caller_requests.CallerRequest
--- a/plumarch/gateway/callers/caller_connection.py
+++ b/plumarch/gateway/callers/caller_connection.py
@@ -17,8 +17,7 @@
 from plumarch.limits import memory_account
 
 LINGER_S = 1.0
-"""Time for which bytes are still read after a final answer: closing a socket with unread bytes
-resets the connection, and the caller may lose the answer."""
+"""Time for which bytes are still read after a final answer, which a reset could discard."""
 
 READ_AHEAD_BYTES = 65_536
 """Maximum bytes of pipelined requests that are read while a request is served."""
@@ -38,12 +37,10 @@
     """State shared by all connections of callers.
 
     Attributes:
-      limits: of the current configuration.
       draining: whether connections are closed after each answer.
-      memory: account of the memory reserved for callers.
       time_allowed_ms: returns a request's timeout from its headers.
-      on_disconnect: called with the reason and the unread bytes when a caller is disconnected.
-      back_in_ms: returns the expected time until a number of bytes is free.
+      on_disconnect: called with the reason and the number of unread bytes.
+      back_in_ms: returns the expected time until so many bytes are free.
       stall_ms: how long a caller may read nothing.
     """
 
@@ -147,10 +144,7 @@
             self.transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """Cancel the request of a caller that closed its side.
-
-        The transport closes once the caller has read its answer, or is disconnected.
-        """
+        """Cancel the request; the transport closes once its buffer is empty."""
         if self.task is not None:
             self.task.cancel()
         return False
@@ -306,7 +300,7 @@
             self._write(self.http.send(response))
 
     def assign(self, workspace: str) -> bool:
-        """Charge reserved memory to a workspace; False if that exceeds the workspace's limit."""
+        """Charge reserved memory to a workspace; False if over its limit."""
         memory = self.server.memory
         return memory.assign(self.unread, workspace) and memory.assign(
             self.body.reservation, workspace
@@ -345,7 +339,7 @@
             self.transport.abort()
 
     def disconnect(self, reason: str) -> None:
-        """Disconnect a caller that doesn't read, or that needs more memory than is free."""
+        """Disconnect the caller, for a stall or lack of memory."""
         if not self.disconnect_reason:
             self.disconnect_reason = reason
             self.server.on_disconnect(reason, self.unread.size)
@@ -359,7 +353,7 @@
             self.transport.close()
 
     def _linger(self) -> None:
-        """Close the sending side, and discard what the caller still sends for a while."""
+        """Close the sending side, and discard received bytes for a while."""
         if self.transport is None or self.lingering:
             return
         self.lingering = True
@@ -394,5 +388,5 @@
 
 
 def _declared_size(head: h11.Request) -> int:
-    """Return the Content-Length of a request, which h11 has checked to be a number."""
+    """Return a request's Content-Length, which h11 has validated."""
     return int(dialect.header_value(head.headers, b"content-length") or 0)
--- a/plumarch/gateway/callers/caller_requests.py
+++ b/plumarch/gateway/callers/caller_requests.py
@@ -57,7 +57,7 @@
     disconnect_reason: str
 
     def assign(self, workspace: str) -> bool:
-        """Charge reserved memory to a workspace; False if that exceeds the workspace's limit."""
+        """Charge reserved memory to a workspace; False if over its limit."""
         ...
 
     def send(self, status: int, headers: Headers, body: bytes) -> None:
--- a/plumarch/gateway/connections/exchange.py
+++ b/plumarch/gateway/connections/exchange.py
@@ -18,7 +18,7 @@
 ReceivedEvent = h11.Response | h11.Data | h11.EndOfMessage
 
 READ_BYTES = 16_384
-"""Maximum bytes of one read; small, as one iteration of the event loop reads many connections."""
+"""Maximum bytes of one read; small, as one loop iteration reads many connections."""
 
 READ_AHEAD_BYTES = 65_536
 """Unparsed bytes above which reading is paused."""
@@ -31,14 +31,13 @@
 
 
 class Exchange(asyncio.BufferedProtocol):
-    """A connection on which requests are sent and answers are read as events.
+    """A client connection that yields answers as events.
 
     Attributes:
-      unparsed: upper bound of the received bytes that are not parsed yet.
-      is_paused: whether reading waits for resume().
+      unparsed: upper bound of received, unparsed bytes.
       nothing_accepted: whether it was closed before the endpoint accepted a byte of the request.
       peer_restarted: whether it was closed because the endpoint has restarted.
-      outgoing: tracks the request while the endpoint reads it, if its memory is counted.
+      outgoing: write buffer of a request whose memory is counted.
     """
 
     def __init__(self) -> None:
@@ -125,7 +124,7 @@
         """Write a complete request.
 
         Args:
-          memory: account that the request is charged to until the endpoint has read it, if any.
+          memory: account to charge until the endpoint has read the request.
           workspace: name of the request's workspace.
         Raises:
           ConnectFailed: the connection has ended; no byte was sent.
--- a/plumarch/gateway/connections/outgoing.py
+++ b/plumarch/gateway/connections/outgoing.py
@@ -52,22 +52,14 @@
         transport.set_write_buffer_limits(0)
 
     def write(self, data: bytes) -> bool:
-        """Write bytes.
-
-        Returns:
-          False if there is no memory for unread bytes: the connection must be aborted.
-        """
+        """Write bytes; False if there is no memory for unread bytes: abort the connection then."""
         if self.transport.is_closing():
             return True
         self.transport.write(data)
         return self.track(len(data))
 
     def track(self, size: int) -> bool:
-        """Count bytes that were just written, and check later whether the peer reads them.
-
-        Returns:
-          False if there is no memory for unread bytes.
-        """
+        """Count written bytes and schedule stall checks; False if there is no memory for them."""
         if self.timer is None:
             # The peer has acknowledged all earlier bytes.
             self.progress.begin(self.written, _now_ms())
@@ -76,11 +68,7 @@
         return self.count()
 
     def count(self) -> bool:
-        """Reserve memory for bytes that the socket hasn't accepted.
-
-        Returns:
-          False if there is no memory for them.
-        """
+        """Reserve memory for bytes that the socket hasn't accepted; False if there is none."""
         unread = self.unread()
         if not unread and not self.reservation.size:
             return True
@@ -143,10 +131,9 @@
 
 
 def _unacknowledged_bytes(transport: asyncio.BaseTransport) -> int:
-    """Return the number of bytes in the kernel that the peer has not acknowledged.
+    """Return the number of unacknowledged bytes in the kernel.
 
-    A socket becomes writable only once much of its buffer is free, so that writability alone would
-    make a slow peer look stalled.
+    Writability alone would make slow peers look stalled: it needs much of the buffer to be free.
     """
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
--- a/plumarch/gateway/store/follower.py
+++ b/plumarch/gateway/store/follower.py
@@ -35,8 +35,7 @@
 """For a node that can't serve without the store, or is the only one to notice its recovery."""
 
 SHARED_BACKOFF = backoff.Backoff(first_ms=500.0, longest_ms=4_000.0)
-"""For a node that can serve and gets changes from its peers. It is longer: while the store is down
-all nodes call it, and failed calls are billed too."""
+"""For a node that gets changes from its peers. Longer, as failed calls are billed too."""
 
 STORE = "store"
 ENDPOINTS = "endpoint"
@@ -101,8 +100,8 @@
 
         Args:
           on_change: called when something changed.
-          watches: returns whether this node has to watch the store now.
-          shared: returns whether some nodes watch the store for the whole fleet now.
+          watches: returns whether this node has to watch the store.
+          shared: returns whether some nodes watch it for the whole fleet.
         """
         self.state = state
         self.store = store
@@ -130,12 +129,12 @@
 
         Args:
           step: lists, or watches from a revision; returns the revision reached.
-          has_any: returns whether the node can serve, with data from the store or from a peer.
+          has_any: returns whether the node has data, from the store or a peer.
         """
         revision: int | None = None
         listed = False
         while True:
-            # A node that the store has rejected since its start may have its peers' data.
+            # A node that the store rejects may have data from its peers.
             if (listed or (dependency.failures and has_any())) and not self.watches():
                 revision = None
                 await asyncio.sleep(NOT_WATCHING_MS / 1000.0)
@@ -151,8 +150,7 @@
                 self.state.log.write("history_gone", dependency=dependency.name, since=revision)
                 revision = None
             except errors.PlatformError as error:
-                # List first: a watch that starts just before the store recovers would delay
-                # noticing that by its whole length.
+                # List next: a watch could notice the store's recovery only at its end.
                 revision = None
                 self.state.reaches_store = False
                 pauses = SHARED_BACKOFF if has_any() and self.shared() else BACKOFF
--- a/plumarch/gateway/store/quarantine_record.py
+++ b/plumarch/gateway/store/quarantine_record.py
@@ -23,15 +23,13 @@
 """How long the store holds a watch: long, as changes are rare and calls are billed."""
 
 MIN_POINTS = 2 * quarantine.EARLY_POINTS
-"""Points from which a request is recorded, one crash before it is quarantined: the next crash may
-occur in another partition."""
+"""Points from which a request is recorded: one crash early, as partitions' crashes add up."""
 
 MAX_SUSPECTS = 64
-"""Maximum number of requests in the record, about 400 bytes each; the store's values are limited
-to 1 MB."""
+"""Maximum number of requests in the record, whose size the store limits to 1 MB."""
 
 FIRST_LIST_MS = 500.0
-"""Delay of the first list, in which a new process learns whether another one follows the record."""
+"""Delay of the first list, in which a new process learns of other followers."""
 
 WRITE_CHECK_MS = 100.0
 """How often a node checks whether something has to be written."""
@@ -44,9 +42,9 @@
     """One node's copy of the record.
 
     Attributes:
-      recorded: content of the record when last read or written, by fingerprint.
-      revision: of the record when last read or written; 0 if there was none.
-      due_ms: when this node writes missing requests; None if there are none.
+      recorded: suspects when last read or written, by fingerprint.
+      revision: when last read or written; 0 if there was no record.
+      due_ms: when missing requests are written; None if there are none.
     """
 
     def __init__(
@@ -176,7 +174,7 @@
             await self._write(missing)
 
     def _missing(self) -> list[quarantine.Suspect]:
-        """Return this node's suspects that the record lacks or has an older state of."""
+        """Return this node's suspects that are newer than the record's."""
         found = []
         for one in self.state.quarantine.suspects.values():
             known = self.recorded.get(one.fingerprint)
--- a/plumarch/gateway/store/registration.py
+++ b/plumarch/gateway/store/registration.py
@@ -16,7 +16,7 @@
 """How often a node checks whether it has to write a record."""
 
 SETTLE_MS = 1_500
-"""Delay of the first write, in which a new process learns the fleet's size and its seniors."""
+"""Delay of the first write, in which a new process learns of the fleet."""
 
 ISOLATED_READ_INTERVAL_MS = 3_000
 """How often a node that sees no other live node reads the records again."""
@@ -37,8 +37,8 @@
     """Reads the store's node records and maintains this node's.
 
     Attributes:
-      read_ms: when the records were last read; None if they have to be read now.
-      known: the records when last read or written, by name.
+      read_ms: time of the last read; None to read now.
+      known: records by name, when last read or written.
       write_uncertain: whether a write since then conflicted or got no answer.
     """
 
