--- a/plumarch/gateway/callers/admission.py
+++ b/plumarch/gateway/callers/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is taken on: route, key, allotment."""
+"""Admits requests by route, key, memory and quota."""
 
 import dataclasses
 import math
@@ -14,24 +14,24 @@
 RETRY_WITHOUT_CONFIGURATION_MS = 500.0
 RETRY_ELSEWHERE_MS = 10.0
 PLAIN_ANSWER_MS = 1_500.0
-"""A plain request that arrives later than this before the end of the process is refused."""
+"""Plain requests are refused when less than this is left before the process stops."""
 
 DEFAULT_DEADLINE_MS = 30_000.0
 
 ROUTE_RANKS = 3
-"""Ranks of routes that are told apart within one rank of a workspace."""
+"""Distinct route ranks within one workspace rank."""
 
-LEAST_URGENT = 9
+LOWEST_URGENCY = 9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """A final answer of the gateway itself.
+    """A request refused by the gateway.
 
     Attributes:
       reason: one word for logs and metrics.
-      retry_after_ms: when to come back, for a request that has not run; else None.
-      units: what it asked of its workspace's allotment.
+      retry_after_ms: None if the request may have run.
+      units: the request's cost in its workspace's quota.
     """
 
     status: int
@@ -43,14 +43,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admitted:
-    """A request that was taken on.
+    """An admitted request.
 
     Attributes:
-      units: what it was charged of its workspace's allotment.
-      ends_ms: when it is given up, by the steady clock.
-      prompt_tokens: tokens of its prompt.
-      most_out: the most tokens that its answer may have.
-      fingerprint: what all tries of the same request share.
+      units: charged to its workspace's quota.
+      ends_ms: deadline, by the steady clock.
     """
 
     request: caller_requests.CallerRequest
@@ -63,27 +60,27 @@
     parts: tuple[traffic.PromptPart, ...]
     prompt_tokens: int
     version: int
-    most_out: int = 0
+    max_output_tokens: int = 0
     fingerprint: str = ""
 
     def workspace_name(self) -> str:
-        """Return the workspace's name, or "" for a public route."""
+        """Return the workspace's name; "" for a public route."""
         return self.workspace.name if self.workspace else ""
 
 
 def urgency(admitted: Admitted) -> int:
-    """Return how urgent a request is to an engine: 0 first; a workspace's rank goes first."""
+    """Return a request's priority at an engine, 0 being first; workspace rank before route rank."""
     return _rank(admitted.workspace, admitted.route)
 
 
 def _rank(workspace: traffic.Workspace | None, route: traffic.Route) -> int:
     workspace_rank = workspace.priority if workspace else 0
     route_rank = min(route.priority, ROUTE_RANKS - 1)
-    return min(LEAST_URGENT, max(0, workspace_rank) * ROUTE_RANKS + max(0, route_rank))
+    return min(LOWEST_URGENCY, max(0, workspace_rank) * ROUTE_RANKS + max(0, route_rank))
 
 
-def over_memory_budget(state: fleet_state.FleetState, admitted: Admitted) -> Refusal:
-    """Return the refusal of a request whose workspace may hold no more, and refund it."""
+def refuse_over_memory_budget(state: fleet_state.FleetState, admitted: Admitted) -> Refusal:
+    """Refund a request and return its refusal: its workspace is over its memory limit."""
     if admitted.workspace is not None:
         state.quota.refund(admitted.workspace, admitted.units)
     back_in_ms = return_times.spread(
@@ -95,7 +92,7 @@
 def admit(
     state: fleet_state.FleetState, request: caller_requests.CallerRequest
 ) -> Admitted | Refusal:
-    """Decide whether a request is taken on, and charge its workspace."""
+    """Admit or refuse a request; charge its workspace if it is admitted."""
     table = state.table
     names = state.names
     if table is None:
@@ -110,22 +107,22 @@
         workspace = table.workspaces_by_key.get(key)
         if workspace is None:
             return Refusal(401, "unknown_key")
-    if _ends_too_soon(state, route):
+    if _stops_too_soon(state, route):
         return Refusal(503, "stopping", RETRY_ELSEWHERE_MS)
     workspace_name = workspace.name if workspace else ""
     fingerprint = request_identity.fingerprint(workspace_name, request)
-    hold = state.quarantine.find_quarantined(fingerprint)
-    if hold is not None and hold.back_in_ms > 0:
-        # Each further run would end one more endpoint, and all that runs beside it.
-        return Refusal(503, "quarantined", float(hold.back_in_ms), workspace_name)
+    quarantined = state.quarantine.find_quarantined(fingerprint)
+    if quarantined is not None and quarantined.back_in_ms > 0:
+        # Another run would crash another endpoint and fail the other requests there.
+        return Refusal(503, "quarantined", float(quarantined.back_in_ms), workspace_name)
     rank = _rank(workspace, route)
-    held = memory_admission.MemoryUsage(state.memory.total(), state.memory.budget)
-    back_in_ms = state.pressure.refuse(held, len(request.body), rank, state.memory.released)
+    usage = memory_admission.MemoryUsage(state.memory.total(), state.memory.budget)
+    back_in_ms = state.pressure.refuse(usage, len(request.body), rank, state.memory.released)
     if back_in_ms is not None:
         back_in_ms = return_times.spread(back_in_ms, state.rng)
         return Refusal(503, "memory", back_in_ms, workspace_name)
-    prompt_tokens, most_out = _token_counts(request.header(names.token_counts))
-    units = _units(workspace, prompt_tokens + most_out)
+    prompt_tokens, max_output_tokens = _token_counts(request.header(names.token_counts))
+    units = _units(workspace, prompt_tokens + max_output_tokens)
     if workspace is not None:
         wait_ms = state.quota.admit(workspace, units, _quota_rank(table, route))
         if wait_ms > 0:
@@ -138,27 +135,24 @@
         service=_service_of(route, request_id),
         workspace=workspace,
         units=units,
-        ends_ms=request.began_ms + _time_allowed(request, names, route),
+        ends_ms=request.began_ms + _timeout_ms(request, names, route),
         parts=parse_parts(request.header(names.prompt_parts)),
         prompt_tokens=prompt_tokens,
         version=table.version,
-        most_out=most_out,
+        max_output_tokens=max_output_tokens,
         fingerprint=fingerprint,
     )
 
 
 def _quota_rank(table: routing_table.RoutingTable, route: traffic.Route) -> int:
-    """Return how urgent a request is among those that share an allotment.
-
-    Plain calls are charged little and never stand back.
-    """
+    """Return a request's rank within its workspace's quota; plain requests always rank first."""
     if route.kind is not traffic.RouteKind.STREAMING:
         return 0
     return max(0, route.priority - table.most_urgent_stream)
 
 
-def _ends_too_soon(state: fleet_state.FleetState, route: traffic.Route) -> bool:
-    """Return whether this process ends before a request of a route is likely to be answered."""
+def _stops_too_soon(state: fleet_state.FleetState, route: traffic.Route) -> bool:
+    """Return whether this process stops before a request is likely to be answered."""
     if state.stops_at_ms is None:
         return False
     if route.kind is traffic.RouteKind.STREAMING:
@@ -187,24 +181,24 @@
     return float(tokens or workspace.plain_tokens)
 
 
-def time_asked_ms(names: dialect.Dialect, headers: caller_requests.Headers) -> float:
-    """Return how long a request may take by its own word, or the default."""
+def requested_timeout_ms(names: dialect.Dialect, headers: caller_requests.Headers) -> float:
+    """Return the timeout in a request's deadline header, or the default."""
     try:
-        asked = float(dialect.header_value(headers, names.deadline_ms))
+        timeout_ms = float(dialect.header_value(headers, names.deadline_ms))
     except ValueError:
         return DEFAULT_DEADLINE_MS
-    return asked if math.isfinite(asked) else DEFAULT_DEADLINE_MS
+    return timeout_ms if math.isfinite(timeout_ms) else DEFAULT_DEADLINE_MS
 
 
-def _time_allowed(
+def _timeout_ms(
     request: caller_requests.CallerRequest, names: dialect.Dialect, route: traffic.Route
 ) -> float:
-    asked = time_asked_ms(names, request.headers)
-    return min(asked, route.timeout_ms) if route.timeout_ms > 0 else asked
+    timeout_ms = requested_timeout_ms(names, request.headers)
+    return min(timeout_ms, route.timeout_ms) if route.timeout_ms > 0 else timeout_ms
 
 
 def _service_of(route: traffic.Route, request_id: str) -> str:
-    """Return the service a request goes to, by weight and the same on each node."""
+    """Choose a service by weight; all nodes choose the same one for a request id."""
     if len(route.shares) == 1:
         return route.shares[0].service
     total = sum(share.weight for share in route.shares)
@@ -217,7 +211,7 @@
 
 
 def parse_parts(value: str) -> tuple[traffic.PromptPart, ...]:
-    """Read a prompt's parts, ID:TOKENS by commas; ends at the first that is malformed."""
+    """Parse prompt parts, comma-separated ID:TOKENS, up to the first malformed one."""
     parts = []
     for word in value.split(","):
         name, _, tokens = word.strip().partition(":")
@@ -232,9 +226,9 @@
     headers: Sequence[tuple[bytes, bytes]],
     workspace: traffic.Workspace | None,
 ) -> list[tuple[bytes, bytes]]:
-    """Return a caller's headers as an endpoint may see them.
+    """Return the headers that an endpoint receives.
 
-    Left out are those of the connection, the key, and those that only the gateway may set.
+    Connection headers, the key and headers reserved for the gateway are dropped.
     """
     dropped = dialect.not_for_endpoints(names)
     for name, value in headers:
--- a/plumarch/gateway/mixed_readers_test.py
+++ b/plumarch/gateway/mixed_readers_test.py
@@ -39,7 +39,7 @@
 
     async def call(self, kind: str, path: str) -> None:
         """Send one request; a complete answer must be the right one."""
-        sock = await slow_callers_test.silent_caller(self.gateway, path)
+        sock = await slow_callers_test.non_reading_caller(self.gateway, path)
         if kind == "never":
             await asyncio.sleep(0.01 * self.rng.random())
             sock.close()
@@ -82,8 +82,8 @@
             groups.append(group)
             memory = gateway.state.memory
             memory.budget = 4 * 2**20
-            slow_callers_test.small_socket_buffers(gateway)
-            slow_callers_test.widen(gateway)
+            slow_callers_test.shrink_socket_buffers(gateway)
+            slow_callers_test.raise_capacity(gateway)
             rng = random.Random(seed)
             calls = [group.call(rng.choice(KINDS), rng.choice(PATHS)) for _ in range(CALLERS)]
             await asyncio.gather(*calls)
--- a/plumarch/gateway/store/quarantine_record_test.py
+++ b/plumarch/gateway/store/quarantine_record_test.py
@@ -1,4 +1,4 @@
-"""The quarantine outlives all processes, reaches nodes cut off, and grants one trial at a time."""
+"""The quarantine survives restarts, reaches isolated nodes, and grants one trial at a time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,7 +13,7 @@
 LARGE = gossip_fleet.Size(3, 12)
 SETTLE_MS = 4_000
 CONTACT_MS = 3_000
-"""Within this time whoever reaches the store is to know."""
+"""Maximum time until all nodes that reach the store know of a request."""
 
 
 def play(
@@ -39,39 +39,39 @@
         node.state.publish_suspect(fingerprint)
 
 
-def without_hold(replay: store_replay.StoreReplay) -> list[str]:
+def not_quarantined(replay: store_replay.StoreReplay) -> list[str]:
     live = replay.fleet.live()
     return [node.name for node in live if node.state.quarantine.find_quarantined("f") is None]
 
 
 @pytest.mark.parametrize("size", [SMALL, LARGE])
-def test_a_fleet_that_lost_all_its_processes_still_holds_a_request_back(size: gossip_fleet.Size):
+def test_a_request_stays_quarantined_after_all_processes_restart(size: gossip_fleet.Size):
     async def test(replay: store_replay.StoreReplay) -> None:
         observe_crashes(replay.fleet.live()[4], 0, 3)
         await replay.run(500)
         replay.restart_all()
-        assert len(without_hold(replay)) == len(replay.fleet.live())
+        assert len(not_quarantined(replay)) == len(replay.fleet.live())
         await replay.run(CONTACT_MS)
-        assert without_hold(replay) == []
+        assert not_quarantined(replay) == []
 
     play(size, test)
 
 
 @pytest.mark.parametrize("size", [SMALL, LARGE])
-def test_a_node_that_hears_nobody_and_reaches_the_store_learns_of_it(size: gossip_fleet.Size):
+def test_a_node_that_reaches_only_the_store_learns_of_a_quarantine(size: gossip_fleet.Size):
     async def test(replay: store_replay.StoreReplay) -> None:
         alone = replay.fleet.live()[-1]
         replay.fleet.cut = lambda one, other: alone in (one, other)
         await replay.run(2_000)
         observe_crashes(replay.fleet.live()[0], 0, 3)
         await replay.run(CONTACT_MS)
-        assert without_hold(replay) == []
+        assert not_quarantined(replay) == []
 
     play(size, test)
 
 
 @pytest.mark.parametrize("size", [SMALL, LARGE])
-def test_ends_that_were_seen_on_both_sides_of_a_cut_add_up(size: gossip_fleet.Size):
+def test_crashes_seen_on_both_sides_of_a_partition_add_up(size: gossip_fleet.Size):
     async def test(replay: store_replay.StoreReplay) -> None:
         far = "dc-c"
         replay.fleet.cut = lambda one, other: (one.data_centre == far) != (other.data_centre == far)
@@ -80,12 +80,12 @@
         observe_crashes(next(node for node in live if node.data_centre != far), 0, 2)
         observe_crashes(next(node for node in live if node.data_centre == far), 2, 1)
         await replay.run(CONTACT_MS)
-        assert without_hold(replay) == []
+        assert not_quarantined(replay) == []
 
     play(size, test)
 
 
-def test_what_was_seen_while_the_store_was_away_is_written_once_it_is_back():
+def test_crashes_seen_while_the_store_was_down_are_written_after_it_recovers():
     async def test(replay: store_replay.StoreReplay) -> None:
         replay.store.down = True
         await replay.run(1_000)
@@ -95,12 +95,12 @@
         await replay.run(6_000)
         replay.restart_all()
         await replay.run(CONTACT_MS)
-        assert without_hold(replay) == []
+        assert not_quarantined(replay) == []
 
     play(SMALL, test)
 
 
-def test_single_ends_are_not_written_and_an_idle_fleet_makes_few_calls_for_the_record():
+def test_single_crashes_are_not_written_and_an_idle_fleet_makes_few_calls():
     async def test(replay: store_replay.StoreReplay) -> None:
         before = dict(replay.store.by_call)
         for number, node in enumerate(replay.fleet.live()):
@@ -112,7 +112,7 @@
     play(LARGE, test)
 
 
-def test_of_all_nodes_that_claim_a_trial_one_gets_it():
+def test_a_trial_is_granted_to_one_of_all_nodes_that_claim_it():
     async def test(replay: store_replay.StoreReplay) -> None:
         observe_crashes(replay.fleet.live()[0], 0, 3)
         await replay.run(1_000)
@@ -138,21 +138,21 @@
 
 
 @pytest.mark.parametrize("size", [SMALL, LARGE])
-def test_operators_let_all_run_again_by_removing_the_record(size: gossip_fleet.Size):
+def test_removing_the_record_lifts_all_quarantines(size: gossip_fleet.Size):
     async def test(replay: store_replay.StoreReplay) -> None:
         observe_crashes(replay.fleet.live()[0], 0, 3)
         await replay.run(1_000)
-        assert without_hold(replay) == []
+        assert not_quarantined(replay) == []
         replay.store.remove(quarantine_record.KIND, quarantine_record.NAME)
         await replay.run(1_000)
-        assert len(without_hold(replay)) == len(replay.fleet.live())
+        assert len(not_quarantined(replay)) == len(replay.fleet.live())
         await replay.run(10_000)
-        assert len(without_hold(replay)) == len(replay.fleet.live())
+        assert len(not_quarantined(replay)) == len(replay.fleet.live())
 
     play(size, test)
 
 
-def test_a_record_that_cannot_be_read_is_written_anew():
+def test_a_malformed_record_is_rewritten():
     async def test(replay: store_replay.StoreReplay) -> None:
         observe_crashes(replay.fleet.live()[0], 0, 3)
         await replay.run(1_000)
@@ -163,14 +163,14 @@
         replay.store.kept[key] = spoiled
         replay.store.wake()
         await replay.run(1_000)
-        assert without_hold(replay) == []
+        assert not_quarantined(replay) == []
         found = quarantine_record.decode(replay.store.kept[key].value)
         assert found is not None and [one.fingerprint for one in found] == ["f"]
 
     play(SMALL, test)
 
 
-def test_the_record_keeps_the_most_suspect_within_its_bound():
+def test_the_record_retains_the_highest_scores_up_to_its_maximum_size():
     now = 1_700_000_000_000
     found = {
         f"{number:03}": quarantine.Suspect(
@@ -179,7 +179,7 @@
         )
         for number in range(200)
     }
-    kept = quarantine_record.kept(found, now)
-    assert len(kept) == quarantine_record.MAX_KEPT
-    assert all(one.is_quarantined() for one in kept)
-    assert quarantine_record.decode(quarantine_record.encode(kept)) == kept
+    most_suspect = quarantine_record.most_suspect(found, now)
+    assert len(most_suspect) == quarantine_record.MAX_SUSPECTS
+    assert all(one.is_quarantined() for one in most_suspect)
+    assert quarantine_record.decode(quarantine_record.encode(most_suspect)) == most_suspect
