--- a/plumarch/gateway/callers/slow_callers_test.py
+++ b/plumarch/gateway/callers/slow_callers_test.py
@@ -10,7 +10,7 @@
 
 from plumarch.gateway import relay_test
 from plumarch.gateway.connections import exchange, keepalive, outgoing
-from plumarch.gateway.dispatch import attempts, whole_answers
+from plumarch.gateway.dispatch import attempts, buffered_answers
 from plumarch.limits import memory_account
 from plumarch.standins import scripted_endpoint as scripted
 
@@ -250,7 +250,7 @@
 
 
 def test_a_whole_answer_waits_until_others_have_read_theirs(monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(whole_answers, "ROOM_WAIT_MS", 20_000.0)
+    monkeypatch.setattr(buffered_answers, "ROOM_WAIT_MS", 20_000.0)
 
     async def test() -> None:
         flood = Flood(whole_bytes=300_000)
@@ -269,7 +269,7 @@
 def test_a_whole_answer_without_room_is_a_failure_that_promises_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ):
-    monkeypatch.setattr(whole_answers, "ROOM_WAIT_MS", 20.0)
+    monkeypatch.setattr(buffered_answers, "ROOM_WAIT_MS", 20.0)
 
     async def test() -> None:
         flood = Flood(whole_bytes=300_000)
--- a/plumarch/gateway/dispatch/announced_rate_test.py
+++ b/plumarch/gateway/dispatch/announced_rate_test.py
@@ -83,8 +83,8 @@
     async def __aenter__(self) -> "Fleet":
         self.connect_ms = attempts.CONNECT_TIMEOUT_MS
         attempts.CONNECT_TIMEOUT_MS = relay_test.LONG_MS
-        self.answer_ms = announced_rates.ANSWER_MS
-        announced_rates.ANSWER_MS = relay_test.LONG_MS
+        self.answer_ms = announced_rates.PERMIT_WAIT_MS
+        announced_rates.PERMIT_WAIT_MS = relay_test.LONG_MS
         self.gossip.run(3_000)
         for number, answering in enumerate(self.answering):
             endpoint = await scripted.ScriptedEndpoint(answering).start()
@@ -106,7 +106,7 @@
 
     async def __aexit__(self, *_: object) -> None:
         attempts.CONNECT_TIMEOUT_MS = self.connect_ms
-        announced_rates.ANSWER_MS = self.answer_ms
+        announced_rates.PERMIT_WAIT_MS = self.answer_ms
         for listener in self.listeners:
             listener.close()
         for callers in self.relays:
--- a/plumarch/gateway/dispatch/announced_rates.py
+++ b/plumarch/gateway/dispatch/announced_rates.py
@@ -9,7 +9,7 @@
 from plumarch.gateway.dispatch import endpoint_signals
 from plumarch.limits import rate_allocator
 
-ANSWER_MS = 150.0
+PERMIT_WAIT_MS = 150.0
 """How long a request that no other endpoint has room for waits for permits: a round trip to a node
 of another region and back, with a stop at a coordinator."""
 
@@ -45,18 +45,20 @@
     state.rate_changed(endpoint, state.node)
     report = state.permits.report(endpoint)
     if report is not None:
-        _ask(state, endpoint, report)
+        _send_request(state, endpoint, report)
 
 
 def may_send(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> bool:
     """Return whether a request may be sent, and ask for permits if it may not."""
     if state.permits.may_send(endpoint):
         return True
-    ask(state, endpoint)
+    request_permits(state, endpoint)
     return state.permits.may_send(endpoint)
 
 
-def ask(state: fleet_state.FleetState, endpoint: traffic.Endpoint, is_needed: bool = True) -> None:
+def request_permits(
+    state: fleet_state.FleetState, endpoint: traffic.Endpoint, is_needed: bool = True
+) -> None:
     """Ask for permits, unless that was done or is not due.
 
     Args:
@@ -64,10 +66,10 @@
     """
     request = state.permits.request(endpoint, is_needed)
     if request is not None:
-        _ask(state, endpoint, request)
+        _send_request(state, endpoint, request)
 
 
-def _ask(
+def _send_request(
     state: fleet_state.FleetState,
     endpoint: traffic.Endpoint,
     request: rate_allocator.PermitRequest,
@@ -88,5 +90,5 @@
       Whether the endpoint may be sent to by now.
     """
     if state.permits.is_request_pending(endpoint):
-        await state.permit_answers.wait(endpoint.id, max(0.0, min(ANSWER_MS, time_left_ms)))
+        await state.permit_answers.wait(endpoint.id, max(0.0, min(PERMIT_WAIT_MS, time_left_ms)))
     return state.permits.may_send(endpoint)
--- a/plumarch/gateway/dispatch/attempts.py
+++ b/plumarch/gateway/dispatch/attempts.py
@@ -19,7 +19,7 @@
 """Round trips that are allowed besides to another region: one for the way, one for what varies on
 it."""
 
-ENOUGH_TARGETS = 0.5
+LOCAL_TARGET_FRACTION = 0.5
 """An answer expected within this part of its target is soon enough to stay in the region: twice the
 expected time is still in target."""
 
@@ -63,7 +63,7 @@
 
     choice: endpoint_choice.Choice
     exchange: exchange.Exchange
-    given: endpoint_outcomes.Given
+    sent_request: endpoint_outcomes.SentRequest
     sent_ms: int = 0
     saw_first_token: bool = False
     first_ms: int | None = None
@@ -87,16 +87,16 @@
 ) -> endpoint_choice.Choice | None:
     """Choose an endpoint that was not tried yet, or None if there is none with room."""
     ready = [one for one in state.registry.ready(admitted.service) if one.id not in progress.tried]
-    awake = state.backoff.without(ready)
+    accepting = state.backoff.without(ready)
     repeated = bool(progress.tried)
     terms = _terms(state, admitted, repeated)
     progress.without_permit = None
     choice = None
     candidates: list[traffic.Endpoint] = []
-    for group in state.splits.groups(admitted.service, awake, admitted.id, repeated):
-        with_room = _with_room(state, admitted, group) if choice is None else []
-        if with_room:
-            candidates = with_room
+    for group in state.splits.groups(admitted.service, accepting, admitted.id, repeated):
+        available = _with_capacity(state, admitted, group) if choice is None else []
+        if available:
+            candidates = available
             choice = _choose_permitted(state, admitted, progress, candidates, terms)
     if choice is None:
         state.log.write(
@@ -104,12 +104,12 @@
             request=admitted.id,
             service=admitted.service,
             ready=len(ready),
-            resting=len(ready) - len(awake),
+            resting=len(ready) - len(accepting),
             too_far=len(candidates),
             rate_limited=len(state.permits.lasting(candidates)),
             split=state.splits.of(admitted.service),
             tried=len(progress.tried),
-            after_fall_ms=round(endpoint_outcomes.wait_after_fall_ms(state, admitted, ready)),
+            after_fall_ms=round(endpoint_outcomes.wait_after_crash_ms(state, admitted, ready)),
             registry_revision=state.registry.revision,
             registry_age_ms=state.registry.age_ms(),
             registry_source=state.registry.source,
@@ -125,7 +125,7 @@
     terms: locality_choice.Terms,
 ) -> endpoint_choice.Choice | None:
     """Choose among endpoints with room, leaving out those that a permit is missing for."""
-    choice = _choose_among(state, admitted, candidates, terms)
+    choice = _choose_preferred(state, admitted, candidates, terms)
     # An announced rate holds for all nodes together, so no node can tell by its own sends whether
     # the endpoint takes one more.
     if choice is None or announced_rates.may_send(state, choice.endpoint):
@@ -134,7 +134,7 @@
     permitted = [one for one in candidates if state.permits.may_send(one)]
     if not permitted and progress.without_permit is None:
         progress.without_permit = choice.endpoint
-    return _choose_among(state, admitted, permitted, terms)
+    return _choose_preferred(state, admitted, permitted, terms)
 
 
 def _terms(
@@ -144,13 +144,13 @@
     target_ms = admitted.route.target_ms
     return locality_choice.Terms(
         time_left_ms=admitted.ends_ms - state.clock.now(),
-        enough_ms=ENOUGH_TARGETS * target_ms,
+        enough_ms=LOCAL_TARGET_FRACTION * target_ms,
         late_ms=target_ms if target_ms > 0 else math.inf,
         repeated=repeated,
     )
 
 
-def _choose_among(
+def _choose_preferred(
     state: fleet_state.FleetState,
     admitted: admission.Admitted,
     candidates: list[traffic.Endpoint],
@@ -180,19 +180,19 @@
     return state.chooser.choose_plain(candidates, seed, terms)
 
 
-def _with_room(
+def _with_capacity(
     state: fleet_state.FleetState, admitted: admission.Admitted, ready: list[traffic.Endpoint]
 ) -> list[traffic.Endpoint]:
     """Return the endpoints that can be reached, answer well, and have room."""
     reachable = [one for one in ready if not state.reach.is_excluded(one.data_centre)]
     usable = state.health.usable(reachable or ready)
-    if endpoint_outcomes.wait_after_fall_ms(state, admitted, usable):
+    if endpoint_outcomes.wait_after_crash_ms(state, admitted, usable):
         return []
     demand = endpoint_outcomes.demand_of(admitted)
     return state.limits.with_capacity(admitted.service, usable, state.chooser.running, demand)
 
 
-def when_room(state: fleet_state.FleetState, admitted: admission.Admitted) -> float:
+def retry_delay_ms(state: fleet_state.FleetState, admitted: admission.Admitted) -> float:
     """Return when a request that no endpoint had room for had better come back, in ms.
 
     Where endpoints are ready, that is when one of their places is free, in the region if it has
@@ -208,8 +208,8 @@
     permit_ms = state.permits.wait_ms(all_ready)
     if permit_ms:
         return float(permit_ms)
-    near = [one for one in all_ready if state.distances.is_in_region(one.data_centre)]
-    ready = near or [
+    local = [one for one in all_ready if state.distances.is_in_region(one.data_centre)]
+    ready = local or [
         one for one in all_ready if state.distances.network_ms(one.data_centre) < time_left_ms
     ]
     if ready:
@@ -217,7 +217,7 @@
         slots = sum(max(1, one.slots) for one in ready)
         run_ms = state.chooser.speed(admitted.service).run_ms.value
         free_ms = return_times.when_slot_is_free(running, slots, run_ms)
-        return max(free_ms, endpoint_outcomes.wait_after_fall_ms(state, admitted, ready))
+        return max(free_ms, endpoint_outcomes.wait_after_crash_ms(state, admitted, ready))
     service = state.table.services.get(admitted.service) if state.table else None
     if service is not None and service.scaling is not None:
         return return_times.when_booted(service.scaling.boot_ms)
@@ -264,7 +264,7 @@
     has_permit = state.permits.use(endpoint)
     if has_permit:
         state.measures.permits.add(admitted.service, "used")
-        announced_rates.ask(state, endpoint, is_needed=False)
+        announced_rates.request_permits(state, endpoint, is_needed=False)
     state.reach.begin_probe(endpoint.data_centre)
     _log_choice(state, admitted, progress, choice)
     time_left = admitted.ends_ms - state.clock.now()
@@ -278,8 +278,8 @@
             state.permits.return_permit(endpoint)
         if not state.suspensions.since(began_ms):
             state.health.failure(endpoint.id)
-            endpoint_outcomes.unreached(state, endpoint)
-            _note_unreached(state, endpoint)
+            endpoint_outcomes.connect_failed(state, endpoint)
+            _record_connect_failure(state, endpoint)
         state.measures.attempts.add(admitted.service, "no_connection")
         raise
     state.reach.connected(endpoint.data_centre)
@@ -289,7 +289,7 @@
         state.health.latencies.connected(endpoint.id, connect_ms)
     try:
         check_time(state, admitted)
-        _check_still_wanted(state, endpoint, has_permit)
+        _check_accepts_requests(state, endpoint, has_permit)
     except (TimeoutError, errors.ConnectFailed):
         opened.close()
         raise
@@ -326,9 +326,9 @@
                 )
             )
     state.runs.begin(endpoint.id, opened)
-    given = endpoint_outcomes.given(state, admitted, choice)
+    sent_request = endpoint_outcomes.record_send(state, admitted, choice)
     beyond_ms = state.distances.beyond_region_ms(endpoint.data_centre)
-    return Attempt(choice, opened, given, state.clock.now(), round_trip_ms=beyond_ms)
+    return Attempt(choice, opened, sent_request, state.clock.now(), round_trip_ms=beyond_ms)
 
 
 def check_time(state: fleet_state.FleetState, admitted: admission.Admitted) -> None:
@@ -341,7 +341,7 @@
         raise TimeoutError
 
 
-def _check_still_wanted(
+def _check_accepts_requests(
     state: fleet_state.FleetState, endpoint: traffic.Endpoint, has_permit: bool
 ) -> None:
     """Send nothing to an endpoint that said so to another request while the connection came up.
@@ -351,8 +351,8 @@
     Raises:
       ConnectFailed: it leaves, rests, or announced a rate under which there is no permit.
     """
-    told = state.registry.endpoints.get(endpoint.id)
-    if told is not None and told.state is traffic.EndpointState.DRAINING:
+    listed = state.registry.endpoints.get(endpoint.id)
+    if listed is not None and listed.state is traffic.EndpointState.DRAINING:
         raise errors.ConnectFailed(f"{endpoint.id} leaves. Ask another one.")
     if state.backoff.left_ms(endpoint):
         raise errors.ConnectFailed(f"{endpoint.id} asked for rest. Ask another one.")
@@ -375,7 +375,7 @@
     return CONNECT_TIMEOUT_MS + CONNECT_ROUND_TRIPS * beyond_ms
 
 
-def _note_unreached(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> None:
+def _record_connect_failure(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> None:
     """Note that an endpoint could not be connected to, and perhaps its whole data centre."""
     beyond_ms = CONNECT_ROUND_TRIPS * state.distances.beyond_region_ms(endpoint.data_centre)
     if state.reach.failed(endpoint.data_centre, endpoint.id, beyond_ms):
@@ -438,12 +438,12 @@
         time_left_ms=round(admitted.ends_ms - state.clock.now()),
         locality=state.distances.locality(choice.endpoint.data_centre).label(),
         round_trip_ms=round(state.distances.round_trip_ms(choice.endpoint.data_centre), 1),
-        leaves_region=_why_it_leaves(progress, choice),
+        leaves_region=_leave_reason(progress, choice),
         endpoint_per_s=state.permits.rate(choice.endpoint),
     )
 
 
-def _why_it_leaves(progress: Progress, choice: endpoint_choice.Choice) -> str:
+def _leave_reason(progress: Progress, choice: endpoint_choice.Choice) -> str:
     """Return why a request leaves its region, or "" if it stays."""
     if choice.leave_reason is None:
         return ""
@@ -468,7 +468,7 @@
     if not isinstance(head, h11.Response):
         raise errors.ConnectionBroken("the answer has no head")
     names = state.names
-    endpoint_outcomes.answered(state, admitted, attempt.given, attempt.sent_ms, head)
+    endpoint_outcomes.answered(state, admitted, attempt.sent_request, attempt.sent_ms, head)
     if head.status_code in endpoint_outcomes.PROMISED_NOT_RUN:
         if _is_promise(head, names):
             raise NotRun(f"endpoint answered {head.status_code}, not run", head.status_code)
@@ -497,7 +497,7 @@
         state.usage.started(admitted.workspace.name, state.wall.now())
 
 
-def was_lost(attempt: Attempt) -> bool:
+def was_disconnected(attempt: Attempt) -> bool:
     """Return whether the endpoint ended the connection, and did not only answer badly."""
     transport = attempt.exchange.transport
     return transport is None or transport.is_closing()
@@ -508,7 +508,7 @@
     attempt.exchange.close()
     state.runs.end(attempt.choice.endpoint.id, attempt.exchange)
     if attempt.saw_first_token and not was_suspended(state, attempt):
-        held_ms = state.clock.now() - attempt.sent_ms - attempt.round_trip_ms
-        state.chooser.speed(attempt.choice.endpoint.service).ended(max(0.0, held_ms))
+        run_ms = state.clock.now() - attempt.sent_ms - attempt.round_trip_ms
+        state.chooser.speed(attempt.choice.endpoint.service).ended(max(0.0, run_ms))
     state.chooser.end(attempt.choice, attempt.saw_first_token)
-    endpoint_outcomes.ended(state, attempt.given)
+    endpoint_outcomes.ended(state, attempt.sent_request)
--- a/plumarch/gateway/dispatch/whole_answers.py
+++ b/plumarch/gateway/dispatch/buffered_answers.py
@@ -10,7 +10,7 @@
 from plumarch.gateway.dispatch import attempts
 from plumarch.limits import memory_account
 
-ANSWER_BYTES_LIMIT = 16 * 1024 * 1024
+MAX_ANSWER_BYTES = 16 * 1024 * 1024
 """The longest answer that is read whole; a longer one is an endpoint's fault, and would take the
 room of many others."""
 
@@ -18,7 +18,7 @@
 """How long an answer waits for room. An endpoint cuts one off that stays unread for some seconds,
 and what arrived of it is not counted meanwhile."""
 
-HEAD_BYTES = 2_048
+HEAD_RESERVATION_BYTES = 2_048
 """Room for the head that goes to the caller with the body."""
 
 
@@ -42,36 +42,34 @@
 ) -> bytes:
     """Read the rest of an answer's body.
 
-    A length that is told is reserved at once: answers that take their room bit by bit could all
+    A stated length is reserved at once: answers that reserve bit by bit could all
     wait for each other. An answer to HEAD tells a length without having a body.
 
     Raises:
       ConnectionBroken: it broke off, or is longer than answers may be.
       NoMemory: there was no room for it in time.
     """
-    told = int(dialect.header_value(head.headers, b"content-length") or 0)
+    content_length = int(dialect.header_value(head.headers, b"content-length") or 0)
     if method == b"HEAD":
-        told = 0
-    if told > ANSWER_BYTES_LIMIT:
-        raise errors.ConnectionBroken(f"the answer is longer than {ANSWER_BYTES_LIMIT} bytes")
-    await _hold(memory, source, reservation, told + HEAD_BYTES)
+        content_length = 0
+    if content_length > MAX_ANSWER_BYTES:
+        raise errors.ConnectionBroken(f"the answer is longer than {MAX_ANSWER_BYTES} bytes")
+    await _reserve(memory, source, reservation, content_length + HEAD_RESERVATION_BYTES)
     body = bytearray()
     while True:
         event = await source.next()
         if isinstance(event, h11.EndOfMessage):
             return bytes(body)
         if isinstance(event, h11.Data):
-            if len(body) + len(event.data) > ANSWER_BYTES_LIMIT:
-                raise errors.ConnectionBroken(
-                    f"the answer is longer than {ANSWER_BYTES_LIMIT} bytes"
-                )
-            needed = len(body) + len(event.data) + HEAD_BYTES
+            if len(body) + len(event.data) > MAX_ANSWER_BYTES:
+                raise errors.ConnectionBroken(f"the answer is longer than {MAX_ANSWER_BYTES} bytes")
+            needed = len(body) + len(event.data) + HEAD_RESERVATION_BYTES
             if needed > reservation.size:
-                await _hold(memory, source, reservation, needed)
+                await _reserve(memory, source, reservation, needed)
             body += event.data
 
 
-async def _hold(
+async def _reserve(
     memory: memory_account.MemoryAccount,
     source: exchange.Exchange,
     reservation: memory_account.Reservation,
@@ -82,7 +80,7 @@
     Raises:
       NoMemory: there was no room in time.
     """
-    if _try(memory, reservation, size):
+    if _try_reserve(memory, reservation, size):
         return
     source.hold_back()
     try:
@@ -90,7 +88,7 @@
         if not memory.resize(reservation, reservation.size + source.unparsed):
             raise errors.NoMemory(f"no room for {source.unparsed} bytes that arrived")
         async with asyncio.timeout(ROOM_WAIT_MS / 1000.0):
-            while not _try(memory, reservation, size):
+            while not _try_reserve(memory, reservation, size):
                 released = asyncio.Event()
                 memory.waiting.append(released.set)
                 await released.wait()
@@ -100,7 +98,7 @@
         source.resume()
 
 
-def _try(
+def _try_reserve(
     memory: memory_account.MemoryAccount, reservation: memory_account.Reservation, size: int
 ) -> bool:
     return memory.answer_fits(reservation, size) and memory.resize(reservation, size)
--- a/plumarch/gateway/dispatch/endpoint_outcomes.py
+++ b/plumarch/gateway/dispatch/endpoint_outcomes.py
@@ -24,13 +24,13 @@
 PROMISED_NOT_RUN = frozenset({408, 421, 429, 503})
 """Statuses that promise that a request did not run, when an endpoint says so."""
 
-TOO_MUCH = frozenset({429, 503})
+OVERLOADED = frozenset({429, 503})
 """Statuses by which an endpoint that did not run a request says that it holds too much."""
 
 MISDIRECTED = 421
 """Status of a process that is not the endpoint named in a request, and did not run it."""
 
-SHED_FAILURE = 0.3
+REJECTION_WEIGHT = 0.3
 """Weight of a refusal by an endpoint with free places as a failure of it: it may be full with
 requests that this node was not told of yet."""
 
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Given:
+class SentRequest:
     """A request that an endpoint was given.
 
     Attributes:
@@ -84,13 +84,13 @@
     too slow is weighed by the choice.
     """
     latencies, running = state.health.latencies, state.chooser.running
-    near, away = locality_choice.local_and_remote(endpoints, state.distances)
-    if len(near) < MIN_COMPARED:
+    local, remote = locality_choice.local_and_remote(endpoints, state.distances)
+    if len(local) < MIN_COMPARED:
         return latencies.without_slow(endpoints, running)
-    return latencies.without_slow(near, running) + latencies.without_slow(away, running)
+    return latencies.without_slow(local, running) + latencies.without_slow(remote, running)
 
 
-def wait_after_fall_ms(
+def wait_after_crash_ms(
     state: fleet_state.FleetState,
     admitted: admission.Admitted,
     endpoints: Sequence[traffic.Endpoint],
@@ -99,20 +99,20 @@
     crash = state.limits.crashes.recent(admitted.service)
     if crash is None:
         return 0.0
-    left = [one for one in endpoints if one.id != crash.endpoint]
-    if len(left) >= crash_guard.UNLIMITED_PEERS:
+    others = [one for one in endpoints if one.id != crash.endpoint]
+    if len(others) >= crash_guard.UNLIMITED_PEERS:
         return 0.0
-    running = state.chooser.total_running(left)
-    slots = sum(max(1, one.slots) for one in left)
+    running = state.chooser.total_running(others)
+    slots = sum(max(1, one.slots) for one in others)
     rank = admission.urgency(admitted)
     return state.limits.crashes.wait_ms(admitted.service, running, slots, rank)
 
 
-def given(
+def record_send(
     state: fleet_state.FleetState,
     admitted: admission.Admitted,
     choice: endpoint_choice.Choice,
-) -> Given:
+) -> SentRequest:
     """Note that an endpoint was given a request."""
     demand = demand_of(admitted)
     endpoint = choice.endpoint
@@ -121,7 +121,7 @@
     number = None
     if expected_ms is not None:
         number = state.health.latencies.sent(endpoint.id, expected_ms)
-    return Given(endpoint, demand, number)
+    return SentRequest(endpoint, demand, number)
 
 
 def _expected_ms(
@@ -146,7 +146,7 @@
 def answered(
     state: fleet_state.FleetState,
     admitted: admission.Admitted,
-    one: Given,
+    one: SentRequest,
     sent_ms: int,
     head: h11.Response,
 ) -> None:
@@ -163,10 +163,10 @@
         return
     endpoint, now = one.endpoint, state.clock.now()
     alive_ms = state.wall.now() - now + sent_ms
-    rests_ms = 0
-    if signals.rest_ms and head.status_code in TOO_MUCH:
+    backoff_ms = 0
+    if signals.backoff_ms and head.status_code in OVERLOADED:
         # It runs little by refusing, so that it would be the next request's first choice again.
-        rests_ms = state.backoff.note_retry_after(endpoint, alive_ms, signals.rest_ms)
+        backoff_ms = state.backoff.note_retry_after(endpoint, alive_ms, signals.backoff_ms)
         state.measures.rests.add(endpoint.service)
     listed = state.registry.endpoints.get(endpoint.id)
     state.log.write(
@@ -174,9 +174,9 @@
         request=admitted.id,
         endpoint=endpoint.id,
         status=head.status_code,
-        leaving=signals.leaving,
+        leaving=signals.draining,
         retry_after=signals.retry_after,
-        rests_ms=rests_ms,
+        rests_ms=backoff_ms,
         rate_limit=signals.rate_limit,
         after_ms=now - sent_ms,
         listed_as=listed.state.value if listed else "gone",
@@ -187,11 +187,11 @@
         # Another process has the address: what it says is not about the endpoint.
         return
     # The store may be silent for long while an endpoint that leaves says so in all its answers.
-    if signals.leaving and state.registry.note_draining(endpoint, alive_ms):
+    if signals.draining and state.registry.note_draining(endpoint, alive_ms):
         state.measures.leaving_said.add(endpoint.service)
 
 
-def first_byte(state: fleet_state.FleetState, one: Given) -> None:
+def first_byte(state: fleet_state.FleetState, one: SentRequest) -> None:
     """Note that an endpoint's answer began."""
     running = state.chooser.running(one.endpoint.id)
     state.limits.observe_load(one.endpoint, running)
@@ -203,56 +203,56 @@
         _log_limit(state, one.endpoint)
 
 
-def refused(state: fleet_state.FleetState, one: Given, status: int) -> None:
+def rejected(state: fleet_state.FleetState, one: SentRequest, status: int) -> None:
     """Note that an endpoint did not run a request."""
     if status == MISDIRECTED:
         # An entry that stands without its process would go on attracting requests, each of which
         # costs its caller a send, and the fleet one of its repeats.
         state.health.absent(one.endpoint)
         state.log.write("endpoint_absent", endpoint=one.endpoint.id, address=one.endpoint.address)
-    if status not in TOO_MUCH:
+    if status not in OVERLOADED:
         return
     running = max(0, state.chooser.running(one.endpoint.id) - 1)
     if running < one.endpoint.slots:
         # It refuses for another reason than its load, and looks idle by it. Where a third of the
         # engines refuse all, and later most of them in part, the day earns 0.898 to 0.964 of what
         # it owes, 0.876 to 0.916 before (two deployments, two seeds each, in pairs; up in all).
-        state.health.failure(one.endpoint.id, SHED_FAILURE)
+        state.health.failure(one.endpoint.id, REJECTION_WEIGHT)
     state.limits.rejected(one.endpoint, running, one.demand.is_engine)
     _log_limit(state, one.endpoint)
 
 
-def lost(state: fleet_state.FleetState, one: Given) -> None:
+def lost(state: fleet_state.FleetState, one: SentRequest) -> None:
     """Note that a connection ended while its request ran."""
     running = state.chooser.running(one.endpoint.id)
     elsewhere = _elsewhere(state, one.endpoint)
-    endpoint = _as_told(state, one.endpoint)
+    endpoint = _current(state, one.endpoint)
     _note_crash(state, endpoint, state.limits.lost(endpoint, running, elsewhere))
 
 
-def unreached(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> None:
+def connect_failed(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> None:
     """Note that an endpoint could not be connected to."""
     elsewhere = _elsewhere(state, endpoint)
-    endpoint = _as_told(state, endpoint)
+    endpoint = _current(state, endpoint)
     _note_crash(state, endpoint, state.limits.connect_failed(endpoint, elsewhere))
 
 
-def ended(state: fleet_state.FleetState, one: Given) -> None:
+def ended(state: fleet_state.FleetState, one: SentRequest) -> None:
     """Note that a request is over at an endpoint."""
     state.limits.ended(one.endpoint, one.demand)
     if one.number is not None:
         state.health.latencies.ended(one.endpoint.id, one.number)
 
 
-def _as_told(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> traffic.Endpoint:
+def _current(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> traffic.Endpoint:
     """Return an endpoint with its state as of now, which a request keeps as of its choice.
 
     One that vanished and is neither among those that vanished without notice nor back under its
     name had said that it leaves.
     """
-    told = state.registry.endpoints.get(endpoint.id)
-    if told is not None:
-        return told
+    listed = state.registry.endpoints.get(endpoint.id)
+    if listed is not None:
+        return listed
     if endpoint.id in state.registry.lapsed or endpoint.called() in state.registry.by_name:
         return endpoint
     return dataclasses.replace(endpoint, state=traffic.EndpointState.DRAINING)
--- a/plumarch/gateway/dispatch/endpoint_signals_test.py
+++ b/plumarch/gateway/dispatch/endpoint_signals_test.py
@@ -18,13 +18,13 @@
     assert signals((b"x-other", b"1")) == endpoint_signals.NONE
 
 
-@pytest.mark.parametrize(("value", "leaving"), [(b"1", True), (b"0", False), (b"", False)])
-def test_an_endpoint_that_is_about_to_end(value: bytes, leaving: bool):
-    assert signals((NAMES.leaving, value)).leaving is leaving
+@pytest.mark.parametrize(("value", "draining"), [(b"1", True), (b"0", False), (b"", False)])
+def test_an_endpoint_that_is_about_to_end(value: bytes, draining: bool):
+    assert signals((NAMES.leaving, value)).draining is draining
 
 
 @pytest.mark.parametrize(
-    ("value", "rest_ms"),
+    ("value", "backoff_ms"),
     [
         (b"3", 3_000.0),
         (b"0.25", 250.0),
@@ -37,9 +37,9 @@
         (b"soon", 0.0),
     ],
 )
-def test_a_rest_is_a_number_of_seconds(value: bytes, rest_ms: float):
+def test_a_rest_is_a_number_of_seconds(value: bytes, backoff_ms: float):
     found = signals((b"retry-after", value))
-    assert found.rest_ms == rest_ms
+    assert found.backoff_ms == backoff_ms
     assert found.retry_after == value.decode()
 
 
@@ -47,12 +47,12 @@
     assert signals((NAMES.rate_limit, b"0.5")).rate_limit == "0.5"
     assert (
         signals((NAMES.rate_limit, b"9" * 99)).rate_limit
-        == "9" * endpoint_signals.LOGGED_CHARACTERS
+        == "9" * endpoint_signals.MAX_LOGGED_CHARACTERS
     )
 
 
 @given(strategies.binary(max_size=200).map(lambda raw: bytes(b for b in raw if 32 < b < 127)))
 def test_no_value_is_a_fault(value: bytes):
     found = signals((b"retry-after", value), (NAMES.leaving, value))
-    assert 0.0 <= found.rest_ms < float("inf")
-    assert len(found.retry_after) <= endpoint_signals.LOGGED_CHARACTERS
+    assert 0.0 <= found.backoff_ms < float("inf")
+    assert len(found.retry_after) <= endpoint_signals.MAX_LOGGED_CHARACTERS
--- a/plumarch/gateway/dispatch/event_stream.py
+++ b/plumarch/gateway/dispatch/event_stream.py
@@ -5,7 +5,7 @@
 
 import dataclasses
 
-ENDS = (b"\n\n", b"\r\n\r\n")
+SEPARATORS = (b"\n\n", b"\r\n\r\n")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -20,7 +20,7 @@
 class Splitter:
     """Takes bytes as they come and returns whole events."""
 
-    rest: bytes = b""
+    buffered: bytes = b""
 
     def feed(self, data: bytes) -> list[Event]:
         """Add bytes.
@@ -28,18 +28,18 @@
         Returns:
           The events that are whole now, in order.
         """
-        self.rest += data
+        self.buffered += data
         events: list[Event] = []
         while True:
-            end = _event_end(self.rest)
+            end = _event_end(self.buffered)
             if end < 0:
                 return events
-            raw, self.rest = self.rest[:end], self.rest[end:]
+            raw, self.buffered = self.buffered[:end], self.buffered[end:]
             events.append(Event(raw, _id_of(raw)))
 
 
 def _event_end(data: bytes) -> int:
-    found = [data.find(end) + len(end) for end in ENDS if end in data]
+    found = [data.find(end) + len(end) for end in SEPARATORS if end in data]
     return min(found, default=-1)
 
 
--- a/plumarch/gateway/dispatch/event_stream_test.py
+++ b/plumarch/gateway/dispatch/event_stream_test.py
@@ -20,13 +20,13 @@
             events += splitter.feed(TEXT[at : at + size])
             at += size
         assert events == whole
-        assert splitter.rest == b"id: 3\ndata: cut"
+        assert splitter.buffered == b"id: 3\ndata: cut"
 
 
 def test_the_bytes_of_events_are_unchanged():
     splitter = event_stream.Splitter()
     events = splitter.feed(TEXT)
-    assert b"".join(event.raw for event in events) + splitter.rest == TEXT
+    assert b"".join(event.raw for event in events) + splitter.buffered == TEXT
 
 
 def test_ids_must_follow_one_another():
--- a/plumarch/gateway/dispatch/lost_runs.py
+++ b/plumarch/gateway/dispatch/interrupted_runs.py
@@ -17,20 +17,20 @@
 from plumarch.gateway.gossip import suspect_updates
 from plumarch.limits import quarantine
 
-KNOWN_MS = 1_000
+CRASH_RETENTION_MS = 1_000
 """How long an endpoint that ended is not asked again; no process is back sooner."""
 
-REBORN_MS = 10_000
+RESTART_RETENTION_MS = 10_000
 """How long after a loss an endpoint's new start counts as the cause: it is in the store a few
 seconds after its process is up."""
 
-MAX_DOUBTED = 64
+MAX_UNCONFIRMED = 64
 """Lost runs that are kept of an endpoint for that, the last ones: as many as it has places, mostly.
 One that breaks off answers all the time would have them grow."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LostRun:
+class InterruptedRun:
     """A run that broke off.
 
     Attributes:
@@ -45,75 +45,75 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Question:
+class Probe:
     """An endpoint that is being asked whether it lives, and the runs that were lost there."""
 
-    asking: asyncio.Task[None]
-    runs: list[LostRun]
+    task: asyncio.Task[None]
+    runs: list[InterruptedRun]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Doubt:
+class UnconfirmedRuns:
     """Runs that were lost at an endpoint that took connections then, and when that was."""
 
     endpoint: traffic.Endpoint
-    runs: list[LostRun]
+    runs: list[InterruptedRun]
     at_ms: int
 
 
-class LostRuns:
+class InterruptedRuns:
     """Finds out which lost runs were lost with their endpoint.
 
     Attributes:
       doubts: endpoints that were found to live, by identifier.
       questions: endpoints that are being asked, by identifier.
-      ended_ms: when endpoints were found to have ended lately, by identifier.
+      crashed_ms: when endpoints were found to have ended lately, by identifier.
     """
 
     def __init__(self, state: fleet_state.FleetState) -> None:
         self.state = state
-        self.questions: dict[str, Question] = {}
-        self.ended_ms: dict[str, int] = {}
-        self.doubts: dict[str, Doubt] = {}
-        state.endpoint_restarted = self.restarted
+        self.probes: dict[str, Probe] = {}
+        self.crashed_ms: dict[str, int] = {}
+        self.unconfirmed: dict[str, UnconfirmedRuns] = {}
+        state.endpoint_restarted = self.apply_restart
 
-    def note(self, admitted: admission.Admitted, attempt: attempts.Attempt) -> None:
+    def record(self, admitted: admission.Admitted, attempt: attempts.Attempt) -> None:
         """Take in a run whose endpoint closed the connection."""
         endpoint = attempt.choice.endpoint
         now = self.state.clock.now()
-        run = LostRun(
+        run = InterruptedRun(
             admitted.id, admitted.fingerprint, _points(attempt, now), now - attempt.sent_ms
         )
-        question = self.questions.get(endpoint.id)
-        if question is not None:
-            question.runs.append(run)
-        elif attempt.exchange.ended_with_peer or self._is_known_to_have_ended(endpoint.id, now):
-            self._count(endpoint, [run])
+        probe = self.probes.get(endpoint.id)
+        if probe is not None:
+            probe.runs.append(run)
+        elif attempt.exchange.ended_with_peer or self._crashed_recently(endpoint.id, now):
+            self._record_crashes(endpoint, [run])
         else:
-            asking = asyncio.get_running_loop().create_task(self._ask(endpoint))
-            self.questions[endpoint.id] = Question(asking, [run])
+            task = asyncio.get_running_loop().create_task(self._probe(endpoint))
+            self.probes[endpoint.id] = Probe(task, [run])
 
-    def _is_known_to_have_ended(self, endpoint: str, now: int) -> bool:
-        return now - self.ended_ms.get(endpoint, -KNOWN_MS) < KNOWN_MS
+    def _crashed_recently(self, endpoint: str, now: int) -> bool:
+        return now - self.crashed_ms.get(endpoint, -CRASH_RETENTION_MS) < CRASH_RETENTION_MS
 
-    async def settled(self, endpoint: str) -> None:
+    async def wait_for_probe(self, endpoint: str) -> None:
         """Wait until it is known whether an endpoint ended, if it is being asked."""
-        question = self.questions.get(endpoint)
-        if question is not None:
-            await asyncio.wait({question.asking})
+        probe = self.probes.get(endpoint)
+        if probe is not None:
+            await asyncio.wait({probe.task})
 
-    async def _ask(self, endpoint: traffic.Endpoint) -> None:
+    async def _probe(self, endpoint: traffic.Endpoint) -> None:
         timeout_ms = attempts.connect_timeout_ms(self.state, endpoint)
         try:
             listens = await exchange.listens(endpoint.address, timeout_ms)
         finally:
-            runs = self.questions.pop(endpoint.id).runs
+            runs = self.probes.pop(endpoint.id).runs
         if listens is False:
-            self._forget_old()
-            self.ended_ms[endpoint.id] = self.state.clock.now()
-            self._count(endpoint, runs)
+            self._prune_crashed()
+            self.crashed_ms[endpoint.id] = self.state.clock.now()
+            self._record_crashes(endpoint, runs)
         else:
-            self._keep_doubt(endpoint, runs)
+            self._keep_unconfirmed(endpoint, runs)
             self.state.log.write(
                 "endpoint_lives",
                 endpoint=endpoint.id,
@@ -121,26 +121,30 @@
                 answered=listens is not None,
             )
 
-    def _keep_doubt(self, endpoint: traffic.Endpoint, runs: list[LostRun]) -> None:
+    def _keep_unconfirmed(self, endpoint: traffic.Endpoint, runs: list[InterruptedRun]) -> None:
         now = self.state.clock.now()
-        self.doubts = {
-            name: one for name, one in self.doubts.items() if now - one.at_ms < REBORN_MS
+        self.unconfirmed = {
+            name: one
+            for name, one in self.unconfirmed.items()
+            if now - one.at_ms < RESTART_RETENTION_MS
         }
-        before = self.doubts.get(endpoint.id)
+        before = self.unconfirmed.get(endpoint.id)
         earlier = before.runs if before is not None else []
-        self.doubts[endpoint.id] = Doubt(endpoint, (earlier + runs)[-MAX_DOUBTED:], now)
+        self.unconfirmed[endpoint.id] = UnconfirmedRuns(
+            endpoint, (earlier + runs)[-MAX_UNCONFIRMED:], now
+        )
 
-    def restarted(self, endpoint: str) -> None:
+    def apply_restart(self, endpoint: str) -> None:
         """Take in that an endpoint's process is no more: what was lost there was lost with it."""
-        doubt = self.doubts.pop(endpoint, None)
-        if doubt is not None and self.state.clock.now() - doubt.at_ms < REBORN_MS:
-            self._count(doubt.endpoint, doubt.runs)
+        found = self.unconfirmed.pop(endpoint, None)
+        if found is not None and self.state.clock.now() - found.at_ms < RESTART_RETENTION_MS:
+            self._record_crashes(found.endpoint, found.runs)
 
-    def _forget_old(self) -> None:
-        oldest = self.state.clock.now() - KNOWN_MS
-        self.ended_ms = {name: at for name, at in self.ended_ms.items() if at >= oldest}
+    def _prune_crashed(self) -> None:
+        oldest = self.state.clock.now() - CRASH_RETENTION_MS
+        self.crashed_ms = {name: at for name, at in self.crashed_ms.items() if at >= oldest}
 
-    def _count(self, endpoint: traffic.Endpoint, runs: list[LostRun]) -> None:
+    def _record_crashes(self, endpoint: traffic.Endpoint, runs: list[InterruptedRun]) -> None:
         """Hold an endpoint's end against the requests that it ran."""
         state = self.state
         state.log.write(
--- a/plumarch/gateway/dispatch/lost_runs_test.py
+++ b/plumarch/gateway/dispatch/interrupted_runs_test.py
@@ -41,11 +41,11 @@
     return list(gateway.state.quarantine.suspects.values())
 
 
-async def no_questions(gateway: relay_test.Gateway) -> None:
+async def wait_for_probes(gateway: relay_test.Gateway) -> None:
     """Wait until all endpoints that are being asked have answered."""
-    lost = gateway.callers.handler.lost
-    for endpoint in list(lost.questions):
-        await lost.settled(endpoint)
+    lost = gateway.callers.handler.interrupted_runs
+    for endpoint in list(lost.probes):
+        await lost.wait_for_probe(endpoint)
 
 
 def test_an_endpoint_that_breaks_answers_off_and_lives_says_nothing_against_a_request():
@@ -57,7 +57,7 @@
             for _ in range(6):
                 answer = await gateway.ask("/safe/x", body=POISON)
                 assert answer.status == 502
-                await no_questions(gateway)
+                await wait_for_probes(gateway)
             assert suspects(gateway) == []
 
     play(test)
@@ -87,7 +87,7 @@
         async with gateway_of(6, ending(world)) as gateway:
             world.append(gateway)
             await gateway.ask("/safe/x", body=POISON)
-            await no_questions(gateway)
+            await wait_for_probes(gateway)
             await gateway.ask("/safe/x", body=POISON)
             assert gateway.sends() == 3
 
@@ -101,7 +101,7 @@
             world.append(gateway)
             for _ in range(5):
                 await gateway.ask("/unsafe/x", body=POISON)
-                await no_questions(gateway)
+                await wait_for_probes(gateway)
             assert gateway.sends() == 3
 
     play(test)
@@ -113,7 +113,7 @@
         async with gateway_of(4, ending(world)) as gateway:
             world.append(gateway)
             await gateway.ask("/safe/x", body=POISON)
-            await no_questions(gateway)
+            await wait_for_probes(gateway)
             assert [one.points() for one in suspects(gateway)] == [2 * EARLY]
             for endpoint in gateway.endpoints:
                 endpoint.answering = sound
@@ -133,7 +133,7 @@
         async with gateway_of(6, ending(world)) as gateway:
             world.append(gateway)
             await gateway.ask("/chat/x", body=POISON)
-            await no_questions(gateway)
+            await wait_for_probes(gateway)
             for endpoint in gateway.endpoints:
                 endpoint.answering = sound
             assert (await gateway.ask("/chat/x", body=POISON, key="little")).status == 200
@@ -154,7 +154,7 @@
             (endpoint,) = state.registry.ready("s")
             answer = await gateway.ask("/unsafe/x", body=POISON)
             assert answer.status == 502
-            await no_questions(gateway)
+            await wait_for_probes(gateway)
             assert suspects(gateway) == []
             again = dataclasses.replace(endpoint, id="e0.again", name="e0", born_ms=2)
             change = registry.EndpointChange("e0", 9, again)
@@ -190,7 +190,7 @@
                 await begun.wait()
                 await gateway.ask("/unsafe/x", body=POISON)
                 assert (await beside).status == 502
-                await no_questions(gateway)
+                await wait_for_probes(gateway)
                 await endpoint.start()
                 fresh = traffic.Endpoint(
                     f"f{number}", "s", endpoint.address, "a", 8, traffic.EndpointState.READY
--- a/plumarch/gateway/dispatch/region_attempts_test.py
+++ b/plumarch/gateway/dispatch/region_attempts_test.py
@@ -15,7 +15,7 @@
 from plumarch.gateway.dispatch import (
     attempts,
     endpoint_outcomes,
-    lost_runs,
+    interrupted_runs,
     request_run,
     stream_relay,
     version_outcomes,
@@ -118,7 +118,7 @@
 def new_run(
     state: fleet_state.FleetState, one: admission.Admitted, reply: "RecordedReply"
 ) -> request_run.RequestRun:
-    return request_run.RequestRun(state, one, reply, lost_runs.LostRuns(state))
+    return request_run.RequestRun(state, one, reply, interrupted_runs.InterruptedRuns(state))
 
 
 async def serve(
@@ -202,7 +202,7 @@
     state.chooser.report_loads("x", {"e0": endpoint_choice.Load(12)})
     hurried = admitted(steady, time_left_ms=100.0)
     assert attempts.choose(state, hurried, attempts.Progress()) is None
-    assert attempts.when_room(state, hurried) == 900.0 * 9 / 4
+    assert attempts.retry_delay_ms(state, hurried) == 900.0 * 9 / 4
 
 
 @pytest.mark.parametrize("tried", [set(), {"e2"}])
@@ -210,7 +210,7 @@
     steady = clock.ManualClock()
     state = state_with(steady, endpoint("e0", "a"), endpoint("e1", "c"))
     for _ in range(3):
-        state.health.failure("e0", request_run.DOUBTFUL_FAILURE)
+        state.health.failure("e0", request_run.SERVER_ERROR_WEIGHT)
     for time_left_ms, expected in ((LATE_MS, "e1"), (100.0, "e0")):
         choice = attempts.choose(
             state, admitted(steady, time_left_ms), attempts.Progress(tried=set(tried))
@@ -252,8 +252,8 @@
     near = endpoint_choice.Choice(
         endpoint("e0", "a"), 0.0, 100.0, 1, waiting_tokens=8_000.0, capacity_wait_ms=0.0
     )
-    assert not run._hopeless(near)
-    assert run._hopeless(dataclasses.replace(near, network_ms=2 * FAR_MS))
+    assert not run._is_expected_late(near)
+    assert run._is_expected_late(dataclasses.replace(near, network_ms=2 * FAR_MS))
 
 
 @pytest.mark.parametrize(("data_centre", "added_ms"), [("a", 0.0), ("b", 0.0), ("c", FAR_MS)])
@@ -267,8 +267,8 @@
     run = new_run(state, admitted(steady), RecordedReply())
     choice = endpoint_choice.Choice(there, 0.0, 0.0, 1)
     attempt = attempts.Attempt(choice, None, None, round_trip_ms=added_ms)  # type: ignore[arg-type]
-    patience_ms = request_run.PATIENCE_TARGETS * ROUTE.target_ms
-    assert run._patience_ms(attempt) == patience_ms + added_ms
+    timeout_ms = request_run.ANSWER_TIMEOUT_TARGETS * ROUTE.target_ms
+    assert run._answer_timeout_ms(attempt) == timeout_ms + added_ms
 
 
 def test_the_way_is_no_work_of_the_endpoint():
@@ -277,8 +277,8 @@
     state = state_with(steady, there)
     run = new_run(state, admitted(steady), RecordedReply())
     choice = endpoint_choice.Choice(there, 0.0, 0.0, 1)
-    given = endpoint_outcomes.given(state, run.admitted, choice)
-    attempt = attempts.Attempt(choice, None, given, round_trip_ms=FAR_MS)  # type: ignore[arg-type]
+    sent_request = endpoint_outcomes.record_send(state, run.admitted, choice)
+    attempt = attempts.Attempt(choice, None, sent_request, round_trip_ms=FAR_MS)  # type: ignore[arg-type]
     steady.advance_to(150)
     stream_relay.note_first_token(state, run.admitted, attempt, began_before=False)
     version_outcomes.note(state, run.admitted, attempt, failed=False)
--- a/plumarch/gateway/dispatch/request_run.py
+++ b/plumarch/gateway/dispatch/request_run.py
@@ -16,29 +16,29 @@
 from plumarch.gateway.dispatch import (
     announced_rates,
     attempts,
+    buffered_answers,
     endpoint_outcomes,
-    lost_runs,
+    interrupted_runs,
     stream_relay,
     version_outcomes,
-    whole_answers,
 )
 from plumarch.gateway.gossip import suspect_updates
 from plumarch.limits import memory_account, quarantine
 from plumarch.routing import endpoint_choice, return_times
 
-CALLER_LEFT = 499
+CALLER_DISCONNECTED = 499
 """Stands in logs for the status of an answer that its caller didn't take."""
 
-PATIENCE_TARGETS = 1.6
+ANSWER_TIMEOUT_TARGETS = 1.6
 """A repeatable request waits this many targets for one endpoint's answer."""
 
-STREAM_PATIENCE_MS = 2_000.0
+MIN_STREAM_TIMEOUT_MS = 2_000.0
 """A resumable stream waits at least this long for an endpoint's next event."""
 
-HOPELESS_TARGETS = 1.3
+MAX_EXPECTED_TARGETS = 1.3
 """A stream whose first event is expected later than this many targets is refused at once."""
 
-HOPELESS_WAITING = 0.3
+MIN_QUEUED_FRACTION = 0.3
 """Part of the prompt tokens before the first event that are others', below which none is refused
 so: the engine is as good as free, and the request is late by its own length. A judgement."""
 
@@ -46,15 +46,15 @@
 """How long a stream that was let go waits for a place when its caller reads again: some requests
 end in it, and the caller has what lies in the kernel to read meanwhile. A judgement."""
 
-RESUME_CHECK_MS = 100.0
+RESUME_RETRY_MS = 100.0
 """When it looks for one again; twice as late each time, as each look writes a line."""
 
-TRIAL_AGAIN_MS = 5_000.0
+TRIAL_RETRY_MS = 5_000.0
 """When a caller had better come back with a request that is held back and whose trial another node
 makes, or that the store, which is away, could not grant."""
 
 SERVER_ERRORS = 500
-DOUBTFUL_FAILURE = 0.3
+SERVER_ERROR_WEIGHT = 0.3
 """Weight of an endpoint's own 5xx as a failure of the endpoint."""
 
 
@@ -84,7 +84,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class BufferedAnswer:
     """An endpoint's answer with its whole body."""
 
     head: h11.Response
@@ -99,19 +99,19 @@
         state: fleet_state.FleetState,
         admitted: admission.Admitted,
         reply: caller_requests.Reply,
-        lost: lost_runs.LostRuns,
+        runs: interrupted_runs.InterruptedRuns,
     ) -> None:
         self.state = state
-        self.lost = lost
+        self.interrupted_runs = runs
         self.admitted = admitted
         self.reply = reply
         self.progress = attempts.Progress(
             last_event_id=admitted.request.header(state.names.last_event_id)
         )
-        self.failed_answer: WholeAnswer | None = None
+        self.failed_answer: BufferedAnswer | None = None
         self.failed_reservation: memory_account.Reservation | None = None
         self.back_in_ms = return_times.MIN_MS
-        self.let_go = False
+        self.is_abandoned = False
         self.resumes_until_ms = 0.0
 
     async def serve(self) -> Outcome:
@@ -123,9 +123,9 @@
         except TimeoutError:
             return self._give_up("timeout", 504)
         finally:
-            self._keep_failed(None)
+            self._retain_failed(None)
 
-    def _keep_failed(self, reservation: memory_account.Reservation | None) -> None:
+    def _retain_failed(self, reservation: memory_account.Reservation | None) -> None:
         """Count a failed answer that is kept, in place of the one before."""
         if self.failed_reservation is not None:
             self.state.memory.resize(self.failed_reservation, 0)
@@ -134,29 +134,29 @@
     async def _attempt_all(self) -> Outcome:
         if not await self._may_begin():
             return self._give_up("quarantined", 502)
-        wait_ms = RESUME_CHECK_MS
+        wait_ms = RESUME_RETRY_MS
         while True:
             choice = attempts.choose(self.state, self.admitted, self.progress)
-            if choice is None and self._waits_for_place():
+            if choice is None and self._awaits_resumption():
                 await asyncio.sleep(wait_ms / 1000.0)
                 wait_ms *= 2.0
                 continue
-            if choice is None and await self._has_permit_now():
+            if choice is None and await self._received_permit():
                 continue
             if choice is None:
-                self.back_in_ms = attempts.when_room(self.state, self.admitted)
+                self.back_in_ms = attempts.retry_delay_ms(self.state, self.admitted)
                 return self._give_up(self.progress.last_fault or "no_endpoint", 502)
-            if self._hopeless(choice):
+            if self._is_expected_late(choice):
                 self.state.work.rejected(self.admitted.service, choice.unread_tokens)
                 return self._give_up("overloaded", 502)
             outcome = await self._attempt(choice)
             if outcome is not None:
                 return outcome
-            if self.let_go:
-                await self._until_read()
-                wait_ms = RESUME_CHECK_MS
+            if self.is_abandoned:
+                await self._wait_until_read()
+                wait_ms = RESUME_RETRY_MS
                 continue
-            if not await self._may_try_again(choice.endpoint.id):
+            if not await self._may_retry_elsewhere(choice.endpoint.id):
                 backoff_ms = attempts.backoff_left_ms(self.state, self.admitted)
                 self.back_in_ms = max(self.back_in_ms, float(backoff_ms))
                 return self._give_up(self.progress.last_fault, 502)
@@ -169,10 +169,10 @@
         if state.claim_trial is not None and await state.claim_trial(fingerprint):
             return True
         hold = state.quarantine.find_quarantined(fingerprint)
-        self.back_in_ms = max(TRIAL_AGAIN_MS, float(hold.back_in_ms if hold is not None else 0))
+        self.back_in_ms = max(TRIAL_RETRY_MS, float(hold.back_in_ms if hold is not None else 0))
         return False
 
-    async def _has_permit_now(self) -> bool:
+    async def _received_permit(self) -> bool:
         """Return whether a permit came that was asked for, where only it was missing."""
         progress = self.progress
         endpoint = progress.without_permit
@@ -182,21 +182,21 @@
         time_left_ms = self.admitted.ends_ms - self.state.clock.now()
         return await announced_rates.wait_for_answer(self.state, endpoint, time_left_ms)
 
-    async def _until_read(self) -> None:
+    async def _wait_until_read(self) -> None:
         """Wait until the caller of a stream that was let go has read all."""
         await self.reply.drained()
-        self.let_go = False
+        self.is_abandoned = False
         self.resumes_until_ms = self.state.clock.now() + RESUME_WAIT_MS
         self.state.measures.streams.add("resumed")
         self.state.log.write(
             "stream_resumed", request=self.admitted.id, after=self.progress.last_event_id
         )
 
-    def _waits_for_place(self) -> bool:
+    def _awaits_resumption(self) -> bool:
         """Return whether a stream that gave up its place for others' sake waits for another one."""
         return self.state.clock.now() < self.resumes_until_ms
 
-    def _hopeless(self, choice: endpoint_choice.Choice) -> bool:
+    def _is_expected_late(self, choice: endpoint_choice.Choice) -> bool:
         """Return whether a first send is expected to miss its target by far, for others' sake.
 
         A prompt that takes long to read by itself is sent all the same.
@@ -204,13 +204,13 @@
         if self.progress.sends or not self.admitted.prompt_tokens:
             return False
         others = choice.waiting_tokens / max(1.0, choice.tokens_to_read())
-        if others < HOPELESS_WAITING and not choice.capacity_wait_ms:
+        if others < MIN_QUEUED_FRACTION and not choice.capacity_wait_ms:
             return False
         speed = self.state.chooser.speed(self.admitted.service)
         expected_ms = speed.expect_ms(choice.tokens_to_read(), choice.capacity_wait_ms)
         expected_ms += choice.network_ms
         target_ms = self.admitted.route.target_ms
-        if not expected_ms > HOPELESS_TARGETS * target_ms > 0:
+        if not expected_ms > MAX_EXPECTED_TARGETS * target_ms > 0:
             return False
         self.back_in_ms = return_times.when_drained(expected_ms, target_ms)
         return True
@@ -235,46 +235,46 @@
         try:
             outcome = await self._relay(attempt)
             label = "answered"
-            self._note_whole_answer()
+            self._record_answer()
             failed = outcome.status >= SERVER_ERRORS
             if failed:
-                state.health.failure(endpoint, DOUBTFUL_FAILURE)
+                state.health.failure(endpoint, SERVER_ERROR_WEIGHT)
             else:
                 state.health.success(endpoint)
             version_outcomes.note(state, self.admitted, attempt, failed)
             return outcome
-        except stream_relay.LetGo:
+        except stream_relay.RunAbandoned:
             label = "let_go"
-            self._note_let_go(attempt)
+            self._note_abandoned(attempt)
         except stream_relay.CallerTooSlow:
-            return Outcome(CALLER_LEFT, self.reply.ended_because)
+            return Outcome(CALLER_DISCONNECTED, self.reply.ended_because)
         except errors.NoMemory:
             return self.fail(Outcome(502, "no_memory"))
         except attempts.NotRun as error:
             progress.unresolved -= 1
             if error.status is not None:
-                endpoint_outcomes.refused(state, attempt.given, error.status)
+                endpoint_outcomes.rejected(state, attempt.sent_request, error.status)
             progress.last_fault = label = "not_run"
-        except RepeatElsewhere:
+        except RetryElsewhere:
             progress.last_fault = label = "failed"
-            state.health.failure(endpoint, DOUBTFUL_FAILURE)
+            state.health.failure(endpoint, SERVER_ERROR_WEIGHT)
             version_outcomes.note(state, self.admitted, attempt, failed=True)
         except errors.AnswerTimeout:
             progress.last_fault = label = "silent"
-            self._blame(attempt)
+            self._record_failure(attempt)
         except errors.ConnectionBroken as error:
             progress.last_fault = label = "broken"
-            if attempts.was_lost(attempt) and not attempts.was_suspended(state, attempt):
-                endpoint_outcomes.lost(state, attempt.given)
-                self.lost.note(self.admitted, attempt)
-            self._blame(attempt)
+            if attempts.was_disconnected(attempt) and not attempts.was_suspended(state, attempt):
+                endpoint_outcomes.lost(state, attempt.sent_request)
+                self.interrupted_runs.record(self.admitted, attempt)
+            self._record_failure(attempt)
             self._log_broken(attempt, str(error))
         finally:
             attempts.end(state, attempt)
             state.measures.attempts.add(self.admitted.service, label)
         return None
 
-    def _blame(self, attempt: attempts.Attempt) -> None:
+    def _record_failure(self, attempt: attempts.Attempt) -> None:
         """Count a failure as the endpoint's, unless this process was suspended meanwhile."""
         state = self.state
         if attempts.was_suspended(state, attempt):
@@ -282,7 +282,7 @@
         state.health.failure(attempt.choice.endpoint.id)
         version_outcomes.note(state, self.admitted, attempt, failed=True)
 
-    def _note_whole_answer(self) -> None:
+    def _record_answer(self) -> None:
         """Take in that an endpoint ran the request to its end, and lives."""
         state, fingerprint = self.state, self.admitted.fingerprint
         was_quarantined = state.quarantine.find_quarantined(fingerprint) is not None
@@ -300,15 +300,15 @@
             fingerprint=self.admitted.fingerprint,
             endpoint=endpoint.id,
             why=why,
-            closed=attempts.was_lost(attempt),
+            closed=attempts.was_disconnected(attempt),
             after_ms=state.clock.now() - attempt.sent_ms,
             first_ms=attempt.first_ms,
             others_there=max(0, state.chooser.running(endpoint.id) - 1),
         )
 
-    def _note_let_go(self, attempt: attempts.Attempt) -> None:
+    def _note_abandoned(self, attempt: attempts.Attempt) -> None:
         """Note a run that is ended for the caller's sake: it says nothing about the endpoint."""
-        self.let_go = True
+        self.is_abandoned = True
         self.progress.tried.discard(attempt.choice.endpoint.id)
         self.state.measures.streams.add("let_go")
         self.state.log.write(
@@ -319,7 +319,7 @@
             held=self.state.memory.total(),
         )
 
-    async def _may_try_again(self, last: str) -> bool:
+    async def _may_retry_elsewhere(self, last: str) -> bool:
         """Return whether a further endpoint may be tried, and spend the budget for it.
 
         Args:
@@ -332,26 +332,26 @@
             return False
         if self.progress.sends >= route.max_attempts:
             return False
-        if await self._is_held_back(last):
+        if await self._is_quarantined(last):
             return False
         return self.state.budget.take(self.admitted.service)
 
-    async def _is_held_back(self, last: str) -> bool:
+    async def _is_quarantined(self, last: str) -> bool:
         """Return whether too many endpoints ended under this request, the last one included.
 
         Only where the last one's end would decide it is it waited for, a connect's time.
         """
         known, fingerprint = self.state.quarantine, self.admitted.fingerprint
         if known.points(fingerprint) + quarantine.EARLY_POINTS >= quarantine.QUARANTINE_POINTS:
-            await self.lost.settled(last)
+            await self.interrupted_runs.wait_for_probe(last)
         if known.find_quarantined(fingerprint) is None:
             return False
         self.progress.last_fault = "quarantined"
         return True
 
     async def _relay(self, attempt: attempts.Attempt) -> Outcome:
-        patience_ms = self._patience_ms(attempt)
-        head = await attempts.read_head(self.state, self.admitted, attempt, patience_ms)
+        timeout_ms = self._answer_timeout_ms(attempt)
+        head = await attempts.read_head(self.state, self.admitted, attempt, timeout_ms)
         media = dialect.header_value(head.headers, b"content-type")
         if head.status_code == 200 and media.startswith("text/event-stream"):
             stream = stream_relay.StreamRelay(
@@ -359,52 +359,52 @@
                 self.admitted,
                 self.progress,
                 self.reply,
-                lambda: self._patience_ms(attempt),
+                lambda: self._answer_timeout_ms(attempt),
             )
             await stream.relay(attempt, head)
             return Outcome(head.status_code, "relayed")
-        return await self._relay_whole(attempt, head)
+        return await self._relay_buffered(attempt, head)
 
-    def _patience_ms(self, attempt: attempts.Attempt) -> float:
+    def _answer_timeout_ms(self, attempt: attempts.Attempt) -> float:
         """Return how long to wait for the endpoint at hand; longer in another region."""
         route = self.admitted.route
         left = self.admitted.ends_ms - self.state.clock.now()
         if not route.repeatable() or self.progress.sends >= route.max_attempts:
             return left
-        wanted = PATIENCE_TARGETS * route.target_ms
+        wanted = ANSWER_TIMEOUT_TARGETS * route.target_ms
         if route.kind is traffic.RouteKind.STREAMING:
-            wanted = max(wanted, STREAM_PATIENCE_MS)
+            wanted = max(wanted, MIN_STREAM_TIMEOUT_MS)
         return min(left, wanted + attempt.round_trip_ms) if wanted > 0 else left
 
-    async def _relay_whole(self, attempt: attempts.Attempt, head: h11.Response) -> Outcome:
+    async def _relay_buffered(self, attempt: attempts.Attempt, head: h11.Response) -> Outcome:
         """Relay an answer that is read whole first, so that a broken one is never begun."""
-        reservation = whole_answers.new_reservation(attempt, self.admitted)
+        reservation = buffered_answers.new_reservation(attempt, self.admitted)
         try:
             method = self.admitted.request.method
-            body = await whole_answers.read(
+            body = await buffered_answers.read(
                 self.state.memory, attempt.exchange, head, reservation, method
             )
             stream_relay.note_first_token(self.state, self.admitted, attempt, self.reply.started)
-            if head.status_code >= SERVER_ERRORS and self._worth_repeating():
-                self.failed_answer = WholeAnswer(head, body)
-                self._keep_failed(reservation)
-                raise RepeatElsewhere("the endpoint failed, and another one may answer")
+            if head.status_code >= SERVER_ERRORS and self._may_retry():
+                self.failed_answer = BufferedAnswer(head, body)
+                self._retain_failed(reservation)
+                raise RetryElsewhere("the endpoint failed, and another one may answer")
             if self.reply.started:
                 raise errors.ConnectionBroken(f"the stream can't go on: {head.status_code}")
             # From here on it counts as what the caller has to read.
             self.state.memory.resize(reservation, 0)
-            return self._send_whole(WholeAnswer(head, body))
+            return self._send_buffered(BufferedAnswer(head, body))
         finally:
             if reservation is not self.failed_reservation:
                 self.state.memory.resize(reservation, 0)
 
-    def _send_whole(self, answer: WholeAnswer) -> Outcome:
+    def _send_buffered(self, answer: BufferedAnswer) -> Outcome:
         self.progress.first_ms = self.state.clock.now() - self.admitted.request.began_ms
         headers = attempts.answer_headers(answer.head, self.state.names)
         self.reply.send(answer.head.status_code, headers, answer.body)
         return Outcome(answer.head.status_code, "relayed")
 
-    def _worth_repeating(self) -> bool:
+    def _may_retry(self) -> bool:
         route = self.admitted.route
         return route.repeatable() and self.progress.sends < route.max_attempts
 
@@ -414,8 +414,8 @@
             self.reply.abort()
             return Outcome(status, f"broken_off_{reason}")
         if self.failed_answer is not None:
-            self._keep_failed(None)
-            return self._send_whole(self.failed_answer)
+            self._retain_failed(None)
+            return self._send_buffered(self.failed_answer)
         if self.progress.unresolved:
             return self.fail(Outcome(status, reason))
         if self.admitted.workspace is not None:
@@ -435,5 +435,5 @@
         return outcome
 
 
-class RepeatElsewhere(errors.ExchangeError):
+class RetryElsewhere(errors.ExchangeError):
     """The endpoint answered with a failure of its own; another one may do better."""
--- a/plumarch/gateway/dispatch/stream_relay.py
+++ b/plumarch/gateway/dispatch/stream_relay.py
@@ -15,15 +15,15 @@
 from plumarch.gateway.dispatch import attempts, endpoint_outcomes, event_stream, version_outcomes
 from plumarch.limits import memory_account
 
-PAUSE_LIMIT_MS = 5_000.0
+MAX_PAUSE_MS = 5_000.0
 """How long an endpoint isn't read for a caller's sake. It cuts the answer off by itself after some
 seconds, and keeps a place for it until then."""
 
-EVENT_BYTES_LIMIT = 1_048_576
+MAX_EVENT_BYTES = 1_048_576
 """The longest event: one that never ends must not be gathered for ever."""
 
 
-class LetGo(errors.ExchangeError):
+class RunAbandoned(errors.ExchangeError):
     """The run was given up because the caller doesn't read; it may go on later."""
 
 
@@ -40,13 +40,13 @@
         admitted: admission.Admitted,
         progress: attempts.Progress,
         reply: caller_requests.Reply,
-        patience_ms: Callable[[], float],
+        timeout_ms: Callable[[], float],
     ) -> None:
         self.state = state
         self.admitted = admitted
         self.progress = progress
         self.reply = reply
-        self.patience_ms = patience_ms
+        self.timeout_ms = timeout_ms
 
     async def relay(self, attempt: attempts.Attempt, head: h11.Response) -> None:
         """Pass on all events, then end the answer as complete.
@@ -54,7 +54,7 @@
         Raises:
           ConnectionBroken: the stream broke off, or is not whole or not in order.
           AnswerTimeout: nothing came for too long.
-          LetGo: the caller must read before the stream goes on.
+          RunAbandoned: the caller must read before the stream goes on.
           CallerTooSlow: the caller was ended.
         """
         splitter = event_stream.Splitter()
@@ -65,19 +65,19 @@
         )
         try:
             while True:
-                part = await attempt.exchange.next_within(self.patience_ms())
+                part = await attempt.exchange.next_within(self.timeout_ms())
                 if isinstance(part, h11.EndOfMessage):
                     break
                 if isinstance(part, h11.Data):
-                    await self._take(attempt, head, splitter, bytes(part.data), reservation)
+                    await self._relay_data(attempt, head, splitter, bytes(part.data), reservation)
         finally:
             self.state.memory.resize(reservation, 0)
-        if splitter.rest:
+        if splitter.buffered:
             raise errors.ConnectionBroken("the stream ended inside an event")
         self._start(head)
         self.reply.finish()
 
-    async def _take(
+    async def _relay_data(
         self,
         attempt: attempts.Attempt,
         head: h11.Response,
@@ -88,23 +88,25 @@
         for event in splitter.feed(data):
             self._check_order(event)
             if not self.reply.has_room(len(event.raw)):
-                if self._may_be_let_go():
-                    raise LetGo(f"the caller doesn't read on after {self.progress.last_event_id}")
-                self._count(reservation, len(data) + attempt.exchange.unparsed)
+                if self._may_abandon():
+                    raise RunAbandoned(
+                        f"the caller doesn't read on after {self.progress.last_event_id}"
+                    )
+                self._reserve(reservation, len(data) + attempt.exchange.unparsed)
                 await self._pause(attempt)
-            self._pass_on(attempt, head, event)
-        rest = len(splitter.rest)
-        if rest > EVENT_BYTES_LIMIT:
-            raise errors.ConnectionBroken(f"an event is longer than {EVENT_BYTES_LIMIT} bytes")
-        if rest or reservation.size:
-            self._count(reservation, rest)
+            self._relay_event(attempt, head, event)
+        buffered = len(splitter.buffered)
+        if buffered > MAX_EVENT_BYTES:
+            raise errors.ConnectionBroken(f"an event is longer than {MAX_EVENT_BYTES} bytes")
+        if buffered or reservation.size:
+            self._reserve(reservation, buffered)
 
     def _check_order(self, event: event_stream.Event) -> None:
         last = self.progress.last_event_id
         if event.id and not event_stream.follows(last, event.id):
             raise errors.ConnectionBroken(f"event {event.id} came after {last}")
 
-    def _may_be_let_go(self) -> bool:
+    def _may_abandon(self) -> bool:
         """Return whether the stream may go on at an endpoint later, and spend a repeat for it.
 
         Without this, one slow caller could cause any number of sends.
@@ -116,7 +118,7 @@
             return False
         return self.state.budget.take(self.admitted.service)
 
-    def _count(self, reservation: memory_account.Reservation, size: int) -> None:
+    def _reserve(self, reservation: memory_account.Reservation, size: int) -> None:
         """Count what waits here for the caller or for the end of an event."""
         if not self.state.memory.resize(reservation, size):
             self.reply.cut("no_memory")
@@ -126,7 +128,7 @@
         """Read nothing from the endpoint until the caller has read all."""
         attempt.exchange.hold_back()
         try:
-            async with asyncio.timeout(PAUSE_LIMIT_MS / 1000.0):
+            async with asyncio.timeout(MAX_PAUSE_MS / 1000.0):
                 await self.reply.drained()
         except TimeoutError as error:
             self.reply.cut("caller_too_slow")
@@ -134,7 +136,7 @@
         finally:
             attempt.exchange.resume()
 
-    def _pass_on(
+    def _relay_event(
         self, attempt: attempts.Attempt, head: h11.Response, event: event_stream.Event
     ) -> None:
         note_first_token(self.state, self.admitted, attempt, self.reply.started)
@@ -170,7 +172,7 @@
         return
     attempt.saw_first_token = True
     state.chooser.first_token(attempt.choice)
-    endpoint_outcomes.first_byte(state, attempt.given)
+    endpoint_outcomes.first_byte(state, attempt.sent_request)
     attempt.first_ms = state.clock.now() - attempt.sent_ms
     is_measure = not version_outcomes.is_on_trial(state, attempt.choice.endpoint)
     is_measure = is_measure and not attempts.was_suspended(state, attempt)
--- a/plumarch/gateway/gossip/permit_exchange_test.py
+++ b/plumarch/gateway/gossip/permit_exchange_test.py
@@ -80,7 +80,7 @@
         if announced_rates.may_send(node.state, ENDPOINT):
             self.send(node)
         elif node.state.permits.is_request_pending(ENDPOINT):
-            self.wait(node, self.fleet.time.now() + round(announced_rates.ANSWER_MS))
+            self.wait(node, self.fleet.time.now() + round(announced_rates.PERMIT_WAIT_MS))
 
     def wait(self, node: gossip_fleet.Node, until_ms: int) -> None:
         """Send a request once permits arrive, unless they are late."""
@@ -95,7 +95,7 @@
     def send(self, node: gossip_fleet.Node) -> None:
         state = node.state
         if state.permits.use(ENDPOINT):
-            announced_rates.ask(state, ENDPOINT, is_needed=False)
+            announced_rates.request_permits(state, ENDPOINT, is_needed=False)
         now = self.fleet.time.now()
         known = self.received_ms.get((node.name, node.view.incarnation), now)
         fault = self.fault_ms.get(node.name, now - EXEMPT_MS)
--- a/plumarch/gateway/pressure_test.py
+++ b/plumarch/gateway/pressure_test.py
@@ -119,7 +119,7 @@
     tried = attempts.Progress(tried={"e0"})
     assert attempts.choose(state, admitted(0), tried) is not None
     assert attempts.choose(state, admitted(2), tried) is None
-    back_in_ms = attempts.when_room(state, admitted(2))
+    back_in_ms = attempts.retry_delay_ms(state, admitted(2))
     assert 0 < back_in_ms < crash_guard.RAMP_MS
     time.advance_to(math.ceil(back_in_ms))
     assert attempts.choose(state, admitted(2), tried) is not None
@@ -141,7 +141,7 @@
     state.chooser.own["e1"] = endpoint_choice.Load(24)
     for _ in range(2):
         state.limits.lost(endpoints[0], 12, 12 * others)
-    return endpoint_outcomes.wait_after_fall_ms(state, admitted(0), endpoints)
+    return endpoint_outcomes.wait_after_crash_ms(state, admitted(0), endpoints)
 
 
 def test_one_fall_delays_nothing_where_many_others_share_what_is_lost():
@@ -160,7 +160,9 @@
     for number, change in enumerate(changes):
         state.registry.replace(change(one), 2 + number, "store")
     for _ in range(2):
-        endpoint_outcomes.lost(state, endpoint_outcomes.Given(one, endpoint_limits.PLAIN, None))
+        endpoint_outcomes.lost(
+            state, endpoint_outcomes.SentRequest(one, endpoint_limits.PLAIN, None)
+        )
     return state.limits.crashes.recent("s")
 
 
--- a/plumarch/gateway/relay.py
+++ b/plumarch/gateway/relay.py
@@ -4,7 +4,7 @@
 
 from plumarch.gateway import fleet_state
 from plumarch.gateway.callers import admission, caller_connection, caller_requests
-from plumarch.gateway.dispatch import lost_runs, request_run
+from plumarch.gateway.dispatch import interrupted_runs, request_run
 from plumarch.routing import return_times
 
 
@@ -13,7 +13,7 @@
 
     def __init__(self, state: fleet_state.FleetState) -> None:
         self.state = state
-        self.lost = lost_runs.LostRuns(state)
+        self.interrupted_runs = interrupted_runs.InterruptedRuns(state)
 
     async def handle(
         self, request: caller_requests.CallerRequest, reply: caller_requests.Reply
@@ -26,8 +26,8 @@
         if not reply.assign(admitted.workspace_name()):
             self._refuse(request, reply, admission.over_memory_budget(self.state, admitted))
             return
-        run = request_run.RequestRun(self.state, admitted, reply, self.lost)
-        outcome = request_run.Outcome(request_run.CALLER_LEFT, "caller_left")
+        run = request_run.RequestRun(self.state, admitted, reply, self.interrupted_runs)
+        outcome = request_run.Outcome(request_run.CALLER_DISCONNECTED, "caller_left")
         try:
             outcome = await run.serve()
         except Exception as error:
@@ -37,7 +37,7 @@
             outcome = request_run.Outcome(502, "internal_fault")
             run.fail(outcome)
         finally:
-            if outcome.status == request_run.CALLER_LEFT and reply.ended_because:
+            if outcome.status == request_run.CALLER_DISCONNECTED and reply.ended_because:
                 outcome = request_run.Outcome(outcome.status, reply.ended_because)
             self._record(admitted, run, outcome)
 
