--- a/plumarch/gateway/dispatch/endpoint_signals_test.py
+++ b/plumarch/gateway/dispatch/endpoint_signals_test.py
@@ -18,13 +18,13 @@
     assert signals((b"x-other", b"1")) == endpoint_signals.NONE
 
 
-@pytest.mark.parametrize(("value", "draining"), [(b"1", True), (b"0", False), (b"", False)])
-def test_an_endpoint_that_is_about_to_end(value: bytes, draining: bool):
-    assert signals((NAMES.leaving, value)).draining is draining
+@pytest.mark.parametrize(("value", "leaving"), [(b"1", True), (b"0", False), (b"", False)])
+def test_an_endpoint_that_is_about_to_end(value: bytes, leaving: bool):
+    assert signals((NAMES.leaving, value)).draining is leaving
 
 
 @pytest.mark.parametrize(
-    ("value", "backoff_ms"),
+    ("value", "rest_ms"),
     [
         (b"3", 3_000.0),
         (b"0.25", 250.0),
@@ -37,9 +37,9 @@
         (b"soon", 0.0),
     ],
 )
-def test_a_rest_is_a_number_of_seconds(value: bytes, backoff_ms: float):
+def test_a_rest_is_a_number_of_seconds(value: bytes, rest_ms: float):
     found = signals((b"retry-after", value))
-    assert found.backoff_ms == backoff_ms
+    assert found.backoff_ms == rest_ms
     assert found.retry_after == value.decode()
 
 
--- a/plumarch/gateway/dispatch/request_run.py
+++ b/plumarch/gateway/dispatch/request_run.py
@@ -46,7 +46,7 @@
 """How long a stream that was let go waits for a place when its caller reads again: some requests
 end in it, and the caller has what lies in the kernel to read meanwhile. A judgement."""
 
-RESUME_RETRY_MS = 100.0
+RESUME_CHECK_MS = 100.0
 """When it looks for one again; twice as late each time, as each look writes a line."""
 
 TRIAL_RETRY_MS = 5_000.0
@@ -134,7 +134,7 @@
     async def _attempt_all(self) -> Outcome:
         if not await self._may_begin():
             return self._give_up("quarantined", 502)
-        wait_ms = RESUME_RETRY_MS
+        wait_ms = RESUME_CHECK_MS
         while True:
             choice = attempts.choose(self.state, self.admitted, self.progress)
             if choice is None and self._awaits_resumption():
@@ -154,7 +154,7 @@
                 return outcome
             if self.is_abandoned:
                 await self._wait_until_read()
-                wait_ms = RESUME_RETRY_MS
+                wait_ms = RESUME_CHECK_MS
                 continue
             if not await self._may_retry_elsewhere(choice.endpoint.id):
                 backoff_ms = attempts.backoff_left_ms(self.state, self.admitted)
--- a/plumarch/gateway/dispatch/slow_streams_test.py
+++ b/plumarch/gateway/dispatch/slow_streams_test.py
@@ -52,7 +52,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ):
     monkeypatch.setattr(request_run, "RESUME_WAIT_MS", 20.0)
-    monkeypatch.setattr(request_run, "RESUME_RETRY_MS", 1.0)
+    monkeypatch.setattr(request_run, "RESUME_CHECK_MS", 1.0)
 
     async def test() -> None:
         flood = slow_callers_test.Flood()
@@ -76,7 +76,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ):
     monkeypatch.setattr(request_run, "RESUME_WAIT_MS", 20_000.0)
-    monkeypatch.setattr(request_run, "RESUME_RETRY_MS", 1.0)
+    monkeypatch.setattr(request_run, "RESUME_CHECK_MS", 1.0)
 
     async def test() -> None:
         flood = slow_callers_test.Flood()
@@ -122,7 +122,7 @@
 def test_a_stream_that_may_not_be_resumed_is_ended_if_its_caller_does_not_read(
     monkeypatch: pytest.MonkeyPatch,
 ):
-    monkeypatch.setattr(stream_relay, "MAX_PAUSE_MS", 30.0)
+    monkeypatch.setattr(stream_relay, "PAUSE_LIMIT_MS", 30.0)
 
     async def test() -> None:
         flood = slow_callers_test.Flood()
--- a/plumarch/gateway/dispatch/stream_relay.py
+++ b/plumarch/gateway/dispatch/stream_relay.py
@@ -15,7 +15,7 @@
 from plumarch.gateway.dispatch import attempts, endpoint_outcomes, event_stream, version_outcomes
 from plumarch.limits import memory_account
 
-MAX_PAUSE_MS = 5_000.0
+PAUSE_LIMIT_MS = 5_000.0
 """How long an endpoint isn't read for a caller's sake. It cuts the answer off by itself after some
 seconds, and keeps a place for it until then."""
 
@@ -128,7 +128,7 @@
         """Read nothing from the endpoint until the caller has read all."""
         attempt.exchange.hold_back()
         try:
-            async with asyncio.timeout(MAX_PAUSE_MS / 1000.0):
+            async with asyncio.timeout(PAUSE_LIMIT_MS / 1000.0):
                 await self.reply.drained()
         except TimeoutError as error:
             self.reply.cut("caller_too_slow")
