--- a/plumarch/gateway/dispatch/__init__.py
+++ b/plumarch/gateway/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Requests sent to endpoints: attempts, runs, streams, and what an outcome says of an endpoint."""
+"""Choosing endpoints, sending requests there, and relaying their answers."""
--- a/plumarch/gateway/dispatch/announced_rates.py
+++ b/plumarch/gateway/dispatch/announced_rates.py
@@ -1,8 +1,4 @@
-"""Rates that endpoints announce for all nodes together, as requests meet them.
-
-Who may send, and how a rate is divided, is decided by `limits.rate_permits` and
-`limits.rate_allocator`; here they are asked.
-"""
+"""Applies the request rates that endpoints announce, using `limits.rate_permits`."""
 
 from plumarch.core import request_rate, traffic
 from plumarch.gateway import fleet_state
@@ -10,11 +6,10 @@
 from plumarch.limits import rate_allocator
 
 PERMIT_WAIT_MS = 150.0
-"""How long a request that no other endpoint has room for waits for permits: a round trip to a node
-of another region and back, with a stop at a coordinator."""
+"""Time that a request waits for permits: a round trip to another region by way of a coordinator."""
 
 MAX_WAITS = 3
-"""How often one request waits for them: others may use what came before it goes on."""
+"""Permit waits per request: other requests may use the permits that arrive."""
 
 
 def observe(
@@ -24,9 +19,9 @@
     sent_ms: int,
     has_run: bool,
 ) -> None:
-    """Apply the rate that an answer announces, or that it announces none.
+    """Set the rate limit that an answer announces, or lift it if a run's answer announces none.
 
-    A value that can't be read neither sets a limit nor ends one; nor does a refusal without one.
+    An invalid value changes nothing, and neither does a rejection without a rate.
 
     Args:
       sent_ms: when the request was sent.
@@ -49,7 +44,7 @@
 
 
 def may_send(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> bool:
-    """Return whether a request may be sent, and ask for permits if it may not."""
+    """Return whether a request may be sent; request permits if not."""
     if state.permits.may_send(endpoint):
         return True
     request_permits(state, endpoint)
@@ -59,7 +54,7 @@
 def request_permits(
     state: fleet_state.FleetState, endpoint: traffic.Endpoint, is_needed: bool = True
 ) -> None:
-    """Ask for permits, unless that was done or is not due.
+    """Request permits, unless a request is pending or not due.
 
     Args:
       is_needed: as for `RatePermits.request`.
@@ -84,10 +79,10 @@
 async def wait_for_answer(
     state: fleet_state.FleetState, endpoint: traffic.Endpoint, time_left_ms: float
 ) -> bool:
-    """Wait for the answer to a request for permits, if one was sent.
+    """Wait for the answer to a pending request for permits.
 
     Returns:
-      Whether the endpoint may be sent to by now.
+      Whether a request may be sent to the endpoint now.
     """
     if state.permits.is_request_pending(endpoint):
         await state.permit_answers.wait(endpoint.id, max(0.0, min(PERMIT_WAIT_MS, time_left_ms)))
--- a/plumarch/gateway/dispatch/endpoint_signals.py
+++ b/plumarch/gateway/dispatch/endpoint_signals.py
@@ -1,6 +1,6 @@
-"""What the head of an endpoint's answer says of the endpoint, besides the answer to the request.
+"""Reads the response headers in which an endpoint reports its own state.
 
-Header values come from other programs: one that can't be read says nothing.
+Invalid values are ignored.
 """
 
 import dataclasses
@@ -11,21 +11,21 @@
 from plumarch.gateway import dialect
 
 NOT_DRAINING = frozenset({"", "0"})
-"""Values of the header of leaving endpoints that say nothing."""
+"""Values of the drain header that mean no."""
 
 MAX_LOGGED_CHARACTERS = 40
-"""Characters of a header's value that are logged; a sound one is shorter."""
+"""Characters of a header's value that are logged; a valid one is shorter."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Signals:
-    """What an answer says of its endpoint.
+    """State that an endpoint reports in an answer.
 
     Attributes:
-      draining: whether it is about to end.
-      backoff_ms: how long it wants nothing more from this node; 0 if it doesn't say.
-      retry_after: the same as it said it, "" if it said nothing.
-      rate_limit: the request rate that it announces, as written; "" if it announces none.
+      draining: whether it shuts down soon.
+      backoff_ms: the backoff that it requests from this node; 0 if none.
+      retry_after: the value of its Retry-After header, "" if absent.
+      rate_limit: the value of its request rate header, "" if absent.
     """
 
     draining: bool = False
@@ -34,18 +34,18 @@
     rate_limit: str = ""
 
     def concerns_requests(self) -> bool:
-        """Return whether there is more than a rate, or a rate that can't be read."""
+        """Return whether there is more than a valid rate."""
         if self.draining or self.retry_after:
             return True
         return bool(self.rate_limit) and request_rate.per_second(self.rate_limit) is None
 
 
 NONE = Signals()
-"""What most answers say."""
+"""Signals of an answer without any of the headers."""
 
 
 def of(head: h11.Response, names: dialect.Dialect) -> Signals:
-    """Return what an answer says of its endpoint."""
+    """Return the signals in the head of an answer."""
     draining = dialect.header_value(head.headers, names.leaving) not in NOT_DRAINING
     seconds = dialect.header_value(head.headers, retry_after.HEADER.encode())
     rate_limit = dialect.header_value(head.headers, names.rate_limit)
--- a/plumarch/gateway/dispatch/event_stream.py
+++ b/plumarch/gateway/dispatch/event_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events split out of bytes, whole events only.
+"""Splits a byte stream into complete server-sent events.
 
 Format: https://html.spec.whatwg.org/multipage/server-sent-events.html
 """
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event: its bytes with the blank line, and its id if it has one."""
+    """One complete event: its bytes with the blank line, and its id or ""."""
 
     raw: bytes
     id: str
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Splitter:
-    """Takes bytes as they come and returns whole events."""
+    """Buffers bytes until an event is complete."""
 
     buffered: bytes = b""
 
@@ -26,7 +26,7 @@
         """Add bytes.
 
         Returns:
-          The events that are whole now, in order.
+          The events that are complete now, in order.
         """
         self.buffered += data
         events: list[Event] = []
@@ -51,11 +51,11 @@
 
 
 def follows(previous: str, current: str) -> bool:
-    """Return whether an event's id may come after another's.
+    """Return whether an event's id may follow another's; ids that aren't numbers always may.
 
     Args:
       previous: the id relayed last, or "" at the start.
-      current: the id at hand.
+      current: the id of the next event.
     """
     if not previous.isdigit() or not current.isdigit():
         return True
--- a/plumarch/gateway/dispatch/version_outcomes.py
+++ b/plumarch/gateway/dispatch/version_outcomes.py
@@ -1,4 +1,4 @@
-"""Answers of endpoints, counted by version while a roll-out runs."""
+"""Counts answers by version while a roll-out runs."""
 
 from plumarch.core import rollouts, traffic
 from plumarch.fleet import version_tally
@@ -9,9 +9,9 @@
 
 
 def is_on_trial(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> bool:
-    """Return whether an endpoint is of a version that a running roll-out still has to judge.
+    """Return whether an endpoint runs the new version of a roll-out in progress.
 
-    What it shows is no measure for the others: it may be slow or fail.
+    Its latency is kept out of the estimates for the others.
     """
     split = state.splits.of(endpoint.service)
     if split is None or split.state is not rollouts.RolloutState.RUNNING:
@@ -25,10 +25,7 @@
     attempt: attempts.Attempt,
     failed: bool,
 ) -> None:
-    """Count an answer, or that an endpoint failed to give one.
-
-    How long an answer took that this process was suspended under counts nowhere.
-    """
+    """Count an answer or a failure, unless this process was suspended meanwhile."""
     if attempts.was_suspended(state, attempt):
         return
     endpoint = attempt.choice.endpoint
