--- a/plumarch/gateway/dispatch/attempts.py
+++ b/plumarch/gateway/dispatch/attempts.py
@@ -1,4 +1,4 @@
-"""One send of a request to one endpoint, and what is known of it afterwards."""
+"""Choosing an endpoint for a request and sending the request there."""
 
 import dataclasses
 import math
@@ -13,31 +13,28 @@
 from plumarch.routing import endpoint_choice, locality_choice, return_times
 
 CONNECT_TIMEOUT_MS = 250.0
-"""Within which a connection comes up inside a region."""
+"""Connect timeout within a region."""
 
 CONNECT_ROUND_TRIPS = 2.0
-"""Round trips that are allowed besides to another region: one for the way, one for what varies on
-it."""
+"""Round trips added to the timeout in another region: one for the latency, one for its variance."""
 
 LOCAL_TARGET_FRACTION = 0.5
-"""An answer expected within this part of its target is soon enough to stay in the region: twice the
-expected time is still in target."""
+"""Fraction of the target within which an expected answer keeps a request in its region."""
 
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """What happened to a request so far.
+    """State of a request over its attempts.
 
     Attributes:
-      tried: endpoints that it was sent to or that could not be reached.
-      sends: how many endpoints bytes were sent to.
-      unresolved: sends of which it is not known that the request did not run.
-      last_event_id: of the last event that the caller got, in this answer or by its own word.
-      first_ms: when the first byte of the answer was ready, from the request's arrival; or None.
-      events: passed on to the caller.
-      without_permit: the endpoint that was preferred last but has an announced rate, if no other
-        one had room.
-      permit_waits: how often permits were waited for.
+      tried: endpoints that it was sent to or that could not be connected to.
+      sends: number of endpoints that bytes were sent to.
+      unresolved: sends after which the request may have run.
+      last_event_id: of the last event that the caller received, here or by its own header.
+      first_ms: time from the request's arrival to the first byte of the answer, or None.
+      events: number of events relayed to the caller.
+      without_permit: the preferred endpoint, if only a permit for it is missing.
+      permit_waits: number of waits for permits.
     """
 
     tried: set[str] = dataclasses.field(default_factory=set)
@@ -56,9 +53,9 @@
     """A connection to an endpoint on which a request was sent.
 
     Attributes:
-      given: what its endpoint was given.
-      first_ms: how long after the send its first event came, or None before that.
-      round_trip_ms: the way there and back, if it leads to another region.
+      sent_request: the record of the send.
+      first_ms: time from the send to the first event, or None before that.
+      round_trip_ms: round trip added by another region.
     """
 
     choice: endpoint_choice.Choice
@@ -71,10 +68,10 @@
 
 
 class NotRun(errors.ExchangeError):
-    """An endpoint did not run the request: it said so, or got no byte of it.
+    """An endpoint did not run the request: it rejected it, or received no byte of it.
 
     Attributes:
-      status: what it said, or None if it got nothing.
+      status: of its answer, or None if it received nothing.
     """
 
     def __init__(self, why: str, status: int | None = None) -> None:
@@ -85,7 +82,7 @@
 def choose(
     state: fleet_state.FleetState, admitted: admission.Admitted, progress: Progress
 ) -> endpoint_choice.Choice | None:
-    """Choose an endpoint that was not tried yet, or None if there is none with room."""
+    """Choose an endpoint with free capacity that was not tried yet, or None."""
     ready = [one for one in state.registry.ready(admitted.service) if one.id not in progress.tried]
     accepting = state.backoff.without(ready)
     repeated = bool(progress.tried)
@@ -124,10 +121,9 @@
     candidates: list[traffic.Endpoint],
     terms: locality_choice.Terms,
 ) -> endpoint_choice.Choice | None:
-    """Choose among endpoints with room, leaving out those that a permit is missing for."""
+    """Choose among endpoints with free capacity, without those that a permit is missing for."""
     choice = _choose_preferred(state, admitted, candidates, terms)
-    # An announced rate holds for all nodes together, so no node can tell by its own sends whether
-    # the endpoint takes one more.
+    # An announced rate is shared by all nodes, so this node's own sends don't show what is left.
     if choice is None or announced_rates.may_send(state, choice.endpoint):
         return choice
     state.measures.permits.add(admitted.service, "missing")
@@ -140,7 +136,7 @@
 def _terms(
     state: fleet_state.FleetState, admitted: admission.Admitted, repeated: bool
 ) -> locality_choice.Terms:
-    """Return what a request asks of its endpoint, by its route's target and its deadline."""
+    """Return the time limits of a request, by its route's target and its deadline."""
     target_ms = admitted.route.target_ms
     return locality_choice.Terms(
         time_left_ms=admitted.ends_ms - state.clock.now(),
@@ -161,7 +157,7 @@
     preferred = endpoint_outcomes.preferred(state, candidates, terms.repeated)
     choice = _choose_by_load(state, admitted, preferred, terms)
     if choice is None and len(preferred) < len(candidates):
-        # The better ones are too far: one that is worse may still answer in time.
+        # The healthier ones are too distant; a less healthy one may answer in time.
         choice = _choose_by_load(state, admitted, candidates, terms)
     return choice
 
@@ -183,7 +179,7 @@
 def _with_capacity(
     state: fleet_state.FleetState, admitted: admission.Admitted, ready: list[traffic.Endpoint]
 ) -> list[traffic.Endpoint]:
-    """Return the endpoints that can be reached, answer well, and have room."""
+    """Return the reachable, healthy endpoints with free capacity."""
     reachable = [one for one in ready if not state.reach.is_excluded(one.data_centre)]
     usable = state.health.usable(reachable or ready)
     if endpoint_outcomes.wait_after_crash_ms(state, admitted, usable):
@@ -193,12 +189,11 @@
 
 
 def retry_delay_ms(state: fleet_state.FleetState, admitted: admission.Admitted) -> float:
-    """Return when a request that no endpoint had room for had better come back, in ms.
+    """Return the delay in ms after which a caller without an endpoint should try again.
 
-    Where endpoints are ready, that is when one of their places is free, in the region if it has
-    any, or when the first of them has rested if all of them asked for that, or when a permit is due
-    if all of them announce a request rate; where none is ready, or
-    all are too far, when those have booted that are ordered in their place.
+    It is the first of these that applies: until the first backoff ends if all endpoints back off,
+    until a permit is due if all announce a rate, until capacity is free, in the region if it has
+    endpoints; and until new endpoints have booted if none is ready or all are too distant.
     """
     time_left_ms = admitted.ends_ms - state.clock.now()
     backoff_ms = backoff_left_ms(state, admitted)
@@ -225,7 +220,7 @@
 
 
 def backoff_left_ms(state: fleet_state.FleetState, admitted: admission.Admitted) -> int:
-    """Return when the first endpoint of a service takes requests again; 0 if one does now."""
+    """Return the time in ms until the first endpoint's backoff ends; 0 if one has none."""
     return state.backoff.first_left_ms(state.registry.ready(admitted.service))
 
 
@@ -235,14 +230,13 @@
     progress: Progress,
     choice: endpoint_choice.Choice,
 ) -> Attempt:
-    """Send a request to an endpoint over a fresh connection.
+    """Send a request to an endpoint over a new connection.
 
-    It counts as the endpoint's load from now on: requests that come while this one connects
-    would all choose the same endpoint otherwise.
+    It counts as load before it connects, so that concurrent requests choose other endpoints.
 
     Raises:
       ConnectFailed: no byte was sent.
-      TimeoutError: nor was one, since the caller's time is over.
+      TimeoutError: the caller's deadline has passed, and no byte was sent.
     """
     check_time(state, admitted)
     state.chooser.begin(choice)
@@ -332,10 +326,10 @@
 
 
 def check_time(state: fleet_state.FleetState, admitted: admission.Admitted) -> None:
-    """Send nothing for a caller whose time is over, also where no timer has told so yet.
+    """Check a request's deadline, whose timer may run late.
 
     Raises:
-      TimeoutError: it is.
+      TimeoutError: it has passed.
     """
     if admitted.ends_ms - state.clock.now() < 1:
         raise TimeoutError
@@ -344,39 +338,39 @@
 def _check_accepts_requests(
     state: fleet_state.FleetState, endpoint: traffic.Endpoint, has_permit: bool
 ) -> None:
-    """Send nothing to an endpoint that said so to another request while the connection came up.
+    """Check that an endpoint still accepts requests once the connection is up.
 
     Args:
       has_permit: whether a permit was used for this send.
     Raises:
-      ConnectFailed: it leaves, rests, or announced a rate under which there is no permit.
+      ConnectFailed: it drains, backs off, or announced a rate that leaves no permit.
     """
     listed = state.registry.endpoints.get(endpoint.id)
     if listed is not None and listed.state is traffic.EndpointState.DRAINING:
-        raise errors.ConnectFailed(f"{endpoint.id} leaves. Ask another one.")
+        raise errors.ConnectFailed(f"{endpoint.id} is draining; try another endpoint")
     if state.backoff.left_ms(endpoint):
-        raise errors.ConnectFailed(f"{endpoint.id} asked for rest. Ask another one.")
+        raise errors.ConnectFailed(f"{endpoint.id} backs off; try another endpoint")
     limited = not has_permit and state.permits.rate(endpoint) is not None
     if limited and not state.permits.use(endpoint):
-        raise errors.ConnectFailed(f"{endpoint.id} announced a rate limit. Ask another one.")
+        raise errors.ConnectFailed(f"{endpoint.id} announced a rate limit; try another endpoint")
 
 
 def was_suspended(state: fleet_state.FleetState, attempt: Attempt) -> bool:
     """Return whether this process was suspended since an attempt was sent.
 
-    Then how long it took, and that it failed, says nothing about the endpoint.
+    If so, its duration or failure doesn't count against the endpoint.
     """
     return state.suspensions.since(attempt.sent_ms)
 
 
 def connect_timeout_ms(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> float:
-    """Return how long a connection may take to come up; longer to another region."""
+    """Return the connect timeout in ms, which is longer to another region."""
     beyond_ms = state.distances.beyond_region_ms(endpoint.data_centre)
     return CONNECT_TIMEOUT_MS + CONNECT_ROUND_TRIPS * beyond_ms
 
 
 def _record_connect_failure(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> None:
-    """Note that an endpoint could not be connected to, and perhaps its whole data centre."""
+    """Record a failed connection, which may exclude the endpoint's data centre."""
     beyond_ms = CONNECT_ROUND_TRIPS * state.distances.beyond_region_ms(endpoint.data_centre)
     if state.reach.failed(endpoint.data_centre, endpoint.id, beyond_ms):
         reach = state.reach.known[endpoint.data_centre]
@@ -398,7 +392,7 @@
     request = admitted.request
     headers = admission.forwarded_headers(names, request.headers, admitted.workspace)
     time_left = admitted.ends_ms - state.clock.now()
-    # The request and its answer take a round trip; what the endpoint does after that is in vain.
+    # The round trip is deducted: an answer sent after that misses the deadline.
     time_left = max(1, int(time_left - state.distances.beyond_region_ms(endpoint.data_centre)))
     headers.append((names.deadline_ms, str(time_left).encode()))
     headers.append((names.instance, endpoint.called().encode()))
@@ -444,7 +438,7 @@
 
 
 def _leave_reason(progress: Progress, choice: endpoint_choice.Choice) -> str:
-    """Return why a request leaves its region, or "" if it stays."""
+    """Return why a request is sent to another region, or "" if it isn't."""
     if choice.leave_reason is None:
         return ""
     return "repeat" if progress.tried - {choice.endpoint.id} else choice.leave_reason.value
@@ -457,8 +451,8 @@
 
     Raises:
       NotRun: the endpoint did not run the request.
-      ConnectionBroken: the answer broke off, is another request's, or can't be trusted.
-      AnswerTimeout: nothing came.
+      ConnectionBroken: the connection ended, or the answer is another request's or unsigned.
+      AnswerTimeout: no head arrived in time.
     """
     try:
         head = await attempt.exchange.next_within(wait_ms)
@@ -466,17 +460,22 @@
         state.health.failure(attempt.choice.endpoint.id)
         raise NotRun(str(error)) from error
     if not isinstance(head, h11.Response):
-        raise errors.ConnectionBroken("the answer has no head")
+        raise errors.ConnectionBroken("answer has no head")
     names = state.names
     endpoint_outcomes.answered(state, admitted, attempt.sent_request, attempt.sent_ms, head)
     if head.status_code in endpoint_outcomes.PROMISED_NOT_RUN:
         if _is_promise(head, names):
-            raise NotRun(f"endpoint answered {head.status_code}, not run", head.status_code)
-        raise errors.ConnectionBroken(f"endpoint answered {head.status_code} without a promise")
+            raise NotRun(
+                f"endpoint answered {head.status_code} and did not run the request",
+                head.status_code,
+            )
+        raise errors.ConnectionBroken(
+            f"endpoint answered {head.status_code}; the request may have run"
+        )
     if dialect.header_value(head.headers, names.request_id) not in ("", admitted.id):
-        raise errors.ConnectionBroken("the answer is another request's")
+        raise errors.ConnectionBroken("answer carries the id of another request")
     if 200 <= head.status_code < 300 and not dialect.header_value(head.headers, names.signature):
-        raise errors.ConnectionBroken("the answer has no signature")
+        raise errors.ConnectionBroken("answer has no signature")
     return head
 
 
@@ -486,25 +485,25 @@
 
 
 def answer_headers(head: h11.Response, names: dialect.Dialect) -> list[tuple[bytes, bytes]]:
-    """Return an endpoint's headers as the caller may see them."""
+    """Return an endpoint's headers without those that are internal."""
     dropped = dialect.not_for_callers(names)
     return [(bytes(name), bytes(value)) for name, value in head.headers if name not in dropped]
 
 
 def count_began(state: fleet_state.FleetState, admitted: admission.Admitted) -> None:
-    """Count the request as one that began to run."""
+    """Count the request as started in its workspace's usage."""
     if admitted.workspace is not None:
         state.usage.started(admitted.workspace.name, state.wall.now())
 
 
 def was_disconnected(attempt: Attempt) -> bool:
-    """Return whether the endpoint ended the connection, and did not only answer badly."""
+    """Return whether the connection was closed, as opposed to an invalid answer."""
     transport = attempt.exchange.transport
     return transport is None or transport.is_closing()
 
 
 def end(state: fleet_state.FleetState, attempt: Attempt) -> None:
-    """Close the connection, which cancels the request if it still runs."""
+    """Close the connection, which cancels a request that still runs."""
     attempt.exchange.close()
     state.runs.end(attempt.choice.endpoint.id, attempt.exchange)
     if attempt.saw_first_token and not was_suspended(state, attempt):
--- a/plumarch/gateway/dispatch/endpoint_outcomes.py
+++ b/plumarch/gateway/dispatch/endpoint_outcomes.py
@@ -1,8 +1,4 @@
-"""What requests show of the endpoints that they are sent to, and which endpoints that leaves.
-
-Limits, paces and records are kept by the modules of `routing`, which know nothing of requests;
-here they are told what happens, and changes are logged.
-"""
+"""Reports the outcome of requests to the endpoint statistics in `routing`, and logs changes."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -22,30 +18,30 @@
 )
 
 PROMISED_NOT_RUN = frozenset({408, 421, 429, 503})
-"""Statuses that promise that a request did not run, when an endpoint says so."""
+"""Statuses of an answer that may promise that the request did not run."""
 
 OVERLOADED = frozenset({429, 503})
-"""Statuses by which an endpoint that did not run a request says that it holds too much."""
+"""Statuses by which an endpoint rejects a request for its load."""
 
 MISDIRECTED = 421
 """Status of a process that is not the endpoint named in a request, and did not run it."""
 
 REJECTION_WEIGHT = 0.3
-"""Weight of a refusal by an endpoint with free places as a failure of it: it may be full with
-requests that this node was not told of yet."""
+"""Weight of a rejection as a failure if the endpoint seems to have free capacity: it may run
+requests of other nodes that were not reported yet."""
 
 MIN_COMPARED = 2
-"""Endpoints of a region from which on they are compared with each other: an only one that hangs
-shows by those elsewhere alone."""
+"""Endpoints of a region that are compared with each other only; fewer are compared with remote ones
+too."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SentRequest:
-    """A request that an endpoint was given.
+    """A request that was sent to an endpoint.
 
     Attributes:
-      demand: what it asks of the endpoint.
-      number: of `Latencies.sent`, or None if it is not known how long an answer should take.
+      demand: the load that it adds.
+      number: from `Latencies.sent`, or None if the expected latency is unknown.
     """
 
     endpoint: traffic.Endpoint
@@ -54,7 +50,7 @@
 
 
 def demand_of(admitted: admission.Admitted) -> endpoint_limits.Demand:
-    """Return what a request asks of an endpoint."""
+    """Return the load that a request adds to an endpoint."""
     return endpoint_limits.demand(
         admitted.prompt_tokens,
         admitted.most_out,
@@ -66,10 +62,10 @@
 def preferred(
     state: fleet_state.FleetState, endpoints: Sequence[traffic.Endpoint], repeated: bool
 ) -> list[traffic.Endpoint]:
-    """Return those of the endpoints with room that a request had better go to.
+    """Return the preferred ones of the endpoints with free capacity.
 
     Args:
-      repeated: whether it failed at another one already.
+      repeated: whether the request failed at another endpoint already.
     """
     quick = _without_slow(state, endpoints)
     return state.health.best(quick, state.chooser.running, repeated)
@@ -78,10 +74,9 @@
 def _without_slow(
     state: fleet_state.FleetState, endpoints: Sequence[traffic.Endpoint]
 ) -> list[traffic.Endpoint]:
-    """Return endpoints without those that are slow against the others of their region.
+    """Return the endpoints without the slow outliers of their region.
 
-    Those of other regions are idle mostly, and look quick by that. Whether a region as a whole is
-    too slow is weighed by the choice.
+    Remote endpoints are mostly idle, and would make all local ones look slow.
     """
     latencies, running = state.health.latencies, state.chooser.running
     local, remote = locality_choice.local_and_remote(endpoints, state.distances)
@@ -95,7 +90,7 @@
     admitted: admission.Admitted,
     endpoints: Sequence[traffic.Endpoint],
 ) -> float:
-    """Return how long a request has to wait because an endpoint of its service fell; 0 mostly."""
+    """Return how long a request waits after a crash in its service, in ms; 0 without a crash."""
     crash = state.limits.crashes.recent(admitted.service)
     if crash is None:
         return 0.0
@@ -113,7 +108,7 @@
     admitted: admission.Admitted,
     choice: endpoint_choice.Choice,
 ) -> SentRequest:
-    """Note that an endpoint was given a request."""
+    """Record a request that was sent to an endpoint."""
     demand = demand_of(admitted)
     endpoint = choice.endpoint
     state.limits.sent(endpoint, demand)
@@ -129,10 +124,7 @@
     admitted: admission.Admitted,
     choice: endpoint_choice.Choice,
 ) -> float | None:
-    """Return how long a first byte should take, or None if too little is known.
-
-    The way to another region is no fault of an endpoint: a far one isn't slow by it.
-    """
+    """Return the expected time to the first byte, with network latency; None if unknown."""
     network_ms = state.distances.beyond_region_ms(choice.endpoint.data_centre)
     if admitted.prompt_tokens:
         speed = state.chooser.speed(admitted.service)
@@ -150,10 +142,10 @@
     sent_ms: int,
     head: h11.Response,
 ) -> None:
-    """Take in what the head of an answer says of its endpoint, whatever it is to the request.
+    """Apply the signals in the head of an answer to its endpoint.
 
     Args:
-      sent_ms: when the request was sent; the process that answers was there by then.
+      sent_ms: when the request was sent; the answering process was running by then.
     """
     signals = endpoint_signals.of(head, state.names)
     if head.status_code != MISDIRECTED:
@@ -165,7 +157,7 @@
     alive_ms = state.wall.now() - now + sent_ms
     backoff_ms = 0
     if signals.backoff_ms and head.status_code in OVERLOADED:
-        # It runs little by refusing, so that it would be the next request's first choice again.
+        # An endpoint that rejects requests looks idle, and would be chosen first again.
         backoff_ms = state.backoff.note_retry_after(endpoint, alive_ms, signals.backoff_ms)
         state.measures.rests.add(endpoint.service)
     listed = state.registry.endpoints.get(endpoint.id)
@@ -184,15 +176,15 @@
         registry_age_ms=state.registry.age_ms(),
     )
     if head.status_code == MISDIRECTED:
-        # Another process has the address: what it says is not about the endpoint.
+        # Another process has the address: its drain signal isn't the endpoint's.
         return
-    # The store may be silent for long while an endpoint that leaves says so in all its answers.
+    # The store may be unreachable while a draining endpoint says so in its answers.
     if signals.draining and state.registry.note_draining(endpoint, alive_ms):
         state.measures.leaving_said.add(endpoint.service)
 
 
 def first_byte(state: fleet_state.FleetState, one: SentRequest) -> None:
-    """Note that an endpoint's answer began."""
+    """Record the first byte of an answer."""
     running = state.chooser.running(one.endpoint.id)
     state.limits.observe_load(one.endpoint, running)
     if one.number is None:
@@ -204,26 +196,23 @@
 
 
 def rejected(state: fleet_state.FleetState, one: SentRequest, status: int) -> None:
-    """Note that an endpoint did not run a request."""
+    """Record that an endpoint did not run a request."""
     if status == MISDIRECTED:
-        # An entry that stands without its process would go on attracting requests, each of which
-        # costs its caller a send, and the fleet one of its repeats.
+        # The entry outlived its process, and would attract requests that can only fail.
         state.health.absent(one.endpoint)
         state.log.write("endpoint_absent", endpoint=one.endpoint.id, address=one.endpoint.address)
     if status not in OVERLOADED:
         return
     running = max(0, state.chooser.running(one.endpoint.id) - 1)
     if running < one.endpoint.slots:
-        # It refuses for another reason than its load, and looks idle by it. Where a third of the
-        # engines refuse all, and later most of them in part, the day earns 0.898 to 0.964 of what
-        # it owes, 0.876 to 0.916 before (two deployments, two seeds each, in pairs; up in all).
+        # It rejects below its capacity and looks idle, so that it would be preferred otherwise.
         state.health.failure(one.endpoint.id, REJECTION_WEIGHT)
     state.limits.rejected(one.endpoint, running, one.demand.is_engine)
     _log_limit(state, one.endpoint)
 
 
 def lost(state: fleet_state.FleetState, one: SentRequest) -> None:
-    """Note that a connection ended while its request ran."""
+    """Record a connection that ended while its request ran."""
     running = state.chooser.running(one.endpoint.id)
     elsewhere = _elsewhere(state, one.endpoint)
     endpoint = _current(state, one.endpoint)
@@ -231,24 +220,24 @@
 
 
 def connect_failed(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> None:
-    """Note that an endpoint could not be connected to."""
+    """Record a failed connection to an endpoint."""
     elsewhere = _elsewhere(state, endpoint)
     endpoint = _current(state, endpoint)
     _note_crash(state, endpoint, state.limits.connect_failed(endpoint, elsewhere))
 
 
 def ended(state: fleet_state.FleetState, one: SentRequest) -> None:
-    """Note that a request is over at an endpoint."""
+    """Record that a request has ended at an endpoint."""
     state.limits.ended(one.endpoint, one.demand)
     if one.number is not None:
         state.health.latencies.ended(one.endpoint.id, one.number)
 
 
 def _current(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> traffic.Endpoint:
-    """Return an endpoint with its state as of now, which a request keeps as of its choice.
+    """Return an endpoint with its current state, which may have changed since the choice.
 
-    One that vanished and is neither among those that vanished without notice nor back under its
-    name had said that it leaves.
+    One that is no longer listed counts as draining, unless its entry lapsed or its name is listed
+    again.
     """
     listed = state.registry.endpoints.get(endpoint.id)
     if listed is not None:
--- a/plumarch/gateway/dispatch/interrupted_runs.py
+++ b/plumarch/gateway/dispatch/interrupted_runs.py
@@ -1,9 +1,7 @@
-"""Runs whose connection broke: whether their endpoint ended with them.
+"""Finds out by a probe connection whether an endpoint crashed when a connection to it ended.
 
-A broken connection alone says little: an endpoint breaks an answer off now and then, and goes on.
-One that ended refuses the next connection. So it is asked by one, without a request, and what it
-ran is held against it only if that is refused, or if its entry tells soon after that its process
-was born anew: a port that is held for an endpoint takes connections while it is down.
+Its runs count as crashed with it if it refuses the probe, or if its entry shows a restart soon
+after: a supervisor that keeps the port open accepts connections while the endpoint is down.
 """
 
 import asyncio
@@ -18,24 +16,22 @@
 from plumarch.limits import quarantine
 
 CRASH_RETENTION_MS = 1_000
-"""How long an endpoint that ended is not asked again; no process is back sooner."""
+"""Time after a crash in which an endpoint is not probed; no process restarts sooner."""
 
 RESTART_RETENTION_MS = 10_000
-"""How long after a loss an endpoint's new start counts as the cause: it is in the store a few
-seconds after its process is up."""
+"""Time in which a restart explains an interrupted run; the store lists it some seconds late."""
 
 MAX_UNCONFIRMED = 64
-"""Lost runs that are kept of an endpoint for that, the last ones: as many as it has places, mostly.
-One that breaks off answers all the time would have them grow."""
+"""Limit of the interrupted runs kept per endpoint that may have restarted; the latest stay."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InterruptedRun:
-    """A run that broke off.
+    """A run whose connection ended before its answer was complete.
 
     Attributes:
-      points: how much its endpoint's end would speak against the request.
-      after_ms: time from the send to the loss.
+      points: quarantine points for the request if its endpoint crashed.
+      after_ms: time from the send to the end of the connection.
     """
 
     request: str
@@ -46,7 +42,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Probe:
-    """An endpoint that is being asked whether it lives, and the runs that were lost there."""
+    """A pending probe of an endpoint, and the runs that were interrupted there."""
 
     task: asyncio.Task[None]
     runs: list[InterruptedRun]
@@ -54,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnconfirmedRuns:
-    """Runs that were lost at an endpoint that took connections then, and when that was."""
+    """Runs interrupted at an endpoint that accepted a connection at `at_ms`."""
 
     endpoint: traffic.Endpoint
     runs: list[InterruptedRun]
@@ -62,12 +58,12 @@
 
 
 class InterruptedRuns:
-    """Finds out which lost runs were lost with their endpoint.
+    """Records crashes against the requests that ran during them.
 
     Attributes:
-      doubts: endpoints that were found to live, by identifier.
-      questions: endpoints that are being asked, by identifier.
-      crashed_ms: when endpoints were found to have ended lately, by identifier.
+      doubts: runs at endpoints that answered the probe, by endpoint identifier.
+      questions: pending probes, by endpoint identifier.
+      crashed_ms: when recent crashes were found, by endpoint identifier.
     """
 
     def __init__(self, state: fleet_state.FleetState) -> None:
@@ -78,7 +74,7 @@
         state.endpoint_restarted = self.apply_restart
 
     def record(self, admitted: admission.Admitted, attempt: attempts.Attempt) -> None:
-        """Take in a run whose endpoint closed the connection."""
+        """Record a run whose endpoint closed the connection, and probe the endpoint."""
         endpoint = attempt.choice.endpoint
         now = self.state.clock.now()
         run = InterruptedRun(
@@ -97,7 +93,7 @@
         return now - self.crashed_ms.get(endpoint, -CRASH_RETENTION_MS) < CRASH_RETENTION_MS
 
     async def wait_for_probe(self, endpoint: str) -> None:
-        """Wait until it is known whether an endpoint ended, if it is being asked."""
+        """Wait for the pending probe of an endpoint, if any."""
         probe = self.probes.get(endpoint)
         if probe is not None:
             await asyncio.wait({probe.task})
@@ -135,7 +131,7 @@
         )
 
     def apply_restart(self, endpoint: str) -> None:
-        """Take in that an endpoint's process is no more: what was lost there was lost with it."""
+        """Count the runs interrupted at an endpoint as crashed, since its process restarted."""
         found = self.unconfirmed.pop(endpoint, None)
         if found is not None and self.state.clock.now() - found.at_ms < RESTART_RETENTION_MS:
             self._record_crashes(found.endpoint, found.runs)
@@ -145,7 +141,7 @@
         self.crashed_ms = {name: at for name, at in self.crashed_ms.items() if at >= oldest}
 
     def _record_crashes(self, endpoint: traffic.Endpoint, runs: list[InterruptedRun]) -> None:
-        """Hold an endpoint's end against the requests that it ran."""
+        """Record an endpoint's crash against the requests that it ran."""
         state = self.state
         state.log.write(
             "endpoint_ended",
@@ -162,7 +158,7 @@
 
 
 def _points(attempt: attempts.Attempt, now: int) -> int:
-    """Return how much the end of a run's endpoint would speak against its request."""
+    """Return the quarantine points of a run's request if its endpoint crashed."""
     if attempt.first_ms is None:
         return quarantine.EARLY_POINTS
     running_ms = now - attempt.sent_ms - attempt.first_ms
--- a/plumarch/gateway/dispatch/request_run.py
+++ b/plumarch/gateway/dispatch/request_run.py
@@ -1,8 +1,6 @@
-"""One request on its way: attempts until an endpoint answers, or until it is given up.
+"""Makes attempts at a request until an endpoint answers or the request is given up.
 
-A request that is given up gets its final answer at once. "Not run" (503, with when to come
-back) is told only if no byte was handed to an endpoint or each endpoint said that it did not
-run it; otherwise the answer promises nothing (502, 504).
+A request given up gets 503 with Retry-After if it certainly did not run, otherwise 502 or 504.
 """
 
 import asyncio
@@ -27,31 +25,29 @@
 from plumarch.routing import endpoint_choice, return_times
 
 CALLER_DISCONNECTED = 499
-"""Stands in logs for the status of an answer that its caller didn't take."""
+"""Logged as the status if the caller disconnected before the answer was complete."""
 
 ANSWER_TIMEOUT_TARGETS = 1.6
-"""A repeatable request waits this many targets for one endpoint's answer."""
+"""Timeout of a repeatable request at one endpoint, in multiples of the route's target."""
 
 MIN_STREAM_TIMEOUT_MS = 2_000.0
-"""A resumable stream waits at least this long for an endpoint's next event."""
+"""Minimum timeout of a resumable stream for an endpoint's next event."""
 
 MAX_EXPECTED_TARGETS = 1.3
-"""A stream whose first event is expected later than this many targets is refused at once."""
+"""A stream is rejected if its first event is expected later, in multiples of the target."""
 
 MIN_QUEUED_FRACTION = 0.3
-"""Part of the prompt tokens before the first event that are others', below which none is refused
-so: the engine is as good as free, and the request is late by its own length. A judgement."""
+"""Fraction of the prompt tokens before the first event that belong to other requests; below it no
+stream is rejected, as its own length makes it late."""
 
 RESUME_WAIT_MS = 5_000.0
-"""How long a stream that was let go waits for a place when its caller reads again: some requests
-end in it, and the caller has what lies in the kernel to read meanwhile. A judgement."""
+"""Time that an abandoned stream waits for free capacity once its caller reads again."""
 
 RESUME_CHECK_MS = 100.0
-"""When it looks for one again; twice as late each time, as each look writes a line."""
+"""First interval between its tries; doubles, since each try writes a log line."""
 
 TRIAL_RETRY_MS = 5_000.0
-"""When a caller had better come back with a request that is held back and whose trial another node
-makes, or that the store, which is away, could not grant."""
+"""Retry delay of a quarantined request whose trial was not granted to this node."""
 
 SERVER_ERRORS = 500
 SERVER_ERROR_WEIGHT = 0.3
@@ -72,7 +68,7 @@
     refusal: admission.Refusal,
     id_header: bytes,
 ) -> None:
-    """Send a final answer of the gateway itself."""
+    """Send a rejection or failure by the gateway itself."""
     headers = [(b"content-type", b"text/plain")]
     request_id = request.header(id_header)
     if request_id:
@@ -85,14 +81,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BufferedAnswer:
-    """An endpoint's answer with its whole body."""
+    """An endpoint's answer with its complete body."""
 
     head: h11.Response
     body: bytes
 
 
 class RequestRun:
-    """One request on its way."""
+    """Serves one request."""
 
     def __init__(
         self,
@@ -115,7 +111,7 @@
         self.resumes_until_ms = 0.0
 
     async def serve(self) -> Outcome:
-        """Make attempts until one answers or the request is given up."""
+        """Make attempts until an endpoint answers or the request is given up."""
         time_left = (self.admitted.ends_ms - self.state.clock.now()) / 1000.0
         try:
             async with asyncio.timeout(max(0.0, time_left)):
@@ -126,7 +122,7 @@
             self._retain_failed(None)
 
     def _retain_failed(self, reservation: memory_account.Reservation | None) -> None:
-        """Count a failed answer that is kept, in place of the one before."""
+        """Keep the reservation of a failed answer, and release the previous one."""
         if self.failed_reservation is not None:
             self.state.memory.resize(self.failed_reservation, 0)
         self.failed_reservation = reservation
@@ -162,7 +158,7 @@
                 return self._give_up(self.progress.last_fault, 502)
 
     async def _may_begin(self) -> bool:
-        """Return whether the request isn't held back, or is this node's to try once more."""
+        """Return whether the request isn't quarantined, or this node may try it once more."""
         state, fingerprint = self.state, self.admitted.fingerprint
         if state.quarantine.find_quarantined(fingerprint) is None:
             return True
@@ -173,7 +169,7 @@
         return False
 
     async def _received_permit(self) -> bool:
-        """Return whether a permit came that was asked for, where only it was missing."""
+        """Wait for a permit if only that is missing, and return whether it arrived."""
         progress = self.progress
         endpoint = progress.without_permit
         if endpoint is None or progress.permit_waits >= announced_rates.MAX_WAITS:
@@ -183,7 +179,7 @@
         return await announced_rates.wait_for_answer(self.state, endpoint, time_left_ms)
 
     async def _wait_until_read(self) -> None:
-        """Wait until the caller of a stream that was let go has read all."""
+        """Wait until the caller of an abandoned stream has read everything."""
         await self.reply.drained()
         self.is_abandoned = False
         self.resumes_until_ms = self.state.clock.now() + RESUME_WAIT_MS
@@ -193,13 +189,13 @@
         )
 
     def _awaits_resumption(self) -> bool:
-        """Return whether a stream that gave up its place for others' sake waits for another one."""
+        """Return whether an abandoned stream may still wait for free capacity."""
         return self.state.clock.now() < self.resumes_until_ms
 
     def _is_expected_late(self, choice: endpoint_choice.Choice) -> bool:
-        """Return whether a first send is expected to miss its target by far, for others' sake.
+        """Return whether load is expected to make a first send miss its target by far.
 
-        A prompt that takes long to read by itself is sent all the same.
+        A prompt that is late by its own length is sent.
         """
         if self.progress.sends or not self.admitted.prompt_tokens:
             return False
@@ -219,7 +215,7 @@
         """Try one endpoint.
 
         Returns:
-          How the request ended, or None if this endpoint did not answer it.
+          The outcome, or None if this endpoint did not answer.
         """
         state, progress = self.state, self.progress
         try:
@@ -275,7 +271,7 @@
         return None
 
     def _record_failure(self, attempt: attempts.Attempt) -> None:
-        """Count a failure as the endpoint's, unless this process was suspended meanwhile."""
+        """Record a failure of the endpoint, unless this process was suspended meanwhile."""
         state = self.state
         if attempts.was_suspended(state, attempt):
             return
@@ -283,7 +279,7 @@
         version_outcomes.note(state, self.admitted, attempt, failed=True)
 
     def _record_answer(self) -> None:
-        """Take in that an endpoint ran the request to its end, and lives."""
+        """Record that an endpoint answered the request without a crash."""
         state, fingerprint = self.state, self.admitted.fingerprint
         was_quarantined = state.quarantine.find_quarantined(fingerprint) is not None
         if state.quarantine.record_answer(fingerprint):
@@ -292,7 +288,7 @@
                 state.publish_suspect(fingerprint)
 
     def _log_broken(self, attempt: attempts.Attempt, why: str) -> None:
-        """Log a run that broke off, with what tells an endpoint's end from a bad answer."""
+        """Log a broken run with the facts that tell a crash from an invalid answer."""
         state, endpoint = self.state, attempt.choice.endpoint
         state.log.write(
             "broken",
@@ -307,7 +303,7 @@
         )
 
     def _note_abandoned(self, attempt: attempts.Attempt) -> None:
-        """Note a run that is ended for the caller's sake: it says nothing about the endpoint."""
+        """Record a run that was abandoned for a slow caller; it is no failure of the endpoint."""
         self.is_abandoned = True
         self.progress.tried.discard(attempt.choice.endpoint.id)
         self.state.measures.streams.add("let_go")
@@ -320,7 +316,7 @@
         )
 
     async def _may_retry_elsewhere(self, last: str) -> bool:
-        """Return whether a further endpoint may be tried, and spend the budget for it.
+        """Return whether another endpoint may be tried, and spend the retry budget for it.
 
         Args:
           last: the endpoint that was tried last.
@@ -337,9 +333,9 @@
         return self.state.budget.take(self.admitted.service)
 
     async def _is_quarantined(self, last: str) -> bool:
-        """Return whether too many endpoints ended under this request, the last one included.
+        """Return whether too many endpoints crashed under this request.
 
-        Only where the last one's end would decide it is it waited for, a connect's time.
+        The probe of the last endpoint is awaited only if its crash would decide.
         """
         known, fingerprint = self.state.quarantine, self.admitted.fingerprint
         if known.points(fingerprint) + quarantine.EARLY_POINTS >= quarantine.QUARANTINE_POINTS:
@@ -366,7 +362,7 @@
         return await self._relay_buffered(attempt, head)
 
     def _answer_timeout_ms(self, attempt: attempts.Attempt) -> float:
-        """Return how long to wait for the endpoint at hand; longer in another region."""
+        """Return the timeout in ms for the endpoint, which is longer in another region."""
         route = self.admitted.route
         left = self.admitted.ends_ms - self.state.clock.now()
         if not route.repeatable() or self.progress.sends >= route.max_attempts:
@@ -377,7 +373,7 @@
         return min(left, wanted + attempt.round_trip_ms) if wanted > 0 else left
 
     async def _relay_buffered(self, attempt: attempts.Attempt, head: h11.Response) -> Outcome:
-        """Relay an answer that is read whole first, so that a broken one is never begun."""
+        """Relay an answer once it is complete, so that no broken one is begun."""
         reservation = buffered_answers.new_reservation(attempt, self.admitted)
         try:
             method = self.admitted.request.method
@@ -388,10 +384,12 @@
             if head.status_code >= SERVER_ERRORS and self._may_retry():
                 self.failed_answer = BufferedAnswer(head, body)
                 self._retain_failed(reservation)
-                raise RetryElsewhere("the endpoint failed, and another one may answer")
+                raise RetryElsewhere("endpoint failed; another one may answer")
             if self.reply.started:
-                raise errors.ConnectionBroken(f"the stream can't go on: {head.status_code}")
-            # From here on it counts as what the caller has to read.
+                raise errors.ConnectionBroken(
+                    f"stream can't be resumed: endpoint answered {head.status_code}"
+                )
+            # The connection counts these bytes as unread from here on.
             self.state.memory.resize(reservation, 0)
             return self._send_buffered(BufferedAnswer(head, body))
         finally:
@@ -409,7 +407,7 @@
         return route.repeatable() and self.progress.sends < route.max_attempts
 
     def _give_up(self, reason: str, status: int) -> Outcome:
-        """Answer for good; "not run" only if that is certain."""
+        """Send the final answer, 503 only if the request certainly did not run."""
         if self.reply.started:
             self.reply.abort()
             return Outcome(status, f"broken_off_{reason}")
@@ -426,7 +424,7 @@
         return Outcome(503, reason)
 
     def fail(self, outcome: Outcome) -> Outcome:
-        """Send a failure that promises nothing, or break off what has begun."""
+        """Send a failure of a request that may have run, or abort an answer that has begun."""
         if self.reply.started:
             self.reply.abort()
             return outcome
@@ -436,4 +434,4 @@
 
 
 class RetryElsewhere(errors.ExchangeError):
-    """The endpoint answered with a failure of its own; another one may do better."""
+    """The endpoint answered with a server error, and another one may succeed."""
--- a/plumarch/gateway/dispatch/stream_relay.py
+++ b/plumarch/gateway/dispatch/stream_relay.py
@@ -1,8 +1,6 @@
-"""A stream's events passed on as they come, at the caller's pace without holding up the endpoint.
+"""Relays event streams to callers that may read more slowly than the endpoint sends.
 
-Events that the caller doesn't read yet wait in its connection's buffer, which is counted. Beyond
-the stream's bound its run is let go, to be resumed when the caller has read all, or, where that
-may not be, the endpoint isn't read for a while.
+If the caller's buffer is full, the run is abandoned and resumed later, or the endpoint is paused.
 """
 
 import asyncio
@@ -16,23 +14,22 @@
 from plumarch.limits import memory_account
 
 PAUSE_LIMIT_MS = 5_000.0
-"""How long an endpoint isn't read for a caller's sake. It cuts the answer off by itself after some
-seconds, and keeps a place for it until then."""
+"""Longest pause for a slow caller; an endpoint aborts an unread answer after some seconds."""
 
 MAX_EVENT_BYTES = 1_048_576
-"""The longest event: one that never ends must not be gathered for ever."""
+"""Limit of an event's size in bytes."""
 
 
 class RunAbandoned(errors.ExchangeError):
-    """The run was given up because the caller doesn't read; it may go on later."""
+    """The run was abandoned because the caller doesn't read; the stream may be resumed."""
 
 
 class CallerTooSlow(errors.ExchangeError):
-    """The caller read too little for too long, and was ended."""
+    """The caller read too slowly and was disconnected."""
 
 
 class StreamRelay:
-    """Passes one run's events on."""
+    """Relays the events of one run."""
 
     def __init__(
         self,
@@ -49,13 +46,13 @@
         self.timeout_ms = timeout_ms
 
     async def relay(self, attempt: attempts.Attempt, head: h11.Response) -> None:
-        """Pass on all events, then end the answer as complete.
+        """Relay all events, then finish the answer.
 
         Raises:
-          ConnectionBroken: the stream broke off, or is not whole or not in order.
-          AnswerTimeout: nothing came for too long.
-          RunAbandoned: the caller must read before the stream goes on.
-          CallerTooSlow: the caller was ended.
+          ConnectionBroken: the stream ended early, or an event is incomplete or out of order.
+          AnswerTimeout: no event arrived in time.
+          RunAbandoned: the caller must read before the stream is resumed.
+          CallerTooSlow: the caller was disconnected.
         """
         splitter = event_stream.Splitter()
         reservation = memory_account.Reservation(
@@ -73,7 +70,7 @@
         finally:
             self.state.memory.resize(reservation, 0)
         if splitter.buffered:
-            raise errors.ConnectionBroken("the stream ended inside an event")
+            raise errors.ConnectionBroken("stream ended inside an event")
         self._start(head)
         self.reply.finish()
 
@@ -90,14 +87,14 @@
             if not self.reply.has_room(len(event.raw)):
                 if self._may_abandon():
                     raise RunAbandoned(
-                        f"the caller doesn't read on after {self.progress.last_event_id}"
+                        f"caller stopped reading after event {self.progress.last_event_id}"
                     )
                 self._reserve(reservation, len(data) + attempt.exchange.unparsed)
                 await self._pause(attempt)
             self._relay_event(attempt, head, event)
         buffered = len(splitter.buffered)
         if buffered > MAX_EVENT_BYTES:
-            raise errors.ConnectionBroken(f"an event is longer than {MAX_EVENT_BYTES} bytes")
+            raise errors.ConnectionBroken(f"event exceeds {MAX_EVENT_BYTES} bytes")
         if buffered or reservation.size:
             self._reserve(reservation, buffered)
 
@@ -107,9 +104,9 @@
             raise errors.ConnectionBroken(f"event {event.id} came after {last}")
 
     def _may_abandon(self) -> bool:
-        """Return whether the stream may go on at an endpoint later, and spend a repeat for it.
+        """Return whether the stream may be resumed later, and spend the retry budget for it.
 
-        Without this, one slow caller could cause any number of sends.
+        The budget bounds the sends that a slow caller causes.
         """
         route = self.admitted.route
         if not route.repeatable() or not self.progress.last_event_id.isdigit():
@@ -119,20 +116,20 @@
         return self.state.budget.take(self.admitted.service)
 
     def _reserve(self, reservation: memory_account.Reservation, size: int) -> None:
-        """Count what waits here for the caller or for the end of an event."""
+        """Reserve memory for bytes that wait for the caller or for the end of an event."""
         if not self.state.memory.resize(reservation, size):
             self.reply.cut("no_memory")
-            raise CallerTooSlow(f"no room for {size} bytes of a stream")
+            raise CallerTooSlow(f"no memory for {size} bytes of a stream")
 
     async def _pause(self, attempt: attempts.Attempt) -> None:
-        """Read nothing from the endpoint until the caller has read all."""
+        """Pause reading from the endpoint until the caller has read everything."""
         attempt.exchange.hold_back()
         try:
             async with asyncio.timeout(PAUSE_LIMIT_MS / 1000.0):
                 await self.reply.drained()
         except TimeoutError as error:
             self.reply.cut("caller_too_slow")
-            raise CallerTooSlow("the endpoint can't be kept waiting") from error
+            raise CallerTooSlow("caller did not read before the endpoint's pause ended") from error
         finally:
             attempt.exchange.resume()
 
@@ -163,10 +160,10 @@
     attempt: attempts.Attempt,
     began_before: bool,
 ) -> None:
-    """Note that an endpoint answers, once for each attempt.
+    """Record the first token of an attempt, once.
 
     Args:
-      began_before: whether the caller's answer was begun by an earlier attempt.
+      began_before: whether an earlier attempt began the caller's answer.
     """
     if attempt.saw_first_token:
         return
