--- a/plumarch/gateway/dispatch/announced_rate_test.py
+++ b/plumarch/gateway/dispatch/announced_rate_test.py
@@ -1,21 +1,4 @@
-"""Endpoints that announce how many requests a second they take from all nodes together.
-
-Two of six engines announced one request a second. Six of eight nodes received such an answer within
-2.5 s and went on to send as before: 16 requests reached one of the engines in 4 s, where one and a
-half times the announced rate and five more are 11. The header was read by nobody, and a
-node's choice knew only its own sends and the loads of others, by which such an engine is idle. What
-settled it were the lines of one node, whose own first send was answered with the rate:
-
-    8.36 sent endpoint=i-e6 attempt=1 candidates=6 cost=375
-    8.87 sent endpoint=i-e6 attempt=1 candidates=6 cost=1473
-    9.97 sent endpoint=i-e6 attempt=1 candidates=6 cost=241
-    12.49 sent endpoint=i-e6 attempt=1 candidates=6 cost=110
-    12.69 sent endpoint=i-e6 attempt=1 candidates=6 cost=315
-
-All are first attempts of requests that had just come, among six engines of which four had room.
-Each node sent four of them at the most in any 4 s, so a limit that each node kept by itself would
-not have helped: a rate that holds for all together has to be divided among those with demand.
-"""
+"""All nodes together keep to the request rates that endpoints announce."""
 
 import asyncio
 import dataclasses
@@ -31,10 +14,10 @@
 RATE_PER_S = 1.0
 WINDOW_MS = 4_000
 KNOWN_AFTER_MS = 500
-"""A node is held to a rate from this long after it passed on an answer that announces it."""
+"""Delay after a node relayed an announced rate from which its requests count."""
 
 ROUND_TRIP_MS = 20
-"""Virtual time that passes while a request is served, for what nodes send each other meanwhile."""
+"""Virtual time that passes while a request is served, for messages between nodes."""
 
 TABLE = routing_table.build(
     routing_table.Configuration(
@@ -48,13 +31,13 @@
 
 
 def allowed(rate_per_s: float) -> float:
-    """Return how many requests an endpoint may get in a window."""
+    """Return the limit of requests to an endpoint in a window."""
     return 1.5 * rate_per_s * WINDOW_MS / 1000.0 + 5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that reached an endpoint, and whether its node knew the rate for long enough."""
+    """A request that reached an endpoint, and whether it counts against the rate."""
 
     at_ms: int
     node: str
@@ -62,7 +45,7 @@
 
 
 class Fleet:
-    """Nodes that exchange datagrams on virtual time, before two endpoints on loopback."""
+    """Nodes that exchange datagrams in virtual time, with two endpoints on loopback."""
 
     def __init__(
         self, counts: tuple[int, ...], announced: str, are_all_limited: bool = False
@@ -71,7 +54,7 @@
         self.announced = announced
         self.answering = [self.limited, self.limited if are_all_limited else relay_test.answers()]
         self.listed: list[traffic.Endpoint] = []
-        self.come_back_s: list[float] = []
+        self.retry_after_s: list[float] = []
         self.endpoints: list[scripted.ScriptedEndpoint] = []
         self.listeners: list[asyncio.Server] = []
         self.relays: list[relay.caller_connection.CallerServer] = []
@@ -118,7 +101,7 @@
     async def limited(
         self, request: scripted.ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer as the endpoint that announces a rate."""
+        """Answer with the announced rate."""
         now = self.gossip.time.now()
         known = self.received_ms.setdefault(self.node, now) if self.announced else now
         self.arrivals.append(Arrival(now, self.node, now - known >= KNOWN_AFTER_MS))
@@ -126,7 +109,7 @@
         writer.write(scripted.answer(request, headers=headers))
 
     async def ask(self, node: str) -> int:
-        """Return the status of the answer to a request to a node."""
+        """Send a request to a node and return the status of its answer."""
         self.node = node
         asked = asyncio.create_task(self._ask(self.ports[node]))
         passed = 0
@@ -143,11 +126,11 @@
         found = await relay_test.read_answer(reader)
         writer.close()
         if "retry-after" in found.headers:
-            self.come_back_s.append(float(found.headers["retry-after"]))
+            self.retry_after_s.append(float(found.headers["retry-after"]))
         return found.status
 
     async def serve(self, per_s: float, for_ms: int) -> list[int]:
-        """Return the statuses of requests that come at an even rate to all nodes in turn."""
+        """Send requests at an even rate to all nodes in turn, and return their statuses."""
         gap_ms = 1000.0 / per_s
         start_ms = self.gossip.time.now()
         names = sorted(self.ports)
@@ -157,8 +140,8 @@
             found.append(await self.ask(names[number % len(names)]))
         return found
 
-    def most_in_a_window(self) -> int:
-        """Return the most arrivals in a window from nodes that are held to the rate."""
+    def max_in_a_window(self) -> int:
+        """Return the largest number of counted arrivals in a window."""
         at = [one.at_ms for one in self.arrivals if one.counts]
         return max((sum(first <= one < first + WINDOW_MS for one in at) for first in at), default=0)
 
@@ -172,7 +155,7 @@
         async with Fleet((3, 3, 2), str(RATE_PER_S)) as fleet:
             statuses = await fleet.serve(16.0, 10_000)
             assert set(statuses) == {200}
-            assert fleet.most_in_a_window() <= allowed(RATE_PER_S)
+            assert fleet.max_in_a_window() <= allowed(RATE_PER_S)
 
     play(test)
 
@@ -182,12 +165,12 @@
         async with Fleet((1,), str(RATE_PER_S)) as fleet:
             statuses = await fleet.serve(8.0, 10_000)
             assert set(statuses) == {200}
-            assert fleet.most_in_a_window() <= allowed(RATE_PER_S)
+            assert fleet.max_in_a_window() <= allowed(RATE_PER_S)
 
     play(test)
 
 
-def test_nodes_that_no_answer_came_to_are_told_of_the_rate():
+def test_the_rate_is_published_to_all_nodes():
     async def test() -> None:
         async with Fleet((3, 3, 2), "0.25") as fleet:
             await fleet.ask("dc-a-0")
@@ -200,7 +183,7 @@
     play(test)
 
 
-def test_where_all_announce_a_rate_it_is_used_and_others_are_told_when_to_come_back():
+def test_if_all_announce_a_rate_it_is_used_up_and_other_requests_get_a_retry_after():
     async def test() -> None:
         async with Fleet((3, 3, 2), "2", are_all_limited=True) as fleet:
             await fleet.serve(16.0, 3_000)
@@ -209,13 +192,13 @@
             assert set(statuses) == {200, 503}
             assert 0.8 * 2 * 2.0 * 10 <= statuses.count(200) <= 1.1 * 2 * 2.0 * 10
             assert len(fleet.arrivals) - before == statuses.count(200)
-            # Each of the two endpoints takes a request in half a second, and eight nodes compete.
-            assert all(0.05 <= seconds <= 6.5 for seconds in fleet.come_back_s)
+            # Each endpoint accepts a request per half second, and eight nodes compete for it.
+            assert all(0.05 <= seconds <= 6.5 for seconds in fleet.retry_after_s)
 
     play(test)
 
 
-def test_a_limit_that_is_over_ends_for_all_nodes_at_once():
+def test_a_lifted_limit_ends_for_all_nodes():
     async def test() -> None:
         async with Fleet((3, 3, 2), "1") as fleet:
             await fleet.serve(16.0, 2_000)
@@ -230,7 +213,7 @@
     play(test)
 
 
-def test_what_is_no_rate_neither_sets_a_limit_nor_ends_one():
+def test_an_invalid_rate_neither_sets_nor_lifts_a_limit():
     async def test() -> None:
         async with Fleet((1,), "-1") as fleet:
             await fleet.serve(16.0, 1_000)
@@ -245,11 +228,11 @@
     play(test)
 
 
-def test_of_many_that_connect_when_the_rate_is_announced_only_the_first_is_sent():
+def test_requests_that_are_connecting_when_the_rate_is_announced_go_elsewhere():
     async def test() -> None:
         headers = ("x-requests-per-second: 0.5",)
-        stays = relay_test.answers()
-        async with relay_test.Gateway(relay_test.answers(headers=headers), stays) as gateway:
+        unlimited = relay_test.answers()
+        async with relay_test.Gateway(relay_test.answers(headers=headers), unlimited) as gateway:
             answered = asyncio.Event()
             with gateway.holding_connects(answered):
                 asked = [asyncio.create_task(gateway.ask("/safe/x")) for _ in range(6)]
@@ -261,11 +244,11 @@
     play(test)
 
 
-def test_a_new_version_that_announces_a_rate_leaves_the_rest_to_the_old_one():
+def test_requests_beyond_the_rate_of_a_new_version_go_to_the_old_one():
     async def test() -> None:
         headers = ("x-requests-per-second: 0.5",)
-        limited, stays = relay_test.answers(headers=headers), relay_test.answers()
-        async with relay_test.Gateway(limited, stays) as gateway:
+        limited, unlimited = relay_test.answers(headers=headers), relay_test.answers()
+        async with relay_test.Gateway(limited, unlimited) as gateway:
             endpoints = gateway.state.registry.endpoints
             for name, version in (("e0", "v2"), ("e1", "v1")):
                 endpoints[name] = dataclasses.replace(endpoints[name], version=version)
--- a/plumarch/gateway/dispatch/leaving_answers_test.py
+++ b/plumarch/gateway/dispatch/draining_answers_test.py
@@ -1,16 +1,4 @@
-"""Endpoints that say in their answers that they leave, while the store says nothing of it.
-
-The store was silent for 13 s when an endpoint was told to leave, so its own entry could not change;
-it said so in each of its answers. A node that had passed one of them on sent it further requests
-2.0, 3.4 and 5.9 s later. The header was read by nobody: who leaves was learned from the store's
-list alone. What settled it were these lines, the second one two seconds after the first one:
-
-    sent endpoint=i-d7 attempt=1 candidates=6 registry_revision=37 registry_age_ms=2902
-    sent endpoint=i-d7 attempt=1 candidates=6 registry_revision=37 registry_age_ms=4938
-
-The revision is the same, so no list had brought the endpoint back, and both requests had just come,
-so none of them was under way when the answer came.
-"""
+"""Endpoints that report in their answers that they drain, while the store lists them as ready."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -20,17 +8,17 @@
 from plumarch.gateway.connections import exchange
 from plumarch.standins import scripted_endpoint as scripted
 
-LEAVES = relay_test.answers(headers=("x-leaving: 1",))
-STAYS = relay_test.answers()
+DRAINING = relay_test.answers(headers=("x-leaving: 1",))
+READY = relay_test.answers()
 
 
 def play(test: Callable[[], Awaitable[None]]) -> None:
     asyncio.run(asyncio.wait_for(test(), 30))
 
 
-def test_an_endpoint_that_says_it_leaves_gets_nothing_more_though_the_store_lists_it_as_ready():
+def test_a_draining_endpoint_gets_no_more_requests():
     async def test() -> None:
-        async with relay_test.Gateway(LEAVES, STAYS) as gateway:
+        async with relay_test.Gateway(DRAINING, READY) as gateway:
             answers = [await gateway.ask("/safe/x") for _ in range(5)]
             assert [one.status for one in answers] == [200] * 5
             assert [len(one.received) for one in gateway.endpoints] == [1, 4]
@@ -38,25 +26,25 @@
     play(test)
 
 
-def test_answers_of_every_kind_say_so():
-    says = ("x-leaving: 1",)
+def test_the_drain_header_is_applied_in_answers_of_every_kind():
+    drain_header = ("x-leaving: 1",)
     kinds = {
-        "a failure": relay_test.answers("500 Oops", headers=says),
-        "a refusal": relay_test.answers("503 Full", headers=(*says, "x-not-run: 1")),
-        "a refusal that promises nothing": relay_test.answers("503 Full", headers=says),
-        "another request's": relay_test.answers(headers=says),
+        "a server error": relay_test.answers("500 Oops", headers=drain_header),
+        "a rejection": relay_test.answers("503 Full", headers=(*drain_header, "x-not-run: 1")),
+        "a rejection that may have run": relay_test.answers("503 Full", headers=drain_header),
+        "an answer": relay_test.answers(headers=drain_header),
     }
 
     async def test() -> None:
         for kind, answering in kinds.items():
-            async with relay_test.Gateway(answering, STAYS) as gateway:
+            async with relay_test.Gateway(answering, READY) as gateway:
                 await gateway.ask("/safe/x")
                 assert [one.id for one in gateway.state.registry.ready("s")] == ["e1"], kind
 
     play(test)
 
 
-def test_a_stream_says_so_with_its_first_event():
+def test_the_drain_header_of_a_stream_is_applied():
     async def answering(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         head = scripted.stream_head(request).removesuffix(scripted.HEAD_END)
         writer.write(head + b"\r\nx-leaving: 1" + scripted.HEAD_END)
@@ -70,20 +58,20 @@
     play(test)
 
 
-def test_another_process_at_the_address_says_nothing_of_the_endpoint():
+def test_a_misdirected_answer_does_not_drain_the_endpoint():
     misdirected = relay_test.answers("421 Misdirected Request", headers=("x-leaving: 1",))
 
     async def test() -> None:
-        async with relay_test.Gateway(misdirected, STAYS) as gateway:
+        async with relay_test.Gateway(misdirected, READY) as gateway:
             await gateway.ask("/safe/x")
             assert len(gateway.state.registry.ready("s")) == 2
 
     play(test)
 
 
-def test_when_all_leave_the_caller_is_told_at_once_that_its_request_has_not_run():
+def test_if_all_endpoints_drain_requests_are_rejected_unrun():
     async def test() -> None:
-        async with relay_test.Gateway(LEAVES, LEAVES) as gateway:
+        async with relay_test.Gateway(DRAINING, DRAINING) as gateway:
             found = [await gateway.ask("/safe/x") for _ in range(4)]
             assert [one.status for one in found] == [200, 200, 503, 503]
             assert float(found[-1].headers["retry-after"]) > 0
@@ -92,9 +80,9 @@
     play(test)
 
 
-def test_a_request_that_was_connecting_when_the_word_came_goes_elsewhere():
+def test_a_request_that_is_connecting_to_a_draining_endpoint_goes_elsewhere():
     async def test() -> None:
-        async with relay_test.Gateway(STAYS, STAYS) as gateway:
+        async with relay_test.Gateway(READY, READY) as gateway:
             first = gateway.state.registry.endpoints["e0"]
             connect = exchange.connect
 
--- a/plumarch/gateway/dispatch/shedding_endpoint_test.py
+++ b/plumarch/gateway/dispatch/rejecting_endpoint_test.py
@@ -1,9 +1,4 @@
-"""Endpoints that refuse though they have free places, and don't ask for rest.
-
-Such an endpoint runs little, so that it was the first choice for each further request: of 1,513
-arrivals at eight engines 515 were refused while three of them shed their load. The load is replayed
-here with two endpoints, the nearer one of which refuses two of three requests.
-"""
+"""Endpoints that reject requests without Retry-After despite free capacity are not preferred."""
 
 import asyncio
 import itertools
@@ -15,14 +10,14 @@
 REQUESTS = 30
 
 
-def refusing(of_three: int) -> scripted.Answering:
-    """Return what refuses so many of three requests, evenly."""
+def rejecting(of_three: int) -> scripted.Answering:
+    """Return an endpoint that rejects so many of each three requests."""
     numbers = itertools.count()
 
     async def answering(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         if next(numbers) % 3 < of_three:
-            refusal = scripted.answer(request, "503 Full", headers=("x-not-run: 1",))
-            writer.write(refusal)
+            rejection = scripted.answer(request, "503 Full", headers=("x-not-run: 1",))
+            writer.write(rejection)
         else:
             writer.write(scripted.answer(request))
 
@@ -33,20 +28,20 @@
     asyncio.run(asyncio.wait_for(test(), 30))
 
 
-def test_one_that_refuses_is_no_first_choice_while_another_one_is_free():
+def test_a_rejecting_endpoint_is_avoided_while_another_is_free():
     async def test() -> None:
-        async with relay_test.Gateway(refusing(2), relay_test.answers()) as gateway:
+        async with relay_test.Gateway(rejecting(2), relay_test.answers()) as gateway:
             answers = [await gateway.ask("/safe/x") for _ in range(REQUESTS)]
             assert {one.status for one in answers} == {200}
-            # Two answers in twenty failed: then the better record goes first.
+            # After two failures in twenty answers the healthier endpoint is preferred.
             assert len(gateway.endpoints[0].received) <= 4
 
     play(test)
 
 
-def test_where_all_refuse_some_each_still_gets_requests():
+def test_if_all_reject_some_requests_each_still_gets_some():
     async def test() -> None:
-        async with relay_test.Gateway(refusing(1), refusing(1)) as gateway:
+        async with relay_test.Gateway(rejecting(1), rejecting(1)) as gateway:
             answers = [await gateway.ask("/safe/x") for _ in range(REQUESTS)]
             served = [one for one in answers if one.status == 200]
             assert len(served) >= REQUESTS * 2 // 3
