--- a/plumarch/gateway/dispatch/interrupted_runs_test.py
+++ b/plumarch/gateway/dispatch/interrupted_runs_test.py
@@ -1,4 +1,4 @@
-"""Which lost runs are held against their requests, over loopback."""
+"""Which interrupted runs count as crashes against their requests, over loopback."""
 
 import asyncio
 import dataclasses
@@ -10,7 +10,7 @@
 from plumarch.membership import registry
 from plumarch.standins import scripted_endpoint as scripted
 
-POISON = b"words that end whatever reads them"
+POISON = b"body that crashes the endpoints that read it"
 EARLY = quarantine.EARLY_POINTS
 
 
@@ -22,8 +22,8 @@
     return relay_test.Gateway(*[answering] * count)
 
 
-def ending(world: list[relay_test.Gateway]) -> scripted.Answering:
-    """Return what ends an endpoint under one body, as a crash does, and answers all others."""
+def crashing(world: list[relay_test.Gateway]) -> scripted.Answering:
+    """Return an endpoint that crashes under one body and answers all others."""
 
     async def answering(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         if request.body != POISON:
@@ -42,18 +42,18 @@
 
 
 async def wait_for_probes(gateway: relay_test.Gateway) -> None:
-    """Wait until all endpoints that are being asked have answered."""
+    """Wait until all pending probes are done."""
     lost = gateway.callers.handler.interrupted_runs
     for endpoint in list(lost.probes):
         await lost.wait_for_probe(endpoint)
 
 
-def test_an_endpoint_that_breaks_answers_off_and_lives_says_nothing_against_a_request():
-    async def breaks(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+def test_an_aborted_answer_without_a_crash_does_not_count_against_a_request():
+    async def aborts(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
     async def test() -> None:
-        async with gateway_of(3, breaks) as gateway:
+        async with gateway_of(3, aborts) as gateway:
             for _ in range(6):
                 answer = await gateway.ask("/safe/x", body=POISON)
                 assert answer.status == 502
@@ -63,28 +63,28 @@
     play(test)
 
 
-def test_a_request_is_sent_to_no_fourth_endpoint_and_its_caller_is_told_that_it_has_not_run():
+def test_a_request_that_crashed_three_endpoints_is_rejected_unrun():
     async def test() -> None:
         world: list[relay_test.Gateway] = []
-        async with gateway_of(6, ending(world)) as gateway:
+        async with gateway_of(6, crashing(world)) as gateway:
             world.append(gateway)
             first = await gateway.ask("/chat/x", body=POISON)
             assert first.status == 502 and gateway.sends() == 3
             second = await gateway.ask("/chat/x", body=POISON)
             assert second.status == 503 and float(second.headers["retry-after"]) > 50
             assert gateway.sends() == 3
-            other = await gateway.ask("/chat/x", body=b"other words")
+            other = await gateway.ask("/chat/x", body=b"other body")
             assert other.status == 200
 
     play(test)
 
 
-def test_the_last_allowed_repeat_is_not_made_once_the_third_endpoint_ended():
-    """Two tries of two sends each: the fourth send would begin before the third end is known."""
+def test_a_retry_is_not_sent_after_the_third_crash():
+    """Two requests of two sends each: the fourth could precede the third confirmed crash."""
 
     async def test() -> None:
         world: list[relay_test.Gateway] = []
-        async with gateway_of(6, ending(world)) as gateway:
+        async with gateway_of(6, crashing(world)) as gateway:
             world.append(gateway)
             await gateway.ask("/safe/x", body=POISON)
             await wait_for_probes(gateway)
@@ -94,10 +94,10 @@
     play(test)
 
 
-def test_what_may_run_once_is_held_back_as_well():
+def test_requests_that_are_not_repeatable_are_quarantined_too():
     async def test() -> None:
         world: list[relay_test.Gateway] = []
-        async with gateway_of(6, ending(world)) as gateway:
+        async with gateway_of(6, crashing(world)) as gateway:
             world.append(gateway)
             for _ in range(5):
                 await gateway.ask("/unsafe/x", body=POISON)
@@ -107,49 +107,49 @@
     play(test)
 
 
-def test_an_answer_clears_a_request():
+def test_an_answer_resets_the_points_of_a_request():
     async def test() -> None:
         world: list[relay_test.Gateway] = []
-        async with gateway_of(4, ending(world)) as gateway:
+        async with gateway_of(4, crashing(world)) as gateway:
             world.append(gateway)
             await gateway.ask("/safe/x", body=POISON)
             await wait_for_probes(gateway)
             assert [one.points() for one in suspects(gateway)] == [2 * EARLY]
             for endpoint in gateway.endpoints:
-                endpoint.answering = sound
+                endpoint.answering = answers
             assert (await gateway.ask("/safe/x", body=POISON)).status == 200
             assert [one.points() for one in suspects(gateway)] == [0]
 
     play(test)
 
 
-async def sound(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def answers(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(scripted.answer(request))
 
 
-def test_requests_of_the_same_words_and_another_caller_are_served():
+def test_requests_of_another_caller_with_the_same_body_are_served():
     async def test() -> None:
         world: list[relay_test.Gateway] = []
-        async with gateway_of(6, ending(world)) as gateway:
+        async with gateway_of(6, crashing(world)) as gateway:
             world.append(gateway)
             await gateway.ask("/chat/x", body=POISON)
             await wait_for_probes(gateway)
             for endpoint in gateway.endpoints:
-                endpoint.answering = sound
+                endpoint.answering = answers
             assert (await gateway.ask("/chat/x", body=POISON, key="little")).status == 200
             assert (await gateway.ask("/chat/x", body=POISON)).status == 503
 
     play(test)
 
 
-def test_an_endpoint_that_is_back_before_it_is_asked_has_ended_by_what_it_says_of_its_start():
-    """A supervisor that holds the port for it takes connections all the time."""
+def test_a_restart_reported_after_the_probe_counts_as_a_crash():
+    """A supervisor that keeps the port open accepts connections during the restart."""
 
-    async def breaks(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def aborts(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
     async def test() -> None:
-        async with gateway_of(1, breaks) as gateway:
+        async with gateway_of(1, aborts) as gateway:
             state = gateway.state
             (endpoint,) = state.registry.ready("s")
             answer = await gateway.ask("/unsafe/x", body=POISON)
@@ -164,12 +164,12 @@
     play(test)
 
 
-def test_a_request_that_was_answered_just_now_is_not_held_back_for_the_ends_beside_it():
-    """Many callers ask the same; a poison request ends three endpoints that begin to run it."""
-    popular = b"words that many callers send"
+def test_an_answered_request_is_not_quarantined_for_crashes_of_a_concurrent_one():
+    """A poison request crashes three endpoints while they run a request of many callers."""
+    popular = b"body that many callers send"
     begun = asyncio.Event()
 
-    async def ends_both(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def crashes_both(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         if request.body == popular:
             begun.set()
             await asyncio.sleep(0.5)
@@ -179,12 +179,12 @@
     gateways: list[relay_test.Gateway] = []
 
     async def test() -> None:
-        async with gateway_of(1, sound) as gateway:
+        async with gateway_of(1, answers) as gateway:
             gateways.append(gateway)
             (endpoint,) = gateway.endpoints
             assert (await gateway.ask("/unsafe/x", body=popular)).status == 200
             for number in range(3):
-                endpoint.answering = ends_both
+                endpoint.answering = crashes_both
                 begun.clear()
                 beside = asyncio.create_task(gateway.ask("/unsafe/x", body=popular))
                 await begun.wait()
@@ -196,7 +196,7 @@
                     f"f{number}", "s", endpoint.address, "a", 8, traffic.EndpointState.READY
                 )
                 gateway.state.registry.replace([fresh], 2 + number, "store")
-            endpoint.answering = sound
+            endpoint.answering = answers
             assert (await gateway.ask("/unsafe/x", body=POISON)).status == 503
             assert (await gateway.ask("/unsafe/x", body=popular)).status == 200
 
--- a/plumarch/gateway/dispatch/platform_retries_test.py
+++ b/plumarch/gateway/dispatch/platform_retries_test.py
@@ -1,4 +1,4 @@
-"""A holder of the duties whose platform refuses calls: few of them, and none twice in effect."""
+"""Duty holder whose platform rejects calls: it retries rarely, and each window is reported once."""
 
 import contextlib
 from collections.abc import Mapping
@@ -16,13 +16,13 @@
 
 
 class Store:
-    """The duties' record; writes may be refused, or left unanswered and carried out later."""
+    """Stores the duties' record; writes may be rejected, or applied late without an answer."""
 
     def __init__(self) -> None:
         self.record: records.Record | None = None
         self.down = False
         self.late = False
-        self.left: list[records.Record] = []
+        self.pending_writes: list[records.Record] = []
         self.tries = 0
         self.written = 0
 
@@ -34,7 +34,7 @@
         if self.down:
             raise errors.PlatformUnavailable("429")
         if self.late:
-            self.left.append(record)
+            self.pending_writes.append(record)
             raise errors.PlatformAnswerLost("silence")
         return self.apply(record)
 
@@ -47,7 +47,7 @@
 
 
 class Cloud:
-    """Keeps which windows were reported, and how often."""
+    """Records the reported windows."""
 
     def __init__(self) -> None:
         self.windows: list[int] = []
@@ -64,7 +64,7 @@
 
 
 class Holder:
-    """A node that is alone and holds the duties."""
+    """A single node that holds the duties."""
 
     def __init__(self) -> None:
         self.time = clock.ManualClock(START_MS)
@@ -86,10 +86,10 @@
             step = self.duties.step()
             with contextlib.suppress(StopIteration):
                 step.send(None)
-                raise AssertionError("the step waits for something")
+                raise AssertionError("the step did not finish at once")
 
 
-def test_a_store_that_refuses_writes_gets_few_and_the_window_is_reported_once_it_is_back():
+def test_a_store_that_rejects_writes_gets_few_retries_and_windows_are_reported_once():
     holder = Holder()
     before = holder.store.tries
     holder.store.down = True
@@ -102,7 +102,7 @@
     assert len(set(holder.cloud.windows)) == len(holder.cloud.windows)
 
 
-def test_a_cloud_that_refuses_reports_gets_few_of_them():
+def test_a_cloud_that_rejects_reports_gets_few_retries():
     holder = Holder()
     holder.cloud.down = True
     before = holder.cloud.tries
@@ -111,16 +111,16 @@
     assert holder.duties.status.token == 1
 
 
-def test_writes_carried_out_late_fix_one_set_of_counts_and_cost_no_duty():
+def test_only_one_of_the_writes_applied_late_succeeds_and_the_duties_are_kept():
     holder = Holder()
     holder.store.late = True
-    while not holder.store.left:
+    while not holder.store.pending_writes:
         holder.run(duty_holder.TICK_MS)
     holder.run(2_000)
-    left, holder.store.late = holder.store.left, False
-    assert len(left) > 1
+    pending_writes, holder.store.late = holder.store.pending_writes, False
+    assert len(pending_writes) > 1
     done = 0
-    for record in left:
+    for record in pending_writes:
         with contextlib.suppress(errors.PlatformConflict):
             holder.store.apply(record)
             done += 1
--- a/plumarch/gateway/dispatch/region_attempts_test.py
+++ b/plumarch/gateway/dispatch/region_attempts_test.py
@@ -1,4 +1,4 @@
-"""Requests that leave their region: what is sent, logged, counted, waited for and refused."""
+"""Requests sent to another region: choice, log lines, metrics, timeouts and rejections."""
 
 import asyncio
 import dataclasses
@@ -26,7 +26,7 @@
 
 REGIONS = {"a": "north", "b": "north", "c": "south"}
 LATE_MS = 10_000
-FAR_MS = 60.0
+NETWORK_MS = 60.0
 
 ROUTE = traffic.Route(
     "r",
@@ -41,7 +41,7 @@
 
 
 class RecordedReply:
-    """Takes the answer that a caller would get."""
+    """Records the answer sent to a caller."""
 
     def __init__(self) -> None:
         self.started = False
@@ -111,7 +111,7 @@
     writer.write(scripted.answer(request))
 
 
-async def breaks(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def aborts(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
@@ -131,34 +131,34 @@
 def test_a_send_to_another_region_is_logged_with_the_reason_and_counted():
     async def test() -> None:
         steady = clock.MonotonicClock()
-        far = await scripted.ScriptedEndpoint(answers).start()
-        state = state_with(steady, endpoint("e1", "c", far.address))
+        remote = await scripted.ScriptedEndpoint(answers).start()
+        state = state_with(steady, endpoint("e1", "c", remote.address))
         outcome, _ = await serve(state, admitted(steady))
         assert outcome.status == 200
         [sent] = lines(state, "sent")
         assert sent["locality"] == "other_region"
         assert sent["leaves_region"] == "no_room_near"
-        assert sent["round_trip_ms"] == FAR_MS
+        assert sent["round_trip_ms"] == NETWORK_MS
         assert state.measures.sends.counts == {("s", "other_region"): 1.0}
         assert b"plumarch_gateway_sends_total" in state.measures.text()
-        told = int(far.received[0].headers["x-deadline-ms"])
-        assert told <= LATE_MS - FAR_MS
-        await far.stop()
+        deadline_ms = int(remote.received[0].headers["x-deadline-ms"])
+        assert deadline_ms <= LATE_MS - NETWORK_MS
+        await remote.stop()
 
     play(test)
 
 
-def test_a_repeat_goes_to_the_sister_data_centre_first_and_then_to_another_region():
+def test_retries_go_to_the_own_region_first_and_then_to_another():
     async def test() -> None:
         steady = clock.MonotonicClock()
-        started = [
-            await scripted.ScriptedEndpoint(one).start() for one in (breaks, breaks, answers)
+        servers = [
+            await scripted.ScriptedEndpoint(one).start() for one in (aborts, aborts, answers)
         ]
         state = state_with(
             steady,
             *(
                 endpoint(f"e{number}", "abc"[number], one.address)
-                for number, one in enumerate(started)
+                for number, one in enumerate(servers)
             ),
         )
         outcome, _ = await serve(state, admitted(steady))
@@ -171,42 +171,42 @@
             "same_region",
             "other_region",
         ]
-        for one in started:
+        for one in servers:
             await one.stop()
 
     play(test)
 
 
-def test_what_cannot_be_in_time_anywhere_is_refused_at_once_and_told_when_there_will_be_room():
+def test_a_request_that_no_endpoint_can_answer_in_time_is_rejected_with_a_retry_after():
     async def test() -> None:
         steady = clock.MonotonicClock()
-        far = await scripted.ScriptedEndpoint(answers).start()
-        state = state_with(steady, endpoint("e1", "c", far.address))
+        remote = await scripted.ScriptedEndpoint(answers).start()
+        state = state_with(steady, endpoint("e1", "c", remote.address))
         scaling = traffic.Scaling(0, 4, 3_000.0, 0.2, {"a": 1.0})
         state.adopt_table(table(traffic.Service("s", scaling=scaling)), "store")
         outcome, reply = await serve(state, admitted(steady, time_left_ms=100.0))
         assert outcome == request_run.Outcome(503, "no_endpoint")
-        assert far.received == []
+        assert remote.received == []
         assert float(reply.headers[b"retry-after"]) >= scaling.boot_ms / 1_000.0
-        [told] = lines(state, "no_endpoint")
-        assert told["too_far"] == 1
-        await far.stop()
+        [line] = lines(state, "no_endpoint")
+        assert line["too_far"] == 1
+        await remote.stop()
 
     play(test)
 
 
-def test_a_refusal_tells_when_a_place_in_the_region_is_free():
+def test_the_retry_delay_is_the_time_until_capacity_in_the_region_is_free():
     steady = clock.ManualClock()
     state = state_with(steady, endpoint("e0", "a"), endpoint("e1", "c"))
     state.chooser.speed("s").run_ms.value = 900.0
     state.chooser.report_loads("x", {"e0": endpoint_choice.Load(12)})
-    hurried = admitted(steady, time_left_ms=100.0)
-    assert attempts.choose(state, hurried, attempts.Progress()) is None
-    assert attempts.retry_delay_ms(state, hurried) == 900.0 * 9 / 4
+    urgent = admitted(steady, time_left_ms=100.0)
+    assert attempts.choose(state, urgent, attempts.Progress()) is None
+    assert attempts.retry_delay_ms(state, urgent) == 900.0 * 9 / 4
 
 
 @pytest.mark.parametrize("tried", [set(), {"e2"}])
-def test_a_worse_endpoint_of_the_region_is_taken_where_better_ones_are_too_far(tried: set[str]):
+def test_an_unhealthy_local_endpoint_is_chosen_if_remote_ones_are_too_distant(tried: set[str]):
     steady = clock.ManualClock()
     state = state_with(steady, endpoint("e0", "a"), endpoint("e1", "c"))
     for _ in range(3):
@@ -220,12 +220,10 @@
 
 
 @pytest.mark.parametrize(("slow", "expected"), [("e0 e1", "e0 e1"), ("e0", "e1")])
-def test_endpoints_are_slow_against_those_of_their_region_not_against_idle_ones_elsewhere(
-    slow: str, expected: str
-):
+def test_slow_outliers_are_found_within_their_region(slow: str, expected: str):
     steady = clock.ManualClock()
-    away = [endpoint(f"far{number}", "c") for number in range(8)]
-    state = state_with(steady, endpoint("e0", "a"), endpoint("e1", "a"), *away)
+    remote = [endpoint(f"far{number}", "c") for number in range(8)]
+    state = state_with(steady, endpoint("e0", "a"), endpoint("e1", "a"), *remote)
     for name in slow.split():
         state.health.latencies.known[name] = relative_latency.EndpointLatency(mean=4.0)
     chosen = {
@@ -236,7 +234,7 @@
     assert chosen == set(expected.split())
 
 
-def test_an_only_endpoint_of_the_region_is_slow_against_those_elsewhere():
+def test_a_single_local_endpoint_is_compared_with_remote_ones():
     steady = clock.ManualClock()
     state = state_with(steady, endpoint("e0", "a"), endpoint("e1", "c"), endpoint("e2", "c"))
     state.health.latencies.known["e0"] = relative_latency.EndpointLatency(mean=4.0)
@@ -245,19 +243,19 @@
     assert choice.endpoint.id != "e0"
 
 
-def test_the_way_counts_in_whether_a_first_token_can_be_in_time():
+def test_network_latency_counts_in_the_expected_time_to_the_first_token():
     steady = clock.ManualClock()
     state = state_with(steady, endpoint("e1", "c"))
     run = new_run(state, admitted(steady, prompt_tokens=100), RecordedReply())
-    near = endpoint_choice.Choice(
+    local = endpoint_choice.Choice(
         endpoint("e0", "a"), 0.0, 100.0, 1, waiting_tokens=8_000.0, capacity_wait_ms=0.0
     )
-    assert not run._is_expected_late(near)
-    assert run._is_expected_late(dataclasses.replace(near, network_ms=2 * FAR_MS))
+    assert not run._is_expected_late(local)
+    assert run._is_expected_late(dataclasses.replace(local, network_ms=2 * NETWORK_MS))
 
 
-@pytest.mark.parametrize(("data_centre", "added_ms"), [("a", 0.0), ("b", 0.0), ("c", FAR_MS)])
-def test_time_limits_grow_by_the_way_to_another_region_only(data_centre: str, added_ms: float):
+@pytest.mark.parametrize(("data_centre", "added_ms"), [("a", 0.0), ("b", 0.0), ("c", NETWORK_MS)])
+def test_timeouts_grow_by_the_round_trip_to_another_region_only(data_centre: str, added_ms: float):
     steady = clock.ManualClock()
     there = endpoint("e1", data_centre)
     state = state_with(steady, there)
@@ -271,14 +269,14 @@
     assert run._answer_timeout_ms(attempt) == timeout_ms + added_ms
 
 
-def test_the_way_is_no_work_of_the_endpoint():
+def test_network_latency_is_not_counted_as_the_endpoints_time():
     steady = clock.ManualClock()
     there = endpoint("e1", "c")
     state = state_with(steady, there)
     run = new_run(state, admitted(steady), RecordedReply())
     choice = endpoint_choice.Choice(there, 0.0, 0.0, 1)
     sent_request = endpoint_outcomes.record_send(state, run.admitted, choice)
-    attempt = attempts.Attempt(choice, None, sent_request, round_trip_ms=FAR_MS)  # type: ignore[arg-type]
+    attempt = attempts.Attempt(choice, None, sent_request, round_trip_ms=NETWORK_MS)  # type: ignore[arg-type]
     steady.advance_to(150)
     stream_relay.note_first_token(state, run.admitted, attempt, began_before=False)
     version_outcomes.note(state, run.admitted, attempt, failed=False)
@@ -295,7 +293,7 @@
     assert [one["data_centre"] for one in lines(state, "region_unknown")] == ["x"]
 
 
-def test_the_metrics_page_shows_the_way_to_each_data_centre_that_was_connected_to():
+def test_the_metrics_page_shows_the_round_trip_to_connected_data_centres():
     state = state_with(clock.ManualClock())
     for _ in range(distance.MIN_CONNECTS):
         state.distances.connected("c", 42.0)
@@ -305,7 +303,7 @@
     assert state.measures.state["round_trip_ms:c"] == 42.0
 
 
-def test_the_shared_distances_are_those_that_choices_go_by():
+def test_the_chooser_uses_the_shared_distances():
     state = gateway_parts.new_state(clock.ManualClock())
     assert isinstance(state.distances, distance.Distances)
     assert state.chooser.distances is state.distances
--- a/plumarch/gateway/dispatch/resumption_test.py
+++ b/plumarch/gateway/dispatch/resumption_test.py
@@ -1,4 +1,4 @@
-"""Streams under random breaks: whole events, in order, once, and complete only if they are."""
+"""Streams under random failures: events in order, once, and complete only if all arrived."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from plumarch.standins import scripted_endpoint as scripted
 
 EVENTS = 6
-"""Events of the whole stream."""
+"""Number of events in a complete stream."""
 
 HALF_EVENT = scripted.event(99)[:9]
 
@@ -17,11 +17,11 @@
 
 
 def breaking(kind: str, after: int) -> scripted.Answering:
-    """Return an endpoint that sends some events from where it is asked to, then breaks off.
+    """Return an endpoint that sends events from the requested one on, then fails.
 
     Args:
-      kind: one of BREAKS, or "whole" for one that sends all.
-      after: events sent before the break.
+      kind: one of BREAKS, or "whole" for a complete stream.
+      after: number of events sent before the failure.
     """
 
     async def answering(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
--- a/plumarch/gateway/dispatch/slow_streams_test.py
+++ b/plumarch/gateway/dispatch/slow_streams_test.py
@@ -1,4 +1,4 @@
-"""Streams whose callers read slowly: let go and resumed, paused, or ended; others go on."""
+"""Streams whose callers read slowly: abandoned and resumed, paused, or aborted."""
 
 import asyncio
 import gc
@@ -13,10 +13,10 @@
 from plumarch.standins import scripted_endpoint as scripted
 
 CHAT_ATTEMPTS = 3
-"""The most endpoints to which one request of the route may be sent."""
+"""Send limit of a request of the chat route."""
 
 
-def test_a_resumable_stream_is_let_go_and_goes_on_in_the_same_answer_when_its_caller_reads():
+def test_a_resumable_stream_is_abandoned_and_resumed_in_the_same_answer():
     async def test() -> None:
         flood = slow_callers_test.Flood()
         async with relay_test.Gateway(flood.answer) as gateway:
@@ -48,7 +48,7 @@
     return [one for endpoint in gateway.endpoints for one in endpoint.received]
 
 
-def test_a_stream_let_go_that_no_endpoint_takes_up_breaks_visibly(
+def test_an_abandoned_stream_without_an_endpoint_is_aborted(
     monkeypatch: pytest.MonkeyPatch,
 ):
     monkeypatch.setattr(request_run, "RESUME_WAIT_MS", 20.0)
@@ -72,7 +72,7 @@
     relay_test.play(test)
 
 
-def test_a_stream_let_go_waits_for_a_place_when_its_caller_reads_again(
+def test_an_abandoned_stream_waits_for_capacity_when_its_caller_reads_again(
     monkeypatch: pytest.MonkeyPatch,
 ):
     monkeypatch.setattr(request_run, "RESUME_WAIT_MS", 20_000.0)
@@ -99,7 +99,7 @@
     relay_test.play(test)
 
 
-def test_a_stream_that_may_not_be_resumed_waits_for_a_slow_caller():
+def test_a_stream_that_is_not_resumable_waits_for_a_slow_caller():
     async def test() -> None:
         flood = slow_callers_test.Flood()
         async with relay_test.Gateway(flood.answer) as gateway:
@@ -119,7 +119,7 @@
     return any(one.held_back for one in gc.get_objects() if isinstance(one, exchange.Exchange))
 
 
-def test_a_stream_that_may_not_be_resumed_is_ended_if_its_caller_does_not_read(
+def test_a_stream_that_is_not_resumable_is_aborted_if_its_caller_does_not_read(
     monkeypatch: pytest.MonkeyPatch,
 ):
     monkeypatch.setattr(stream_relay, "PAUSE_LIMIT_MS", 30.0)
@@ -139,17 +139,17 @@
     relay_test.play(test)
 
 
-def test_a_caller_that_reads_nothing_delays_no_event_of_another_one():
+def test_a_caller_that_does_not_read_delays_no_other_caller():
     async def test() -> None:
-        asked = asyncio.Event()
+        requested = asyncio.Event()
 
         async def one_by_one(
             request: scripted.ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             writer.write(scripted.stream_head(request))
             for number in range(1, slow_callers_test.EVENTS + 1):
-                await asked.wait()
-                asked.clear()
+                await requested.wait()
+                requested.clear()
                 writer.write(scripted.chunk(slow_callers_test.padded(number)))
                 await writer.drain()
             writer.write(scripted.chunk(b""))
@@ -160,15 +160,15 @@
             await (one_by_one if "/diff/" in request.line else flood.answer)(request, writer)
 
         async with relay_test.Gateway(either) as gateway:
-            # Also when slow callers have taken up all the room for answers.
+            # Slow callers use up the memory for answers first.
             gateway.state.memory.budget = slow_callers_test.LITTLE_BUDGET
             slow = [await slow_callers_test.slow_caller(gateway, "/chat/") for _ in range(4)]
             await flood.wait_over(4)
             reader, writer = await gateway.connect()
             writer.write(relay_test.request_bytes("/diff/"))
-            # Each event is asked for only when the one before has come whole.
+            # Each event is sent only after the previous one arrived.
             for number in range(1, slow_callers_test.EVENTS + 1):
-                asked.set()
+                requested.set()
                 await reader.readuntil(slow_callers_test.padded(number))
             writer.close()
             for one in slow:
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize("path", ["/chat/", "/diff/"])
-def test_a_caller_that_closes_its_side_stops_its_run_also_with_bytes_unread(path: str):
+def test_a_caller_that_closes_its_side_stops_its_run_despite_unread_bytes(path: str):
     async def test() -> None:
         flood = slow_callers_test.Flood()
         async with relay_test.Gateway(flood.answer) as gateway:
