--- a/plumarch/gateway/dispatch/announced_rate_test.py
+++ b/plumarch/gateway/dispatch/announced_rate_test.py
@@ -111,14 +111,14 @@
     async def ask(self, node: str) -> int:
         """Send a request to a node and return the status of its answer."""
         self.node = node
-        asked = asyncio.create_task(self._ask(self.ports[node]))
+        request = asyncio.create_task(self._ask(self.ports[node]))
         passed = 0
-        while not asked.done():
+        while not request.done():
             await asyncio.sleep(0.001)
             if passed < ROUND_TRIP_MS:
                 passed += 1
                 self.gossip.run(1)
-        return await asked
+        return await request
 
     async def _ask(self, port: int) -> int:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -235,10 +235,10 @@
         async with relay_test.Gateway(relay_test.answers(headers=headers), unlimited) as gateway:
             answered = asyncio.Event()
             with gateway.holding_connects(answered):
-                asked = [asyncio.create_task(gateway.ask("/safe/x")) for _ in range(6)]
-                await asyncio.wait(asked, return_when=asyncio.FIRST_COMPLETED)
+                requests = [asyncio.create_task(gateway.ask("/safe/x")) for _ in range(6)]
+                await asyncio.wait(requests, return_when=asyncio.FIRST_COMPLETED)
                 answered.set()
-                assert [(await one).status for one in asked] == [200] * 6
+                assert [(await one).status for one in requests] == [200] * 6
             assert [len(one.received) for one in gateway.endpoints] == [1, 5]
 
     play(test)
--- a/plumarch/gateway/dispatch/interrupted_runs_test.py
+++ b/plumarch/gateway/dispatch/interrupted_runs_test.py
@@ -10,7 +10,7 @@
 from plumarch.membership import registry
 from plumarch.standins import scripted_endpoint as scripted
 
-POISON = b"body that crashes the endpoints that read it"
+POISON = b"words that end whatever reads them"
 EARLY = quarantine.EARLY_POINTS
 
 
@@ -43,9 +43,9 @@
 
 async def wait_for_probes(gateway: relay_test.Gateway) -> None:
     """Wait until all pending probes are done."""
-    lost = gateway.callers.handler.interrupted_runs
-    for endpoint in list(lost.probes):
-        await lost.wait_for_probe(endpoint)
+    runs = gateway.callers.handler.interrupted_runs
+    for endpoint in list(runs.probes):
+        await runs.wait_for_probe(endpoint)
 
 
 def test_an_aborted_answer_without_a_crash_does_not_count_against_a_request():
@@ -73,7 +73,7 @@
             second = await gateway.ask("/chat/x", body=POISON)
             assert second.status == 503 and float(second.headers["retry-after"]) > 50
             assert gateway.sends() == 3
-            other = await gateway.ask("/chat/x", body=b"other body")
+            other = await gateway.ask("/chat/x", body=b"other words")
             assert other.status == 200
 
     play(test)
@@ -166,7 +166,7 @@
 
 def test_an_answered_request_is_not_quarantined_for_crashes_of_a_concurrent_one():
     """A poison request crashes three endpoints while they run a request of many callers."""
-    popular = b"body that many callers send"
+    popular = b"words that many callers send"
     begun = asyncio.Event()
 
     async def crashes_both(request: scripted.ReceivedRequest, writer: asyncio.StreamWriter) -> None:
--- a/plumarch/gateway/dispatch/request_run.py
+++ b/plumarch/gateway/dispatch/request_run.py
@@ -164,8 +164,10 @@
             return True
         if state.claim_trial is not None and await state.claim_trial(fingerprint):
             return True
-        hold = state.quarantine.find_quarantined(fingerprint)
-        self.back_in_ms = max(TRIAL_RETRY_MS, float(hold.back_in_ms if hold is not None else 0))
+        quarantined = state.quarantine.find_quarantined(fingerprint)
+        self.back_in_ms = max(
+            TRIAL_RETRY_MS, float(quarantined.back_in_ms if quarantined is not None else 0)
+        )
         return False
 
     async def _received_permit(self) -> bool:
