--- a/plumarch/gateway/callers/slow_callers_test.py
+++ b/plumarch/gateway/callers/slow_callers_test.py
@@ -10,7 +10,7 @@
 
 from plumarch.gateway import relay_test
 from plumarch.gateway.connections import exchange, keepalive, outgoing
-from plumarch.gateway.dispatch import attempts, whole_answers
+from plumarch.gateway.dispatch import attempts, buffered_answers
 from plumarch.limits import memory_account
 from plumarch.standins import scripted_endpoint as scripted
 
@@ -249,7 +249,7 @@
 
 
 def test_a_plain_answer_waits_until_other_callers_free_memory(monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(whole_answers, "ROOM_WAIT_MS", 20_000.0)
+    monkeypatch.setattr(buffered_answers, "ROOM_WAIT_MS", 20_000.0)
 
     async def test() -> None:
         flood = Flood(whole_bytes=300_000)
@@ -268,7 +268,7 @@
 def test_a_plain_answer_without_memory_fails_without_retry_after(
     monkeypatch: pytest.MonkeyPatch,
 ):
-    monkeypatch.setattr(whole_answers, "ROOM_WAIT_MS", 20.0)
+    monkeypatch.setattr(buffered_answers, "ROOM_WAIT_MS", 20.0)
 
     async def test() -> None:
         flood = Flood(whole_bytes=300_000)
--- a/plumarch/gateway/dispatch/attempts.py
+++ b/plumarch/gateway/dispatch/attempts.py
@@ -1,4 +1,4 @@
-"""One send of a request to one endpoint, and what is known of it afterwards."""
+"""Choosing an endpoint for a request and sending the request there."""
 
 import dataclasses
 import math
@@ -13,31 +13,28 @@
 from plumarch.routing import endpoint_choice, locality_choice, return_times
 
 CONNECT_TIMEOUT_MS = 250.0
-"""Within which a connection comes up inside a region."""
+"""Connect timeout within a region."""
 
 CONNECT_ROUND_TRIPS = 2.0
-"""Round trips that are allowed besides to another region: one for the way, one for what varies on
-it."""
+"""Round trips added to the timeout in another region: one for the latency, one for its variance."""
 
-ENOUGH_TARGETS = 0.5
-"""An answer expected within this part of its target is soon enough to stay in the region: twice the
-expected time is still in target."""
+LOCAL_TARGET_FRACTION = 0.5
+"""Fraction of the target within which an expected answer keeps a request in its region."""
 
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """What happened to a request so far.
+    """State of a request over its attempts.
 
     Attributes:
-      tried: endpoints that it was sent to or that could not be reached.
-      sends: how many endpoints bytes were sent to.
-      unresolved: sends of which it is not known that the request did not run.
-      last_event_id: of the last event that the caller got, in this answer or by its own word.
-      first_ms: when the first byte of the answer was ready, from the request's arrival; or None.
-      events: passed on to the caller.
-      without_permit: the endpoint that was preferred last but has an announced rate, if no other
-        one had room.
-      permit_waits: how often permits were waited for.
+      tried: endpoints that it was sent to or that could not be connected to.
+      sends: number of endpoints that bytes were sent to.
+      unresolved: sends after which the request may have run.
+      last_event_id: of the last event that the caller received, here or by its own header.
+      first_ms: time from the request's arrival to the first byte of the answer, or None.
+      events: number of events relayed to the caller.
+      without_permit: the preferred endpoint, if only a permit for it is missing.
+      permit_waits: number of waits for permits.
     """
 
     tried: set[str] = dataclasses.field(default_factory=set)
@@ -56,14 +53,14 @@
     """A connection to an endpoint on which a request was sent.
 
     Attributes:
-      given: what its endpoint was given.
-      first_ms: how long after the send its first event came, or None before that.
-      round_trip_ms: the way there and back, if it leads to another region.
+      sent_request: the record of the send.
+      first_ms: time from the send to the first event, or None before that.
+      round_trip_ms: round trip added by another region.
     """
 
     choice: endpoint_choice.Choice
     exchange: exchange.Exchange
-    given: endpoint_outcomes.Given
+    sent_request: endpoint_outcomes.SentRequest
     sent_ms: int = 0
     saw_first_token: bool = False
     first_ms: int | None = None
@@ -71,10 +68,10 @@
 
 
 class NotRun(errors.ExchangeError):
-    """An endpoint did not run the request: it said so, or got no byte of it.
+    """An endpoint did not run the request: it rejected it, or received no byte of it.
 
     Attributes:
-      status: what it said, or None if it got nothing.
+      status: of its answer, or None if it received nothing.
     """
 
     def __init__(self, why: str, status: int | None = None) -> None:
@@ -85,18 +82,18 @@
 def choose(
     state: fleet_state.FleetState, admitted: admission.Admitted, progress: Progress
 ) -> endpoint_choice.Choice | None:
-    """Choose an endpoint that was not tried yet, or None if there is none with room."""
+    """Choose an endpoint with free capacity that was not tried yet, or None."""
     ready = [one for one in state.registry.ready(admitted.service) if one.id not in progress.tried]
-    awake = state.backoff.without(ready)
+    accepting = state.backoff.without(ready)
     repeated = bool(progress.tried)
     terms = _terms(state, admitted, repeated)
     progress.without_permit = None
     choice = None
     candidates: list[traffic.Endpoint] = []
-    for group in state.splits.groups(admitted.service, awake, admitted.id, repeated):
-        with_room = _with_room(state, admitted, group) if choice is None else []
-        if with_room:
-            candidates = with_room
+    for group in state.splits.groups(admitted.service, accepting, admitted.id, repeated):
+        available = _with_capacity(state, admitted, group) if choice is None else []
+        if available:
+            candidates = available
             choice = _choose_permitted(state, admitted, progress, candidates, terms)
     if choice is None:
         state.log.write(
@@ -104,12 +101,12 @@
             request=admitted.id,
             service=admitted.service,
             ready=len(ready),
-            resting=len(ready) - len(awake),
+            resting=len(ready) - len(accepting),
             too_far=len(candidates),
             rate_limited=len(state.permits.lasting(candidates)),
             split=state.splits.of(admitted.service),
             tried=len(progress.tried),
-            after_fall_ms=round(endpoint_outcomes.wait_after_fall_ms(state, admitted, ready)),
+            after_fall_ms=round(endpoint_outcomes.wait_after_crash_ms(state, admitted, ready)),
             registry_revision=state.registry.revision,
             registry_age_ms=state.registry.age_ms(),
             registry_source=state.registry.source,
@@ -124,33 +121,32 @@
     candidates: list[traffic.Endpoint],
     terms: locality_choice.Terms,
 ) -> endpoint_choice.Choice | None:
-    """Choose among endpoints with room, leaving out those that a permit is missing for."""
-    choice = _choose_among(state, admitted, candidates, terms)
-    # An announced rate holds for all nodes together, so no node can tell by its own sends whether
-    # the endpoint takes one more.
+    """Choose among endpoints with free capacity, without those that a permit is missing for."""
+    choice = _choose_preferred(state, admitted, candidates, terms)
+    # An announced rate is shared by all nodes, so this node's own sends don't show what is left.
     if choice is None or announced_rates.may_send(state, choice.endpoint):
         return choice
     state.measures.permits.add(admitted.service, "missing")
     permitted = [one for one in candidates if state.permits.may_send(one)]
     if not permitted and progress.without_permit is None:
         progress.without_permit = choice.endpoint
-    return _choose_among(state, admitted, permitted, terms)
+    return _choose_preferred(state, admitted, permitted, terms)
 
 
 def _terms(
     state: fleet_state.FleetState, admitted: admission.Admitted, repeated: bool
 ) -> locality_choice.Terms:
-    """Return what a request asks of its endpoint, by its route's target and its deadline."""
+    """Return the time limits of a request, by its route's target and its deadline."""
     target_ms = admitted.route.target_ms
     return locality_choice.Terms(
         time_left_ms=admitted.ends_ms - state.clock.now(),
-        enough_ms=ENOUGH_TARGETS * target_ms,
+        enough_ms=LOCAL_TARGET_FRACTION * target_ms,
         late_ms=target_ms if target_ms > 0 else math.inf,
         repeated=repeated,
     )
 
 
-def _choose_among(
+def _choose_preferred(
     state: fleet_state.FleetState,
     admitted: admission.Admitted,
     candidates: list[traffic.Endpoint],
@@ -161,7 +157,7 @@
     preferred = endpoint_outcomes.preferred(state, candidates, terms.repeated)
     choice = _choose_by_load(state, admitted, preferred, terms)
     if choice is None and len(preferred) < len(candidates):
-        # The better ones are too far: one that is worse may still answer in time.
+        # The healthier ones are too distant; a less healthy one may answer in time.
         choice = _choose_by_load(state, admitted, candidates, terms)
     return choice
 
@@ -180,25 +176,24 @@
     return state.chooser.choose_plain(candidates, seed, terms)
 
 
-def _with_room(
+def _with_capacity(
     state: fleet_state.FleetState, admitted: admission.Admitted, ready: list[traffic.Endpoint]
 ) -> list[traffic.Endpoint]:
-    """Return the endpoints that can be reached, answer well, and have room."""
+    """Return the reachable, healthy endpoints with free capacity."""
     reachable = [one for one in ready if not state.reach.is_excluded(one.data_centre)]
     usable = state.health.usable(reachable or ready)
-    if endpoint_outcomes.wait_after_fall_ms(state, admitted, usable):
+    if endpoint_outcomes.wait_after_crash_ms(state, admitted, usable):
         return []
     demand = endpoint_outcomes.demand_of(admitted)
     return state.limits.with_capacity(admitted.service, usable, state.chooser.running, demand)
 
 
-def when_room(state: fleet_state.FleetState, admitted: admission.Admitted) -> float:
-    """Return when a request that no endpoint had room for had better come back, in ms.
+def retry_delay_ms(state: fleet_state.FleetState, admitted: admission.Admitted) -> float:
+    """Return the delay in ms after which a caller without an endpoint should try again.
 
-    Where endpoints are ready, that is when one of their places is free, in the region if it has
-    any, or when the first of them has rested if all of them asked for that, or when a permit is due
-    if all of them announce a request rate; where none is ready, or
-    all are too far, when those have booted that are ordered in their place.
+    It is the first of these that applies: until the first backoff ends if all endpoints back off,
+    until a permit is due if all announce a rate, until capacity is free, in the region if it has
+    endpoints; and until new endpoints have booted if none is ready or all are too distant.
     """
     time_left_ms = admitted.ends_ms - state.clock.now()
     backoff_ms = backoff_left_ms(state, admitted)
@@ -208,8 +203,8 @@
     permit_ms = state.permits.wait_ms(all_ready)
     if permit_ms:
         return float(permit_ms)
-    near = [one for one in all_ready if state.distances.is_in_region(one.data_centre)]
-    ready = near or [
+    local = [one for one in all_ready if state.distances.is_in_region(one.data_centre)]
+    ready = local or [
         one for one in all_ready if state.distances.network_ms(one.data_centre) < time_left_ms
     ]
     if ready:
@@ -217,7 +212,7 @@
         slots = sum(max(1, one.slots) for one in ready)
         run_ms = state.chooser.speed(admitted.service).run_ms.value
         free_ms = return_times.when_slot_is_free(running, slots, run_ms)
-        return max(free_ms, endpoint_outcomes.wait_after_fall_ms(state, admitted, ready))
+        return max(free_ms, endpoint_outcomes.wait_after_crash_ms(state, admitted, ready))
     service = state.table.services.get(admitted.service) if state.table else None
     if service is not None and service.scaling is not None:
         return return_times.when_booted(service.scaling.boot_ms)
@@ -225,7 +220,7 @@
 
 
 def backoff_left_ms(state: fleet_state.FleetState, admitted: admission.Admitted) -> int:
-    """Return when the first endpoint of a service takes requests again; 0 if one does now."""
+    """Return the time in ms until the first endpoint's backoff ends; 0 if one has none."""
     return state.backoff.first_left_ms(state.registry.ready(admitted.service))
 
 
@@ -235,14 +230,13 @@
     progress: Progress,
     choice: endpoint_choice.Choice,
 ) -> Attempt:
-    """Send a request to an endpoint over a fresh connection.
+    """Send a request to an endpoint over a new connection.
 
-    It counts as the endpoint's load from now on: requests that come while this one connects
-    would all choose the same endpoint otherwise.
+    It counts as load before it connects, so that concurrent requests choose other endpoints.
 
     Raises:
       ConnectFailed: no byte was sent.
-      TimeoutError: nor was one, since the caller's time is over.
+      TimeoutError: the caller's deadline has passed, and no byte was sent.
     """
     check_time(state, admitted)
     state.chooser.begin(choice)
@@ -264,7 +258,7 @@
     has_permit = state.permits.use(endpoint)
     if has_permit:
         state.measures.permits.add(admitted.service, "used")
-        announced_rates.ask(state, endpoint, is_needed=False)
+        announced_rates.request_permits(state, endpoint, is_needed=False)
     state.reach.begin_probe(endpoint.data_centre)
     _log_choice(state, admitted, progress, choice)
     time_left = admitted.ends_ms - state.clock.now()
@@ -278,8 +272,8 @@
             state.permits.return_permit(endpoint)
         if not state.suspensions.since(began_ms):
             state.health.failure(endpoint.id)
-            endpoint_outcomes.unreached(state, endpoint)
-            _note_unreached(state, endpoint)
+            endpoint_outcomes.connect_failed(state, endpoint)
+            _record_connect_failure(state, endpoint)
         state.measures.attempts.add(admitted.service, "no_connection")
         raise
     state.reach.connected(endpoint.data_centre)
@@ -289,7 +283,7 @@
         state.health.latencies.connected(endpoint.id, connect_ms)
     try:
         check_time(state, admitted)
-        _check_still_wanted(state, endpoint, has_permit)
+        _check_accepts_requests(state, endpoint, has_permit)
     except (TimeoutError, errors.ConnectFailed):
         opened.close()
         raise
@@ -326,57 +320,57 @@
                 )
             )
     state.runs.begin(endpoint.id, opened)
-    given = endpoint_outcomes.given(state, admitted, choice)
+    sent_request = endpoint_outcomes.record_send(state, admitted, choice)
     beyond_ms = state.distances.beyond_region_ms(endpoint.data_centre)
-    return Attempt(choice, opened, given, state.clock.now(), round_trip_ms=beyond_ms)
+    return Attempt(choice, opened, sent_request, state.clock.now(), round_trip_ms=beyond_ms)
 
 
 def check_time(state: fleet_state.FleetState, admitted: admission.Admitted) -> None:
-    """Send nothing for a caller whose time is over, also where no timer has told so yet.
+    """Check a request's deadline, whose timer may run late.
 
     Raises:
-      TimeoutError: it is.
+      TimeoutError: it has passed.
     """
     if admitted.ends_ms - state.clock.now() < 1:
         raise TimeoutError
 
 
-def _check_still_wanted(
+def _check_accepts_requests(
     state: fleet_state.FleetState, endpoint: traffic.Endpoint, has_permit: bool
 ) -> None:
-    """Send nothing to an endpoint that said so to another request while the connection came up.
+    """Check that an endpoint still accepts requests once the connection is up.
 
     Args:
       has_permit: whether a permit was used for this send.
     Raises:
-      ConnectFailed: it leaves, rests, or announced a rate under which there is no permit.
+      ConnectFailed: it drains, backs off, or announced a rate that leaves no permit.
     """
-    told = state.registry.endpoints.get(endpoint.id)
-    if told is not None and told.state is traffic.EndpointState.DRAINING:
-        raise errors.ConnectFailed(f"{endpoint.id} leaves. Ask another one.")
+    listed = state.registry.endpoints.get(endpoint.id)
+    if listed is not None and listed.state is traffic.EndpointState.DRAINING:
+        raise errors.ConnectFailed(f"{endpoint.id} is draining; try another endpoint")
     if state.backoff.left_ms(endpoint):
-        raise errors.ConnectFailed(f"{endpoint.id} asked for rest. Ask another one.")
+        raise errors.ConnectFailed(f"{endpoint.id} backs off; try another endpoint")
     limited = not has_permit and state.permits.rate(endpoint) is not None
     if limited and not state.permits.use(endpoint):
-        raise errors.ConnectFailed(f"{endpoint.id} announced a rate limit. Ask another one.")
+        raise errors.ConnectFailed(f"{endpoint.id} announced a rate limit; try another endpoint")
 
 
 def was_suspended(state: fleet_state.FleetState, attempt: Attempt) -> bool:
     """Return whether this process was suspended since an attempt was sent.
 
-    Then how long it took, and that it failed, says nothing about the endpoint.
+    If so, its duration or failure doesn't count against the endpoint.
     """
     return state.suspensions.since(attempt.sent_ms)
 
 
 def connect_timeout_ms(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> float:
-    """Return how long a connection may take to come up; longer to another region."""
+    """Return the connect timeout in ms, which is longer to another region."""
     beyond_ms = state.distances.beyond_region_ms(endpoint.data_centre)
     return CONNECT_TIMEOUT_MS + CONNECT_ROUND_TRIPS * beyond_ms
 
 
-def _note_unreached(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> None:
-    """Note that an endpoint could not be connected to, and perhaps its whole data centre."""
+def _record_connect_failure(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> None:
+    """Record a failed connection, which may exclude the endpoint's data centre."""
     beyond_ms = CONNECT_ROUND_TRIPS * state.distances.beyond_region_ms(endpoint.data_centre)
     if state.reach.failed(endpoint.data_centre, endpoint.id, beyond_ms):
         reach = state.reach.known[endpoint.data_centre]
@@ -398,7 +392,7 @@
     request = admitted.request
     headers = admission.forwarded_headers(names, request.headers, admitted.workspace)
     time_left = admitted.ends_ms - state.clock.now()
-    # The request and its answer take a round trip; what the endpoint does after that is in vain.
+    # The round trip is deducted: an answer sent after that misses the deadline.
     time_left = max(1, int(time_left - state.distances.beyond_region_ms(endpoint.data_centre)))
     headers.append((names.deadline_ms, str(time_left).encode()))
     headers.append((names.instance, endpoint.stable_name().encode()))
@@ -438,13 +432,13 @@
         time_left_ms=round(admitted.ends_ms - state.clock.now()),
         locality=state.distances.locality(choice.endpoint.data_centre).label(),
         round_trip_ms=round(state.distances.round_trip_ms(choice.endpoint.data_centre), 1),
-        leaves_region=_why_it_leaves(progress, choice),
+        leaves_region=_leave_reason(progress, choice),
         endpoint_per_s=state.permits.rate(choice.endpoint),
     )
 
 
-def _why_it_leaves(progress: Progress, choice: endpoint_choice.Choice) -> str:
-    """Return why a request leaves its region, or "" if it stays."""
+def _leave_reason(progress: Progress, choice: endpoint_choice.Choice) -> str:
+    """Return why a request is sent to another region, or "" if it isn't."""
     if choice.leave_reason is None:
         return ""
     return "repeat" if progress.tried - {choice.endpoint.id} else choice.leave_reason.value
@@ -457,8 +451,8 @@
 
     Raises:
       NotRun: the endpoint did not run the request.
-      ConnectionBroken: the answer broke off, is another request's, or can't be trusted.
-      AnswerTimeout: nothing came.
+      ConnectionBroken: the connection ended, or the answer is another request's or unsigned.
+      AnswerTimeout: no head arrived in time.
     """
     try:
         head = await attempt.exchange.next_within(wait_ms)
@@ -466,17 +460,22 @@
         state.health.failure(attempt.choice.endpoint.id)
         raise NotRun(str(error)) from error
     if not isinstance(head, h11.Response):
-        raise errors.ConnectionBroken("the answer has no head")
+        raise errors.ConnectionBroken("answer has no head")
     names = state.names
-    endpoint_outcomes.answered(state, admitted, attempt.given, attempt.sent_ms, head)
+    endpoint_outcomes.answered(state, admitted, attempt.sent_request, attempt.sent_ms, head)
     if head.status_code in endpoint_outcomes.PROMISED_NOT_RUN:
         if _is_promise(head, names):
-            raise NotRun(f"endpoint answered {head.status_code}, not run", head.status_code)
-        raise errors.ConnectionBroken(f"endpoint answered {head.status_code} without a promise")
+            raise NotRun(
+                f"endpoint answered {head.status_code} and did not run the request",
+                head.status_code,
+            )
+        raise errors.ConnectionBroken(
+            f"endpoint answered {head.status_code}; the request may have run"
+        )
     if dialect.header_value(head.headers, names.request_id) not in ("", admitted.id):
-        raise errors.ConnectionBroken("the answer is another request's")
+        raise errors.ConnectionBroken("answer carries the id of another request")
     if 200 <= head.status_code < 300 and not dialect.header_value(head.headers, names.signature):
-        raise errors.ConnectionBroken("the answer has no signature")
+        raise errors.ConnectionBroken("answer has no signature")
     return head
 
 
@@ -486,29 +485,29 @@
 
 
 def answer_headers(head: h11.Response, names: dialect.Dialect) -> list[tuple[bytes, bytes]]:
-    """Return an endpoint's headers as the caller may see them."""
+    """Return an endpoint's headers without those that are internal."""
     dropped = dialect.not_for_callers(names)
     return [(bytes(name), bytes(value)) for name, value in head.headers if name not in dropped]
 
 
 def count_began(state: fleet_state.FleetState, admitted: admission.Admitted) -> None:
-    """Count the request as one that began to run."""
+    """Count the request as started in its workspace's usage."""
     if admitted.workspace is not None:
         state.usage.started(admitted.workspace.name, state.wall.now())
 
 
-def was_lost(attempt: Attempt) -> bool:
-    """Return whether the endpoint ended the connection, and did not only answer badly."""
+def was_disconnected(attempt: Attempt) -> bool:
+    """Return whether the connection was closed, as opposed to an invalid answer."""
     transport = attempt.exchange.transport
     return transport is None or transport.is_closing()
 
 
 def end(state: fleet_state.FleetState, attempt: Attempt) -> None:
-    """Close the connection, which cancels the request if it still runs."""
+    """Close the connection, which cancels a request that still runs."""
     attempt.exchange.close()
     state.runs.end(attempt.choice.endpoint.id, attempt.exchange)
     if attempt.saw_first_token and not was_suspended(state, attempt):
-        held_ms = state.clock.now() - attempt.sent_ms - attempt.round_trip_ms
-        state.chooser.speed(attempt.choice.endpoint.service).ended(max(0.0, held_ms))
+        run_ms = state.clock.now() - attempt.sent_ms - attempt.round_trip_ms
+        state.chooser.speed(attempt.choice.endpoint.service).ended(max(0.0, run_ms))
     state.chooser.end(attempt.choice, attempt.saw_first_token)
-    endpoint_outcomes.ended(state, attempt.given)
+    endpoint_outcomes.ended(state, attempt.sent_request)
--- a/plumarch/gateway/dispatch/event_stream.py
+++ b/plumarch/gateway/dispatch/event_stream.py
@@ -1,16 +1,16 @@
-"""Server-sent events split out of bytes, whole events only.
+"""Splits a byte stream into complete server-sent events.
 
 Format: https://html.spec.whatwg.org/multipage/server-sent-events.html
 """
 
 import dataclasses
 
-ENDS = (b"\n\n", b"\r\n\r\n")
+SEPARATORS = (b"\n\n", b"\r\n\r\n")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event: its bytes with the blank line, and its id if it has one."""
+    """One complete event: its bytes with the blank line, and its id or ""."""
 
     raw: bytes
     id: str
@@ -18,28 +18,28 @@
 
 @dataclasses.dataclass(slots=True)
 class Splitter:
-    """Takes bytes as they come and returns whole events."""
+    """Buffers bytes until an event is complete."""
 
-    rest: bytes = b""
+    buffered: bytes = b""
 
     def feed(self, data: bytes) -> list[Event]:
         """Add bytes.
 
         Returns:
-          The events that are whole now, in order.
+          The events that are complete now, in order.
         """
-        self.rest += data
+        self.buffered += data
         events: list[Event] = []
         while True:
-            end = _event_end(self.rest)
+            end = _event_end(self.buffered)
             if end < 0:
                 return events
-            raw, self.rest = self.rest[:end], self.rest[end:]
+            raw, self.buffered = self.buffered[:end], self.buffered[end:]
             events.append(Event(raw, _id_of(raw)))
 
 
 def _event_end(data: bytes) -> int:
-    found = [data.find(end) + len(end) for end in ENDS if end in data]
+    found = [data.find(end) + len(end) for end in SEPARATORS if end in data]
     return min(found, default=-1)
 
 
@@ -51,11 +51,11 @@
 
 
 def follows(previous: str, current: str) -> bool:
-    """Return whether an event's id may come after another's.
+    """Return whether an event's id may follow another's; ids that aren't numbers always may.
 
     Args:
       previous: the id relayed last, or "" at the start.
-      current: the id at hand.
+      current: the id of the next event.
     """
     if not previous.isdigit() or not current.isdigit():
         return True
--- /dev/null
+++ b/plumarch/gateway/dispatch/interrupted_runs.py
@@ -0,0 +1,165 @@
+"""Finds out by a probe connection whether an endpoint crashed when a connection to it ended.
+
+Its runs count as crashed with it if it refuses the probe, or if its entry shows a restart soon
+after: a supervisor that keeps the port open accepts connections while the endpoint is down.
+"""
+
+import asyncio
+import dataclasses
+
+from plumarch.core import traffic
+from plumarch.gateway import fleet_state
+from plumarch.gateway.callers import admission
+from plumarch.gateway.connections import exchange
+from plumarch.gateway.dispatch import attempts
+from plumarch.gateway.gossip import suspect_updates
+from plumarch.limits import quarantine
+
+CRASH_RETENTION_MS = 1_000
+"""Time after a crash in which an endpoint is not probed; no process restarts sooner."""
+
+RESTART_RETENTION_MS = 10_000
+"""Time in which a restart explains an interrupted run; the store lists it some seconds late."""
+
+MAX_UNCONFIRMED = 64
+"""Limit of the interrupted runs kept per endpoint that may have restarted; the latest stay."""
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class InterruptedRun:
+    """A run whose connection ended before its answer was complete.
+
+    Attributes:
+      points: quarantine points for the request if its endpoint crashed.
+      after_ms: time from the send to the end of the connection.
+    """
+
+    request: str
+    fingerprint: str
+    points: int
+    after_ms: int
+
+
+@dataclasses.dataclass(slots=True)
+class Probe:
+    """A pending probe of an endpoint, and the runs that were interrupted there."""
+
+    task: asyncio.Task[None]
+    runs: list[InterruptedRun]
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class UnconfirmedRuns:
+    """Runs interrupted at an endpoint that accepted a connection at `at_ms`."""
+
+    endpoint: traffic.Endpoint
+    runs: list[InterruptedRun]
+    at_ms: int
+
+
+class InterruptedRuns:
+    """Records crashes against the requests that ran during them.
+
+    Attributes:
+      doubts: runs at endpoints that answered the probe, by endpoint identifier.
+      questions: pending probes, by endpoint identifier.
+      crashed_ms: when recent crashes were found, by endpoint identifier.
+    """
+
+    def __init__(self, state: fleet_state.FleetState) -> None:
+        self.state = state
+        self.probes: dict[str, Probe] = {}
+        self.crashed_ms: dict[str, int] = {}
+        self.unconfirmed: dict[str, UnconfirmedRuns] = {}
+        state.endpoint_restarted = self.apply_restart
+
+    def record(self, admitted: admission.Admitted, attempt: attempts.Attempt) -> None:
+        """Record a run whose endpoint closed the connection, and probe the endpoint."""
+        endpoint = attempt.choice.endpoint
+        now = self.state.clock.now()
+        run = InterruptedRun(
+            admitted.id, admitted.fingerprint, _points(attempt, now), now - attempt.sent_ms
+        )
+        probe = self.probes.get(endpoint.id)
+        if probe is not None:
+            probe.runs.append(run)
+        elif attempt.exchange.peer_restarted or self._crashed_recently(endpoint.id, now):
+            self._record_crashes(endpoint, [run])
+        else:
+            task = asyncio.get_running_loop().create_task(self._probe(endpoint))
+            self.probes[endpoint.id] = Probe(task, [run])
+
+    def _crashed_recently(self, endpoint: str, now: int) -> bool:
+        return now - self.crashed_ms.get(endpoint, -CRASH_RETENTION_MS) < CRASH_RETENTION_MS
+
+    async def wait_for_probe(self, endpoint: str) -> None:
+        """Wait for the pending probe of an endpoint, if any."""
+        probe = self.probes.get(endpoint)
+        if probe is not None:
+            await asyncio.wait({probe.task})
+
+    async def _probe(self, endpoint: traffic.Endpoint) -> None:
+        timeout_ms = attempts.connect_timeout_ms(self.state, endpoint)
+        try:
+            is_listening = await exchange.is_listening(endpoint.address, timeout_ms)
+        finally:
+            runs = self.probes.pop(endpoint.id).runs
+        if is_listening is False:
+            self._prune_crashed()
+            self.crashed_ms[endpoint.id] = self.state.clock.now()
+            self._record_crashes(endpoint, runs)
+        else:
+            self._keep_unconfirmed(endpoint, runs)
+            self.state.log.write(
+                "endpoint_lives",
+                endpoint=endpoint.id,
+                lost_runs=len(runs),
+                answered=is_listening is not None,
+            )
+
+    def _keep_unconfirmed(self, endpoint: traffic.Endpoint, runs: list[InterruptedRun]) -> None:
+        now = self.state.clock.now()
+        self.unconfirmed = {
+            name: one
+            for name, one in self.unconfirmed.items()
+            if now - one.at_ms < RESTART_RETENTION_MS
+        }
+        before = self.unconfirmed.get(endpoint.id)
+        earlier = before.runs if before is not None else []
+        self.unconfirmed[endpoint.id] = UnconfirmedRuns(
+            endpoint, (earlier + runs)[-MAX_UNCONFIRMED:], now
+        )
+
+    def apply_restart(self, endpoint: str) -> None:
+        """Count the runs interrupted at an endpoint as crashed, since its process restarted."""
+        found = self.unconfirmed.pop(endpoint, None)
+        if found is not None and self.state.clock.now() - found.at_ms < RESTART_RETENTION_MS:
+            self._record_crashes(found.endpoint, found.runs)
+
+    def _prune_crashed(self) -> None:
+        oldest = self.state.clock.now() - CRASH_RETENTION_MS
+        self.crashed_ms = {name: at for name, at in self.crashed_ms.items() if at >= oldest}
+
+    def _record_crashes(self, endpoint: traffic.Endpoint, runs: list[InterruptedRun]) -> None:
+        """Record an endpoint's crash against the requests that it ran."""
+        state = self.state
+        state.log.write(
+            "endpoint_ended",
+            endpoint=endpoint.id,
+            service=endpoint.service,
+            runs=[[run.request, run.fingerprint, run.after_ms, run.points] for run in runs],
+        )
+        for run in runs:
+            was_quarantined = state.quarantine.find_quarantined(run.fingerprint) is not None
+            state.quarantine.record_crash(run.fingerprint, endpoint.id, run.points)
+            suspect_updates.log_change(state, run.fingerprint, was_quarantined, state.node)
+            if state.publish_suspect is not None:
+                state.publish_suspect(run.fingerprint)
+
+
+def _points(attempt: attempts.Attempt, now: int) -> int:
+    """Return the quarantine points of a run's request if its endpoint crashed."""
+    if attempt.first_ms is None:
+        return quarantine.EARLY_POINTS
+    running_ms = now - attempt.sent_ms - attempt.first_ms
+    return quarantine.EARLY_POINTS if running_ms < quarantine.EARLY_MS else quarantine.LATE_POINTS
--- a/plumarch/gateway/dispatch/stream_relay.py
+++ b/plumarch/gateway/dispatch/stream_relay.py
@@ -1,8 +1,6 @@
-"""A stream's events passed on as they come, at the caller's pace without holding up the endpoint.
+"""Relays event streams to callers that may read more slowly than the endpoint sends.
 
-Events that the caller doesn't read yet wait in its connection's buffer, which is counted. Beyond
-the stream's bound its run is let go, to be resumed when the caller has read all, or, where that
-may not be, the endpoint isn't read for a while.
+If the caller's buffer is full, the run is abandoned and resumed later, or the endpoint is paused.
 """
 
 import asyncio
@@ -16,23 +14,22 @@
 from plumarch.limits import memory_account
 
 PAUSE_LIMIT_MS = 5_000.0
-"""How long an endpoint isn't read for a caller's sake. It cuts the answer off by itself after some
-seconds, and keeps a place for it until then."""
+"""Longest pause for a slow caller; an endpoint aborts an unread answer after some seconds."""
 
-EVENT_BYTES_LIMIT = 1_048_576
-"""The longest event: one that never ends must not be gathered for ever."""
+MAX_EVENT_BYTES = 1_048_576
+"""Limit of an event's size in bytes."""
 
 
-class LetGo(errors.ExchangeError):
-    """The run was given up because the caller doesn't read; it may go on later."""
+class RunAbandoned(errors.ExchangeError):
+    """The run was abandoned because the caller doesn't read; the stream may be resumed."""
 
 
 class CallerTooSlow(errors.ExchangeError):
-    """The caller read too little for too long, and was ended."""
+    """The caller read too slowly and was disconnected."""
 
 
 class StreamRelay:
-    """Passes one run's events on."""
+    """Relays the events of one run."""
 
     def __init__(
         self,
@@ -40,22 +37,22 @@
         admitted: admission.Admitted,
         progress: attempts.Progress,
         reply: caller_requests.Reply,
-        patience_ms: Callable[[], float],
+        timeout_ms: Callable[[], float],
     ) -> None:
         self.state = state
         self.admitted = admitted
         self.progress = progress
         self.reply = reply
-        self.patience_ms = patience_ms
+        self.timeout_ms = timeout_ms
 
     async def relay(self, attempt: attempts.Attempt, head: h11.Response) -> None:
-        """Pass on all events, then end the answer as complete.
+        """Relay all events, then finish the answer.
 
         Raises:
-          ConnectionBroken: the stream broke off, or is not whole or not in order.
-          AnswerTimeout: nothing came for too long.
-          LetGo: the caller must read before the stream goes on.
-          CallerTooSlow: the caller was ended.
+          ConnectionBroken: the stream ended early, or an event is incomplete or out of order.
+          AnswerTimeout: no event arrived in time.
+          RunAbandoned: the caller must read before the stream is resumed.
+          CallerTooSlow: the caller was disconnected.
         """
         splitter = event_stream.Splitter()
         reservation = memory_account.Reservation(
@@ -65,19 +62,19 @@
         )
         try:
             while True:
-                part = await attempt.exchange.next_within(self.patience_ms())
+                part = await attempt.exchange.next_within(self.timeout_ms())
                 if isinstance(part, h11.EndOfMessage):
                     break
                 if isinstance(part, h11.Data):
-                    await self._take(attempt, head, splitter, bytes(part.data), reservation)
+                    await self._relay_data(attempt, head, splitter, bytes(part.data), reservation)
         finally:
             self.state.memory.resize(reservation, 0)
-        if splitter.rest:
-            raise errors.ConnectionBroken("the stream ended inside an event")
+        if splitter.buffered:
+            raise errors.ConnectionBroken("stream ended inside an event")
         self._start(head)
         self.reply.finish()
 
-    async def _take(
+    async def _relay_data(
         self,
         attempt: attempts.Attempt,
         head: h11.Response,
@@ -88,26 +85,28 @@
         for event in splitter.feed(data):
             self._check_order(event)
             if not self.reply.has_room(len(event.raw)):
-                if self._may_be_let_go():
-                    raise LetGo(f"the caller doesn't read on after {self.progress.last_event_id}")
-                self._count(reservation, len(data) + attempt.exchange.unparsed)
+                if self._may_abandon():
+                    raise RunAbandoned(
+                        f"caller stopped reading after event {self.progress.last_event_id}"
+                    )
+                self._reserve(reservation, len(data) + attempt.exchange.unparsed)
                 await self._pause(attempt)
-            self._pass_on(attempt, head, event)
-        rest = len(splitter.rest)
-        if rest > EVENT_BYTES_LIMIT:
-            raise errors.ConnectionBroken(f"an event is longer than {EVENT_BYTES_LIMIT} bytes")
-        if rest or reservation.size:
-            self._count(reservation, rest)
+            self._relay_event(attempt, head, event)
+        buffered = len(splitter.buffered)
+        if buffered > MAX_EVENT_BYTES:
+            raise errors.ConnectionBroken(f"event exceeds {MAX_EVENT_BYTES} bytes")
+        if buffered or reservation.size:
+            self._reserve(reservation, buffered)
 
     def _check_order(self, event: event_stream.Event) -> None:
         last = self.progress.last_event_id
         if event.id and not event_stream.follows(last, event.id):
             raise errors.ConnectionBroken(f"event {event.id} came after {last}")
 
-    def _may_be_let_go(self) -> bool:
-        """Return whether the stream may go on at an endpoint later, and spend a repeat for it.
+    def _may_abandon(self) -> bool:
+        """Return whether the stream may be resumed later, and spend the retry budget for it.
 
-        Without this, one slow caller could cause any number of sends.
+        The budget bounds the sends that a slow caller causes.
         """
         route = self.admitted.route
         if not route.repeatable() or not self.progress.last_event_id.isdigit():
@@ -116,25 +115,25 @@
             return False
         return self.state.budget.take(self.admitted.service)
 
-    def _count(self, reservation: memory_account.Reservation, size: int) -> None:
-        """Count what waits here for the caller or for the end of an event."""
+    def _reserve(self, reservation: memory_account.Reservation, size: int) -> None:
+        """Reserve memory for bytes that wait for the caller or for the end of an event."""
         if not self.state.memory.resize(reservation, size):
             self.reply.disconnect("no_memory")
-            raise CallerTooSlow(f"no room for {size} bytes of a stream")
+            raise CallerTooSlow(f"no memory for {size} bytes of a stream")
 
     async def _pause(self, attempt: attempts.Attempt) -> None:
-        """Read nothing from the endpoint until the caller has read all."""
+        """Pause reading from the endpoint until the caller has read everything."""
         attempt.exchange.pause()
         try:
             async with asyncio.timeout(PAUSE_LIMIT_MS / 1000.0):
                 await self.reply.drained()
         except TimeoutError as error:
             self.reply.disconnect("caller_too_slow")
-            raise CallerTooSlow("the endpoint can't be kept waiting") from error
+            raise CallerTooSlow("caller did not read before the endpoint's pause ended") from error
         finally:
             attempt.exchange.resume()
 
-    def _pass_on(
+    def _relay_event(
         self, attempt: attempts.Attempt, head: h11.Response, event: event_stream.Event
     ) -> None:
         note_first_token(self.state, self.admitted, attempt, self.reply.started)
@@ -161,16 +160,16 @@
     attempt: attempts.Attempt,
     began_before: bool,
 ) -> None:
-    """Note that an endpoint answers, once for each attempt.
+    """Record the first token of an attempt, once.
 
     Args:
-      began_before: whether the caller's answer was begun by an earlier attempt.
+      began_before: whether an earlier attempt began the caller's answer.
     """
     if attempt.saw_first_token:
         return
     attempt.saw_first_token = True
     state.chooser.first_token(attempt.choice)
-    endpoint_outcomes.first_byte(state, attempt.given)
+    endpoint_outcomes.first_byte(state, attempt.sent_request)
     attempt.first_ms = state.clock.now() - attempt.sent_ms
     is_measure = not version_outcomes.is_on_trial(state, attempt.choice.endpoint)
     is_measure = is_measure and not attempts.was_suspended(state, attempt)
