--- a/plumarch/daemon/status_pages_test.py
+++ b/plumarch/daemon/status_pages_test.py
@@ -80,5 +80,5 @@
     lines = page(b"/status", gateway_parts.new_state(steady), view)
     assert f"build {build.NAME}: 1 nodes, the first one started 2025-12-03T00:00:00Z" in lines
     assert "build later: 1 nodes, the first one started 2025-12-03T02:46:40Z" in lines
-    [untold] = [line for line in lines if "doesn't tell" in line]
-    assert ": 2 nodes" in untold
+    [unreported] = [line for line in lines if "does not report its name" in line]
+    assert ": 2 nodes" in unreported
