--- a/plumarch/routing/answer_times.py
+++ b/plumarch/routing/answer_times.py
@@ -5,11 +5,11 @@
 from plumarch.routing import engine_speed
 
 SLOW_FACTOR = 2.0
-"""A first event is slow above this multiple of the time to read the whole prompt and the queue
-ahead. The whole prompt counts, since a new engine has nothing cached."""
+"""A first event is slow above this multiple of the time to read the whole prompt (a new engine has
+nothing cached) and the queue ahead."""
 
 SLOW_PLAIN_FACTOR = 2.5
-"""The same for a plain answer, against the mean of its route; plain times vary more."""
+"""The same for a plain answer, against the mean of its route."""
 
 KNOWN_AFTER = 5
 """Answers of a route before its mean is used."""
@@ -29,7 +29,7 @@
         mean.observe(took_ms)
 
     def is_slow(self, route: str, took_ms: float) -> bool:
-        """Return whether a plain answer took far longer than usual on its route."""
+        """Return whether a plain answer was slow."""
         mean = self.by_route.get(route)
         if mean is None or mean.seen < KNOWN_AFTER:
             return False
@@ -39,7 +39,7 @@
 def is_slow_first_event(
     speed: engine_speed.EngineSpeed, tokens: float, capacity_wait_ms: float, took_ms: float
 ) -> bool:
-    """Return whether a first event came far later than expected.
+    """Return whether a first event was slow.
 
     Args:
       tokens: of the whole prompt and of what was queued before it.
--- a/plumarch/routing/concurrency_limit.py
+++ b/plumarch/routing/concurrency_limit.py
@@ -1,21 +1,20 @@
 """Limits the concurrent requests of an endpoint that shows signs of overload.
 
-Additive increase, multiplicative decrease: the limit drops at rejections, crashes and late answers,
-and grows back with time, between the endpoint's slots and its limit without overload.
+Additive increase, multiplicative decrease: it drops at rejections, crashes and late answers, and
+grows back with time.
 """
 
 import dataclasses
 from typing import Protocol
 
 DECREASE = 0.8
-"""Factor on the load at a rejection or crash, with a margin for requests that other nodes sent."""
+"""Factor on the load at a rejection or crash; other nodes may have sent some of it."""
 
 LATE_DECREASE = 0.95
-"""Factor after a late answer, which costs its caller less than a crash."""
+"""Factor on the limit after a late answer."""
 
 LATE_FACTOR = 3.0
-"""Answers are late above this multiple of the usual time; the queue allowed without overload
-explains anything below."""
+"""Answers are late above this multiple of the usual time."""
 
 LATE_INTERVAL_MS = 200
 """Late answers lower the limit once per this time: requests sent together are late together."""
@@ -24,8 +23,8 @@
 """Time in which the limit grows from its minimum to its maximum."""
 
 CRASH_RETENTION_MS = 60_000
-"""A load that crashed an endpoint is not tried again for this long: a crash costs all its requests,
-a rejection only one."""
+"""A load that crashed an endpoint is not tried again for this long; a crash costs all its
+requests."""
 
 USUAL_WEIGHT = 0.02
 """Weight of an answer in the usual time."""
@@ -35,7 +34,7 @@
 
 
 class ConcurrencyLimit(Protocol):
-    """Limit of the concurrent requests at an endpoint.
+    """Limit of an endpoint.
 
     Attributes:
       maximum: the limit without overload.
@@ -51,17 +50,17 @@
         """Handle a first byte.
 
         Args:
-          running: requests at the endpoint when it came.
-          took: its time, in multiples of what was expected of an endpoint of the service.
+          running: requests at the endpoint then.
+          took: its time, in multiples of what was expected.
         """
         ...
 
     def rejected(self, running: float, now: int) -> None:
-        """Handle a rejection of a request as too much, with so many running."""
+        """Handle a rejection while so many requests ran."""
         ...
 
     def crashed(self, running: float, now: int) -> None:
-        """Handle a crash with so many running."""
+        """Handle a crash while so many requests ran."""
         ...
 
 
@@ -73,7 +72,7 @@
     recent: float = 1.0
 
     def observe(self, took: float) -> None:
-        """Add a time; late ones are capped for the usual time, or it would follow them."""
+        """Add a time, capped in the usual time, which must not follow late answers."""
         bounded = min(took, LATE_FACTOR * self.usual)
         self.usual += USUAL_WEIGHT * (bounded - self.usual)
         self.recent += RECENT_WEIGHT * (took - self.recent)
@@ -88,7 +87,6 @@
     """Multiplicative decrease at signs of overload, linear increase with time.
 
     Attributes:
-      minimum: lower bound of the limit.
       maximum: the limit without overload.
       low: the limit after the last decrease.
       lowered_ms: when that was, or None.
@@ -112,7 +110,7 @@
         return self.low + (top - self.low) * grown
 
     def answered(self, running: float, took: float, now: int) -> None:
-        """Lower the limit slightly while answers are late and more requests than slots run."""
+        """Lower the limit slightly while answers are late."""
         self.times.observe(took)
         if running <= self.minimum or not self.times.are_late():
             return
--- a/plumarch/routing/crash_guard.py
+++ b/plumarch/routing/crash_guard.py
@@ -1,7 +1,7 @@
 """Limits what the other endpoints of a service are given after one of them crashed.
 
-The load of a crashed endpoint is repeated at once and may crash the next one, so it is admitted
-gradually, urgent requests first. The load that caused the crash becomes a limit for the others.
+Its load is repeated at once and may crash the next one, so it is admitted gradually, urgent
+requests first. The load that caused the crash becomes a limit for the others.
 """
 
 import dataclasses
@@ -13,21 +13,19 @@
 """Fraction of a crashed endpoint's requests that the others may take on at once."""
 
 UNLIMITED_PEERS = 16
-"""With this many other endpoints the whole load is admitted at once: each gets a sixteenth of it at
-most, as with INITIAL_FRACTION among four."""
+"""With this many other endpoints the whole load is admitted at once."""
 
 RAMP_MS = 4_000
-"""Time over which the rest is admitted; rejected callers come back within it."""
+"""Time over which the rest is admitted."""
 
 RANK_STEP = 0.05
 """Fraction of the admitted load that each rank leaves to the more urgent ones."""
 
 MIN_RANK_FRACTION = 0.5
-"""The least urgent ranks still get this fraction, so that none is starved."""
+"""The least urgent ranks still get this fraction."""
 
 LOSS_WINDOW_MS = 250
-"""Connections lost within this time count as lost together: a crash ends all at once, and a process
-sees them end within the connect timeout."""
+"""Connections lost within this time count as lost together; a crash ends all at once."""
 
 CRASH_LOSSES = 2
 """Connections lost together that count as a crash; one alone may be caused by its request."""
@@ -38,10 +36,8 @@
     """Connections that one endpoint lost recently.
 
     Attributes:
-      first_ms: when the first of them was lost.
-      running: requests at the endpoint then.
+      running: requests at the endpoint at `first_ms`.
       weight: their weight, in tokens.
-      count: connections lost since; CRASH_LOSSES make a crash.
     """
 
     first_ms: int
@@ -55,10 +51,7 @@
     """A crash of an endpoint.
 
     Attributes:
-      endpoint: its identifier.
-      running: requests at the endpoint.
-      weight: their weight, in tokens.
-      slots: requests that it works on at once.
+      weight: of its running requests, in tokens.
       elsewhere: requests at the service's other endpoints then.
     """
 
@@ -70,24 +63,19 @@
     elsewhere: int
 
     def by_count(self) -> bool:
-        """Return whether it had more requests than slots.
-
-        Otherwise the cause was their weight, or none of the load at all.
-        """
+        """Return whether it had more requests than slots."""
         return self.running > self.slots
 
 
 @dataclasses.dataclass(slots=True)
 class ServiceCrashes:
-    """What crashes showed of the endpoints of one service.
+    """Limits learned from crashes of one service.
 
     Attributes:
       last: the latest crash under more load than endpoints regularly sustain.
       per_slot: maximum requests for each slot of an endpoint, or None.
       weight: maximum weight of an endpoint's requests, in tokens, or None.
-      learned_ms: when the two were learned; they expire after CRASH_RETENTION_MS.
-      max_sustained_weight: greatest weight under which an endpoint answered since this process
-        started.
+      max_sustained_weight: greatest weight under which an endpoint answered.
     """
 
     last: Crash | None = None
@@ -99,11 +87,7 @@
 
 @dataclasses.dataclass(slots=True)
 class CrashGuard:
-    """Crashes by service, and the lost connections that reveal them.
-
-    Attributes:
-      losses: recently lost connections, by endpoint identifier.
-    """
+    """Crashes by service, and the lost connections that reveal them."""
 
     clock: clock.Clock
     services: dict[str, ServiceCrashes] = dataclasses.field(default_factory=dict)
@@ -150,8 +134,7 @@
     def crashed(self, service: str, crash: Crash) -> None:
         """Learn limits from a crash.
 
-        A crash under regularly sustained load teaches nothing, and its load may move to the others
-        at once.
+        A crash under regularly sustained load teaches nothing.
         """
         crashes = self.services.setdefault(service, ServiceCrashes())
         by_weight = crash.weight > crashes.max_sustained_weight > 0
@@ -167,17 +150,14 @@
         crashes.last = crash
 
     def per_slot(self, service: str) -> float | None:
-        """Return the maximum of requests per slot learned from crashes, at least 1, or None."""
+        """Return the maximum of requests per slot, at least 1, or None."""
         crashes = self._learned(service)
         if crashes is None or crashes.per_slot is None:
             return None
         return max(1.0, crashes.per_slot)
 
     def weight(self, service: str) -> float | None:
-        """Return the maximum weight of an endpoint's requests learned from crashes, or None.
-
-        It is no less than what another endpoint sustained since.
-        """
+        """Return the maximum weight of an endpoint's requests, or None."""
         crashes = self._learned(service)
         if crashes is None or crashes.weight is None:
             return None
@@ -193,7 +173,7 @@
         return None
 
     def recent(self, service: str) -> Crash | None:
-        """Return the last crash of a service while its load is still being admitted gradually."""
+        """Return the last crash of a service while its load is being admitted."""
         crashes = self.services.get(service)
         if crashes is None or crashes.last is None:
             return None
@@ -204,7 +184,7 @@
 
         Args:
           running: requests at all its remaining endpoints.
-          slots: requests that they work on at once; below that nothing waits.
+          slots: of these endpoints; below that nothing waits.
           rank: 0 is the most urgent.
         """
         crash = self.recent(service)
--- a/plumarch/routing/data_centre_reach.py
+++ b/plumarch/routing/data_centre_reach.py
@@ -1,8 +1,7 @@
 """Excludes data centres that can't be reached, judged by connects to their endpoints.
 
-Endpoint health never ejects more than half of the endpoints, so a network partition would cost
-every request failed attempts. Two failed connects in a row exclude a data centre for a while, then
-one connect probes it.
+Endpoint health ejects at most half of the endpoints, too few in a network partition. Failed
+connects in a row exclude a data centre for a while, then one connect probes it.
 """
 
 import dataclasses
@@ -10,10 +9,9 @@
 from plumarch.core import clock
 
 FAILURES_IN_ROW = 2
-"""One failure may be a single endpoint's, two in a row without a success hardly are."""
+"""Failures without a success in between; one may be a single endpoint's."""
 
 FIRST_PAUSE_MS = 700
-"""How long a data centre is excluded at first."""
 
 PAUSE_CONNECTS = 3
 """Connect timeouts that a pause covers, so that it grows with the distance."""
@@ -28,9 +26,7 @@
 
     Attributes:
       failed: endpoints that could not be connected to since the last successful connect.
-      excluded_until_ms: none of its endpoints gets requests before then.
       pauses: how often it was excluded since then.
-      probing: whether a probe is under way.
       extra_ms: what its distance adds to each pause.
     """
 
@@ -57,8 +53,7 @@
         """Record a failed connect.
 
         Args:
-          extra_ms: by how much a connect there may take longer than one within the region; pauses
-            grow by PAUSE_CONNECTS times as much.
+          extra_ms: by how much a connect there may take longer than within the region.
         Returns:
           Whether the data centre is excluded now.
         """
--- a/plumarch/routing/distance.py
+++ b/plumarch/routing/distance.py
@@ -1,7 +1,7 @@
 """Estimates the distance of data centres: their region and the round trip to them.
 
-Regions come from the settings; a data centre that they don't name is a region of its own. Round
-trips are measured by regular connects; until then a prior by locality is used.
+Regions come from the settings, round trips from regular connects; until then a prior by locality is
+used.
 """
 
 import collections
@@ -20,7 +20,7 @@
     OTHER_REGION = 2
 
     def label(self) -> str:
-        """Return its name in logs and metrics."""
+        """Return the name in logs and metrics."""
         return self.name.lower()
 
 
@@ -32,17 +32,17 @@
 """Assumed round trips in ms until enough connects were measured."""
 
 FRESH_CONNECTION_ROUND_TRIPS = 2
-"""Round trips until the first byte of an answer: connect and request; none is reused."""
+"""Round trips until the first byte: connect and request."""
 
 CONNECT_SAMPLES = 16
-"""Recent connects to a data centre that its round trip is estimated from."""
+"""Recent connects that an estimate is made from."""
 
 MIN_CONNECTS = 3
-"""Connects before the prior is replaced: a first one may have waited for a busy process."""
+"""Connects before the prior is replaced."""
 
 ESTIMATE_RANK = 1
-"""Rank of the connect used as the estimate, the shortest being 0: waiting only ever adds to a round
-trip, and a single implausibly short one, such as a reused address nearby, is skipped."""
+"""Rank of the connect used as the estimate, the shortest being 0: waiting only adds to a round
+trip, and one implausibly short connect, as to a reused address nearby, is skipped."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -71,9 +71,8 @@
     """The data centres as seen from one of them.
 
     Attributes:
-      own: the data centre of this node.
       regions: the region of each data centre; empty where all are of one region.
-      measured: round trips of data centres whose endpoints were connected to, by data centre.
+      measured: by data centre.
       unnamed: data centres without a region that `is_first_unnamed` reported.
     """
 
@@ -84,7 +83,7 @@
     unnamed: set[str] = dataclasses.field(default_factory=set)
 
     def region_of(self, data_centre: str) -> str:
-        """Return a data centre's region; one that is not named is a region of its own."""
+        """Return a data centre's region; an unnamed one is a region of its own."""
         return regions.region_of(self.regions, data_centre)
 
     def own_region(self) -> str:
@@ -100,7 +99,7 @@
         return Locality.OTHER_REGION
 
     def is_in_region(self, data_centre: str) -> bool:
-        """Return whether a data centre is of this node's region."""
+        """Return whether a data centre is in this node's region."""
         return self.region_of(data_centre) == self.own_region()
 
     def is_first_unnamed(self, data_centre: str) -> bool:
@@ -127,7 +126,7 @@
     def beyond_region_ms(self, data_centre: str) -> float:
         """Return the round trip to a data centre of another region; 0 within the region.
 
-        Time limits and learned times grow by it. Within a region the latency is negligible.
+        Time limits and learned times grow by it.
         """
         return 0.0 if self.is_in_region(data_centre) else self.round_trip_ms(data_centre)
 
--- a/plumarch/routing/endpoint_backoff.py
+++ b/plumarch/routing/endpoint_backoff.py
@@ -1,7 +1,7 @@
 """Keeps requests away from endpoints that rejected one with a Retry-After.
 
 An endpoint that sheds load runs few requests, and would look like the best choice. A backoff
-applies to the node that received it, so it is not reported to others.
+applies only to the node that received it.
 """
 
 import dataclasses
@@ -11,7 +11,7 @@
 from plumarch.core import clock, traffic
 
 MAX_MS = 600_000
-"""Maximum backoff, against endpoints that name an excessive one by mistake."""
+"""Maximum backoff, against excessive ones named by mistake."""
 
 
 def bounded_ms(retry_after_ms: float) -> int:
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Backoff:
-    """The backoff of an endpoint.
+    """Backoff of an endpoint.
 
     Attributes:
       id: the incarnation that a request was sent to.
@@ -48,7 +48,6 @@
 
         Args:
           alive_ms: time of day at which the connection to the rejecting process was established.
-          retry_after_ms: the time that it names.
         Returns:
           The remaining backoff in ms.
         """
--- a/plumarch/routing/endpoint_choice.py
+++ b/plumarch/routing/endpoint_choice.py
@@ -1,8 +1,7 @@
 """Chooses the endpoint of a request.
 
 Plain services: the least loaded local one. Engines: the local one with the earliest expected first
-token, by queued prompt tokens and by the prompt parts it is expected to have cached
-(engine_record). Whether a request leaves the region is decided in locality_choice.
+token. Whether a request leaves the region is decided in locality_choice.
 """
 
 import dataclasses
@@ -22,7 +21,7 @@
 
 OWNER_CACHE_FRACTIONS = (0.8, 0.5)
 """Fraction of a prompt that the engines selected by hashing are expected to have cached, first
-choice first; the second takes what the first has no capacity for."""
+choice first."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -30,8 +29,7 @@
     """Requests at one endpoint.
 
     Attributes:
-      running: requests sent and not finished.
-      prompt_tokens: tokens of prompts not yet read.
+      prompt_tokens: of prompts not yet read.
     """
 
     running: int = 0
@@ -51,11 +49,10 @@
       unread_tokens: prompt tokens that it is expected to have to read.
       waiting_tokens: prompt tokens of others that it has to read before.
       capacity_wait_ms: expected wait for a slot there.
-      considered: number of candidates.
       network_ms: network latency, if the endpoint is remote.
-      expected_ms: expected time to the answer or first token, network latency included.
+      expected_ms: time to the answer or first token, network latency included.
       free_slots: slots not known to be in use.
-      leave_reason: why the request leaves the region, or None if it stays.
+      leave_reason: None if the request stays in the region.
     """
 
     endpoint: traffic.Endpoint
@@ -88,10 +85,9 @@
       reported_loads: load that others report, by source and endpoint identifier.
       others: the sum of the reported loads, by endpoint identifier; updated with each report,
         so that the cost of a choice does not grow with the fleet.
-      records: prompt parts sent to engines, by identifier.
-      speeds: what is known of the engines of each service.
-      work: how long plain services work on a request.
-      distances: distances of data centres; if None, all are of one region.
+      records: by engine identifier.
+      speeds: by service.
+      distances: if None, all data centres are of one region.
     """
 
     clock: clock.Clock
@@ -105,7 +101,7 @@
     distances: distance.Distances | None = None
 
     def speed(self, service: str) -> engine_speed.EngineSpeed:
-        """Return what is known of the engines of a service."""
+        """Return the speed of the engines of a service."""
         known = self.speeds.get(service)
         if known is None:
             known = self.speeds[service] = engine_speed.EngineSpeed()
@@ -144,15 +140,15 @@
             del self.others[endpoint]
 
     def total_running(self, endpoints: Iterable[traffic.Endpoint]) -> int:
-        """Return the requests that run at endpoints, from all nodes, as far as known."""
+        """Return the known requests of all nodes at endpoints."""
         return sum(self.running(endpoint.id) for endpoint in endpoints)
 
     def running(self, endpoint: str) -> int:
-        """Return the requests that run at an endpoint, from all nodes, as far as known."""
+        """Return the known requests of all nodes at an endpoint."""
         return self.own.get(endpoint, NO_LOAD).running + self.others.get(endpoint, NO_LOAD).running
 
     def load(self, endpoint: str) -> Load:
-        """Return the load of an endpoint from all nodes, as far as known."""
+        """Return the known load of an endpoint from all nodes."""
         own = self.own.get(endpoint, NO_LOAD)
         others = self.others.get(endpoint, NO_LOAD)
         return Load(own.running + others.running, own.prompt_tokens + others.prompt_tokens)
@@ -190,7 +186,6 @@
         return dataclasses.replace(self._plain_choice(best, considered), cost=least)
 
     def _plain_choice(self, endpoint: traffic.Endpoint, considered: int) -> Choice:
-        """Return a plain endpoint as a choice, with its expected time."""
         running = self.running(endpoint.id)
         slots = max(1, endpoint.slots)
         work_ms = self.work.expected_ms(endpoint.service)
@@ -274,7 +269,6 @@
             yield endpoint, cost, unread, load, capacity_wait_ms
 
     def _engine_choice(self, weighed: Weighed, considered: int, network_ms: float) -> Choice:
-        """Return an engine as a choice, with the expected time of its first token."""
         endpoint, cost, unread, load, capacity_wait_ms = weighed
         cost += network_ms
         return Choice(
@@ -290,7 +284,6 @@
         )
 
     def _other_centre(self, endpoint: traffic.Endpoint) -> int:
-        """Return 1 for a data centre other than this node's, else 0."""
         return 0 if endpoint.data_centre == self.data_centre else 1
 
     def _network_ms(self, data_centre: str) -> float:
@@ -349,14 +342,13 @@
 
 
 def _with_reason(choice: Choice | None, why: locality_choice.LeaveReason | None) -> Choice | None:
-    """Return a choice with the reason for leaving the region, if it does."""
     return (
         choice if choice is None or why is None else dataclasses.replace(choice, leave_reason=why)
     )
 
 
 def _shared_part_count(parts: Sequence[traffic.PromptPart], prompt_tokens: int) -> int:
-    """Return how many parts others may share: not the last one if the parts cover the prompt."""
+    """Return how many parts others may share: without the last if the parts cover the prompt."""
     named = sum(part.tokens for part in parts)
     return len(parts) - 1 if len(parts) > 1 and named >= prompt_tokens else len(parts)
 
--- a/plumarch/routing/endpoint_health.py
+++ b/plumarch/routing/endpoint_health.py
@@ -1,8 +1,7 @@
 """Ejects endpoints for a while, judged by answers to real requests.
 
 At most half of a service's endpoints are ejected: beyond that, the cause is likely elsewhere. One
-that fails only some requests is not ejected, but avoided while endpoints with a better record are
-free. One whose address belongs to another process is always left out.
+that fails only some requests is avoided while better ones are free.
 """
 
 import dataclasses
@@ -33,8 +32,7 @@
 """First attempts avoid an endpoint whose record is worse than the best by this fraction."""
 
 ABSENT_MS = 10_000
-"""How long an endpoint that is not at its address is left out: the lease of an entry that an
-earlier process wrote late."""
+"""How long an endpoint that is not at its address is left out: the lease of its entry."""
 
 EQUAL_MARGIN = 0.02
 """Records that differ by less count as equal."""
@@ -46,8 +44,7 @@
 
     Attributes:
       rate: decayed fraction of its answers that failed.
-      ejected_until_ms: it gets no requests before then.
-      record: fraction of its answers that failed, over more answers; all failures weigh alike.
+      record: the same over more answers; all failures weigh alike.
       recorded_ms: when it last answered.
     """
 
@@ -69,12 +66,7 @@
 
 @dataclasses.dataclass(slots=True)
 class EndpointHealth:
-    """Failures and ejections by endpoint identifier.
-
-    Attributes:
-      absences: endpoints that were not at their address.
-      latencies: relative latencies of endpoints.
-    """
+    """Failures and ejections by endpoint identifier."""
 
     clock: clock.Clock
     suspensions: suspension.Suspensions
@@ -142,8 +134,8 @@
 
         Args:
           running: requests at an endpoint.
-          repeated: whether the request failed already: then only the best records count. Otherwise
-            much worse ones are left out, while a better one has a free slot.
+          repeated: whether the request failed already: then only the best count. Otherwise much
+            worse ones are left out while a better one has a free slot.
         """
         if not self.known:
             return list(endpoints)
@@ -157,7 +149,7 @@
         return list(endpoints)
 
     def absent(self, endpoint: traffic.Endpoint) -> None:
-        """Note that another process answered at an endpoint's address."""
+        """Record that another process answered at an endpoint's address."""
         until_ms = self.clock.now() + ABSENT_MS
         self.absences[endpoint.id] = Absence(endpoint.address, until_ms)
 
--- a/plumarch/routing/endpoint_limits.py
+++ b/plumarch/routing/endpoint_limits.py
@@ -15,17 +15,16 @@
 """Requests at a plain endpoint, in multiples of its slots, before it counts as full."""
 
 ENGINE_QUEUE_FACTOR = 1.5
-"""The same at engines; lower, since the expected wait is also part of their cost."""
+"""The same at engines, whose cost also includes the expected wait."""
 
 CACHE_FACTOR = 1.5
-"""Tokens that an engine is given, in multiples of its cache: requests also wait, and shared prompt
-parts are counted once per request."""
+"""Tokens that an engine is given, in multiples of its cache: prompts share parts."""
 
 BYTES_PER_TOKEN = 4
 """Bytes of a body that weigh as much as a prompt token."""
 
 EXPECTED_OUTPUT_FRACTION = 0.5
-"""Expected mean output of a running request, as a fraction of its maximum output tokens."""
+"""Expected output of a running request, as a fraction of its maximum tokens."""
 
 MEAN_WEIGHT = 0.05
 """Weight of a request in the mean that stands for requests of other nodes."""
@@ -43,7 +42,6 @@
 
     Attributes:
       weight: in tokens: those of its prompt and expected answer, or its body's.
-      is_engine: whether it is a prompt for an engine.
       rank: 0 is the most urgent.
     """
 
@@ -56,11 +54,7 @@
 
 
 def demand(prompt_tokens: int, max_output_tokens: int, body_bytes: int, rank: int = 0) -> Demand:
-    """Return what a request requires of an endpoint.
-
-    Args:
-      max_output_tokens: maximum tokens of its answer.
-    """
+    """Return what a request requires of an endpoint."""
     if prompt_tokens:
         return Demand(prompt_tokens + EXPECTED_OUTPUT_FRACTION * max_output_tokens, True, rank)
     return Demand(body_bytes / BYTES_PER_TOKEN, False, rank)
@@ -68,7 +62,7 @@
 
 @dataclasses.dataclass(slots=True)
 class OwnLoad:
-    """Number and weight of this node's requests at one endpoint."""
+    """This node's requests at one endpoint."""
 
     requests: int = 0
     weight: float = 0.0
@@ -110,13 +104,12 @@
     """Configured and learned limits of endpoints.
 
     Attributes:
-      crashes: what crashes showed of each service.
       build: makes the learned limit of an endpoint, from its slots and its limit without overload.
-      services: services by name, as configured.
-      learned: limits of endpoints that rejected, crashed or answered, by identifier.
-      own_load: this node's requests, by endpoint identifier.
+      services: by name.
+      learned: by endpoint identifier.
+      own_load: by endpoint identifier.
       mean_weight: of a request of each service; stands for those of other nodes.
-      logged: limits that were logged, by endpoint identifier.
+      logged: by endpoint identifier.
     """
 
     clock: clock.Clock
@@ -140,12 +133,12 @@
         running: Callable[[str], int],
         demand: Demand = PLAIN,
     ) -> list[traffic.Endpoint]:
-        """Return the endpoints of a service that have capacity for one more request.
+        """Return the endpoints with capacity for one more request.
 
         A learned limit never goes below an endpoint's slots.
 
         Args:
-          running: known requests of all nodes that run or wait at an endpoint.
+          running: known requests of all nodes at an endpoint.
         """
         bounds = self.bounds(service, demand.is_engine)
         found = []
@@ -217,7 +210,7 @@
             del self.own_load[endpoint.id]
 
     def observe_load(self, endpoint: traffic.Endpoint, running: int) -> None:
-        """Handle an answer with so many requests at the endpoint."""
+        """Handle an answer while so many requests ran."""
         self.crashes.note_answer(endpoint.id)
         self.crashes.observe_load(endpoint.service, self.weight_at(endpoint, running))
 
@@ -233,9 +226,7 @@
         self._learned_limit(endpoint, is_engine).answered(running, took, self.clock.now())
 
     def rejected(self, endpoint: traffic.Endpoint, running: int, is_engine: bool) -> None:
-        """Handle a rejection of a request as too much.
-
-        An endpoint with free slots rejects for another reason, which is ignored.
+        """Handle a rejection; one with free slots has another cause and is ignored.
 
         Args:
           running: requests there besides the rejected one.
@@ -260,11 +251,7 @@
         return value
 
     def lowered(self, endpoints: Mapping[str, traffic.Endpoint]) -> dict[str, float]:
-        """Return the limits of endpoints that are below their limit without overload.
-
-        Args:
-          endpoints: those that exist, by identifier.
-        """
+        """Return the limits, by identifier, of endpoints below their limit without overload."""
         found = {}
         for name, endpoint in endpoints.items():
             service = self.services.get(endpoint.service)
@@ -328,6 +315,6 @@
 
 
 def max_requests(endpoint: traffic.Endpoint, is_engine: bool) -> float:
-    """Return the maximum of concurrent requests of an endpoint without overload."""
+    """Return the maximum of requests of an endpoint without overload."""
     factor = ENGINE_QUEUE_FACTOR if is_engine else QUEUE_FACTOR
     return factor * max(1, endpoint.slots)
--- a/plumarch/routing/engine_record.py
+++ b/plumarch/routing/engine_record.py
@@ -11,7 +11,7 @@
 from plumarch.core import hashing, traffic
 
 MAX_PARTS = 4_000
-"""Parts recorded for each engine at most."""
+"""Parts recorded for each engine."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -33,7 +33,7 @@
         """Return how many leading parts of a prompt were sent to the engine.
 
         Args:
-          keys: of the prompt's parts, each standing for its part and all before it.
+          keys: each stands for its part and all before it.
         """
         return max((at + 1 for at, key in enumerate(keys) if key in self.parts), default=0)
 
@@ -44,10 +44,9 @@
 
     Attributes:
       parts: in order; the last one may be the request's own.
-      keys: of the parts, each standing for its part and all before it.
+      keys: each stands for its part and all before it.
       tokens: of the complete prompt.
-      owners: for each part that others may share, the engines of a region that hashing selects, the
-        first choice first.
+      owners: engines of a region that hashing selects for each part that others may share.
     """
 
     parts: Sequence[traffic.PromptPart]
@@ -76,9 +75,7 @@
     An engine that has a part has all parts before it.
 
     Args:
-      record: what this node sent to it.
-      likely_fractions: fraction of an unsent prefix that each owner is expected to hold, the first
-        owner's first.
+      likely_fractions: fraction of an unsent prefix that each owner is expected to hold.
     """
     known = record.known(prompt.keys) if record is not None else 0
     certain = sum(part.tokens for part in prompt.parts[:known])
--- a/plumarch/routing/engine_speed.py
+++ b/plumarch/routing/engine_speed.py
@@ -1,8 +1,7 @@
 """Learns the speed of a service's engines from the answers that pass through this node.
 
-The typical time per token (a median over all requests) compares engines. The idle one (over
-requests that found nothing waiting) is for planning, since it does not grow with the load. The mean
-follows current conditions. Nodes exchange what they learned, and plans use the average of all.
+The typical time per token compares engines; the idle one, which does not grow with the load, is for
+planning; the mean follows current conditions.
 """
 
 import bisect
@@ -17,10 +16,10 @@
 """Assumed time to the first token of an empty prompt before any observation."""
 
 START_TOKENS = 1_000.0
-"""Prompt tokens that the initial mean stands for; the first observation replaces it."""
+"""Prompt tokens that the initial mean stands for."""
 
 WEIGHT = 0.05
-"""Weight of a new observation in a mean, once there are many."""
+"""Minimum weight of a new observation in a mean."""
 
 MIN_TOKENS = 800.0
 """Shorter prompts give the base time of a first token, longer ones the time to read a token."""
@@ -34,11 +33,10 @@
 """Bounds of a learned base time to a first token."""
 
 EXACT_MEDIAN_COUNT = 9
-"""Observations of which a median is exact; after that it follows in steps."""
+"""Observations of which a median is exact."""
 
 MIN_STEP = 0.04
-"""Smallest step of a median on a logarithmic scale; steps shrink from FIRST_STEP / 3 to it with the
-root of the number of observations."""
+"""Smallest step of a median on a logarithmic scale."""
 
 FIRST_STEP = 0.4
 
@@ -46,7 +44,7 @@
 """Mean first tokens per node from which the fleet's report is used, given KNOWN_AFTER in all."""
 
 REPORT_RETENTION_MS = 10_000
-"""A speed report counts for this long; nodes send one each second."""
+"""A speed report counts for this long."""
 
 KNOWN_AFTER = 20
 """First tokens of long prompts from which the speed counts as known."""
@@ -60,8 +58,7 @@
     """A running median that moves in steps on a logarithmic scale.
 
     Attributes:
-      value: the median so far, positive, between lowest and highest.
-      seen: observations so far.
+      value: the median so far, positive.
       first: the first observations, sorted.
     """
 
@@ -90,7 +87,6 @@
 
     Attributes:
       value: the mean so far, or the initial value.
-      seen: observations so far.
     """
 
     value: float
@@ -129,7 +125,6 @@
     Attributes:
       ms_per_token: time to read a prompt token where nothing waits.
       seen: first tokens of long prompts behind it.
-      nodes: number of nodes.
       work: what they sent to the engines recently.
     """
 
@@ -234,9 +229,7 @@
         work: ReadingWork = NO_WORK,
         counts_in: Callable[[str], bool] = lambda source: True,
     ) -> SpeedReport:
-        """Return the average of this node's own report and those received.
-
-        Values are averaged on a logarithmic scale, weighted by their first tokens.
+        """Return the geometric mean of the own report and those received, by first tokens.
 
         Args:
           work: what this node sent.
--- a/plumarch/routing/locality_choice.py
+++ b/plumarch/routing/locality_choice.py
@@ -1,8 +1,8 @@
 """Decides whether a request leaves its region, and to which endpoint.
 
 It leaves if no local endpoint has capacity, or if a remote one is expected to answer sooner,
-network latency included. Nodes decide on the same, partly old figures; to avoid oscillation only a
-fraction leaves, larger for a larger gain, spread at random over about equally good endpoints.
+network latency included. As nodes decide on the same, partly old figures, only a fraction leaves,
+spread at random over about equally good endpoints; this avoids oscillation.
 """
 
 import dataclasses
@@ -15,16 +15,15 @@
 from plumarch.routing import distance
 
 MIN_GAIN = 0.2
-"""Minimum relative gain in expected time before a request leaves its region: learned times are
-imprecise, and traffic between regions is expensive."""
+"""Minimum relative gain in expected time before a request leaves its region, since traffic between
+regions is expensive."""
 
 MAX_SPILL_FRACTION = 0.5
-"""Maximum fraction of requests that leave while the region answers in time, since the effect shows
-in the figures only a second later."""
+"""Maximum fraction of requests that leave while the region answers in time."""
 
 MIN_SPARE_FRACTION = 0.25
-"""Fraction of an endpoint's slots that must be free for remote requests, so that the load of one
-region doesn't make the next one spill over."""
+"""Fraction of an endpoint's slots that must be free for remote requests, so that these don't
+make the next region spill over."""
 
 EQUAL_MARGIN = 0.25
 """Endpoints whose expected time exceeds the best by at most this fraction count as equal."""
@@ -43,8 +42,8 @@
 
     Attributes:
       time_left_ms: until its deadline.
-      enough_ms: an answer expected within this is soon enough; a sooner one has no benefit.
-      late_ms: an answer expected after this counts as late.
+      enough_ms: a sooner answer has no benefit.
+      late_ms: an answer expected after this is late.
       repeated: whether an endpoint failed it before.
     """
 
@@ -72,7 +71,7 @@
 
     @property
     def network_ms(self) -> float:
-        """The part of it that is network latency to another region."""
+        """Network latency to another region."""
         ...
 
     @property
@@ -112,10 +111,7 @@
 def stays_local(
     best: Option | None, remote: Sequence[traffic.Endpoint], terms: Terms, seed: int
 ) -> bool:
-    """Return whether the best local endpoint is used without looking at other regions.
-
-    That holds for repeated requests as well, and for those outside the fraction that may leave.
-    """
+    """Return whether the best local endpoint is used without looking at other regions."""
     if not remote:
         return True
     if best is None:
@@ -159,12 +155,7 @@
 
 
 def spill_fraction(local_ms: float, remote_ms: float, terms: Terms) -> float:
-    """Return the fraction of requests that leave the region.
-
-    Args:
-      local_ms: expected time to the answer at the best local endpoint.
-      remote_ms: expected time to the answer at the best remote one.
-    """
+    """Return the fraction of requests that leave, from the best expected times."""
     gain = 1.0 - remote_ms / max(1.0, local_ms)
     if gain < MIN_GAIN:
         return 0.0
--- a/plumarch/routing/ownership.py
+++ b/plumarch/routing/ownership.py
@@ -1,7 +1,6 @@
 """Assigns each endpoint the node that admits requests to it.
 
-An owner's counts of its endpoint are exact. Owners are in the endpoint's data centre as far as the
-load stays even, since callers are spread evenly over the nodes.
+An owner's counts of its endpoint are exact.
 """
 
 from collections.abc import Iterable
@@ -13,7 +12,6 @@
     """Return the owner of each endpoint.
 
     Args:
-      endpoints: all known endpoints.
       centre_of: live nodes and their data centres.
     Returns:
       Endpoint name to node; endpoints of one kind and target are spread evenly.
@@ -58,7 +56,7 @@
     load: dict[str, int],
     found: dict[str, str],
 ) -> None:
-    """Assign an endpoint to the first node by rendezvous hashing that is under a limit."""
+    """Assign an endpoint to the first node under a limit, by rendezvous hashing."""
     for node in hashing.rendezvous(endpoint.name, nodes):
         if load[node] < limit:
             load[node] += 1
--- a/plumarch/routing/placement.py
+++ b/plumarch/routing/placement.py
@@ -1,6 +1,6 @@
 """Chooses the endpoint of a request by a score in ms of expected wait for the first token.
 
-Prices are converted to ms. Reported loads are old; this node's own counts are exact.
+Reported loads are some seconds old; this node's own counts are exact.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 
 OTHER_DATA_CENTRE_MS = 15.0
 PRICE_MS = 20.0
-"""Wait in ms that a price difference of 1 an hour is worth."""
+"""Wait that a price difference of 1 an hour is worth."""
 
 CACHE_ENTRIES = 512
 """Prefixes recorded for each endpoint."""
@@ -29,13 +29,13 @@
 """How long an ejection lasts before one request probes the endpoint."""
 
 UNREACHABLE_MS = 2_000
-"""After a failed connect an endpoint is used for this long only if there is no other."""
+"""How long an endpoint is a last resort after a failed connect."""
 
 MAX_EJECTED_FRACTION = 0.3
-"""Maximum fraction of a target's endpoints that are ejected at once."""
+"""Of the endpoints of a target."""
 
 SAMPLE = 32
-"""Maximum of endpoints scored for one placement."""
+"""Maximum of endpoints scored."""
 
 SHOWN = 10
 """Endpoints listed in the record of a placement."""
@@ -47,7 +47,7 @@
 """An endpoint that another node owns is used only below this fraction of reported load."""
 
 NOT_OWNED_MS = 200.0
-"""Added to the score of an endpoint that another node owns."""
+"""Added to the score of an endpoint of another owner."""
 
 TRIED_MS = 10_000.0
 """Added to the score of an endpoint that failed the request before."""
@@ -64,7 +64,6 @@
 
     Attributes:
       announced: requests per second that it takes from all nodes together, or None.
-      announced_ms: when an answer announced it last.
       permits: what its owner may still send under that rate.
     """
 
@@ -154,7 +153,7 @@
         return True
 
     def report(self, report: data.LoadReport) -> None:
-        """Apply a load report, which is some seconds old."""
+        """Apply a load report."""
         stats = self.stats.get(report.endpoint)
         if stats is not None:
             stats.reported = report.running + report.queued
@@ -184,16 +183,13 @@
             stats.in_flight -= 1
 
     def unreachable(self, name: str) -> None:
-        """Avoid an endpoint for UNREACHABLE_MS after a failed connect."""
+        """Avoid an endpoint after a failed connect."""
         stats = self.stats.get(name)
         if stats is not None:
             stats.unreachable_until_ms = self.ctx.now() + UNREACHABLE_MS
 
     def back_off(self, name: str, backoff_ms: float) -> None:
-        """Avoid an endpoint for the time that it named when it rejected a request.
-
-        It runs few requests, and would look like the best choice.
-        """
+        """Avoid an endpoint that rejected a request; with few running, it would score best."""
         stats = self.stats.get(name)
         if stats is not None:
             until_ms = self.ctx.now() + endpoint_backoff.bounded_ms(backoff_ms)
@@ -261,11 +257,10 @@
         """Choose the endpoint for a request.
 
         Args:
-          request: what is to run.
           allowed: data centres that its workspace may use; empty means all.
           tried: endpoints that failed it, used again only if there is no other.
         Returns:
-          The endpoint with the best score, or None if none has capacity; and those considered.
+          The best endpoint, or None if none has capacity; and those considered.
         """
         owns_none = not self._owns_usable(request)
         fit: list[tuple[float, str]] = []
@@ -289,8 +284,7 @@
     def _candidates(self, request: data.Request, allowed: frozenset[str]) -> list[data.Endpoint]:
         """Return the endpoints to score: all, or a random sample if there are many.
 
-        The sample bounds the cost of a placement; it includes the last endpoint of the request's
-        prefix.
+        The sample includes the last endpoint of the request's prefix.
         """
         serving = self.by_target.get((request.kind, request.target), [])
         if len(serving) <= SAMPLE:
@@ -316,8 +310,6 @@
         """Return why an endpoint can't take a request, or "" if it can.
 
         Args:
-          endpoint: the endpoint.
-          request: the request.
           allowed: data centres that its workspace may use; empty means all.
           owns_none: this node owns no usable endpoint of the target, so it shares the others'.
         """
@@ -352,7 +344,6 @@
         return ""
 
     def _owns_usable(self, request: data.Request) -> bool:
-        """Return whether this node owns an endpoint of the target that can be used."""
         now = self.ctx.now()
         return any(
             e.name in self.owned
@@ -369,7 +360,7 @@
         return max(1, endpoint.capacity - reserved)
 
     def load(self, name: str) -> int:
-        """Return the requests at an endpoint: own ones exactly, others' as last reported."""
+        """Return the requests at an endpoint; others' are as last reported."""
         stats = self.stats[name]
         if name in self.owned:
             return stats.in_flight
@@ -390,7 +381,7 @@
         return score + endpoint.price * PRICE_MS
 
     def owned_capacity(self, request: data.Request) -> tuple[int, int]:
-        """Return the capacity of a target's endpoints owned by this node, and its use."""
+        """Return the capacity of the target's own endpoints, and its use."""
         total = 0
         used = 0
         for endpoint in self.by_target.get((request.kind, request.target), []):
@@ -400,7 +391,7 @@
         return total, used
 
     def has_target(self, request: data.Request, allowed: frozenset[str]) -> bool:
-        """Return whether any endpoint that is not leaving serves the request's target."""
+        """Return whether any endpoint serves the request's target."""
         return any(
             endpoint.name not in self.leaving and (not allowed or endpoint.data_centre in allowed)
             for endpoint in self.by_target.get((request.kind, request.target), [])
--- a/plumarch/routing/relative_latency.py
+++ b/plumarch/routing/relative_latency.py
@@ -1,8 +1,7 @@
 """Detects endpoints that are slow compared to their peers.
 
-Slow endpoints answer successfully, so failure counts miss them. Connects, first bytes and pending
-requests count, so that an endpoint that hangs is noticed before its request times out. Waits while
-this process was suspended don't count.
+Failure counts miss them. Pending requests count too, so that a hang is noticed before its request
+times out; waits while this process was suspended don't count.
 """
 
 import dataclasses
@@ -36,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Awaited:
-    """A request whose first byte is pending, when it was sent and its expected time."""
+    """A request whose first byte is pending."""
 
     sent_ms: int
     expected_ms: float
@@ -65,7 +64,7 @@
 
     Attributes:
       known: by endpoint identifier.
-      last: the number given to the last request sent.
+      last: number of the last request sent.
     """
 
     clock: clock.Clock
@@ -83,11 +82,7 @@
             self._observe(latency, SLOW_CONNECT_RATIO)
 
     def sent(self, endpoint: str, expected_ms: float) -> int:
-        """Count a request sent.
-
-        Returns:
-          A number that identifies it.
-        """
+        """Count a request sent and return its number."""
         latency = self.known.setdefault(endpoint, EndpointLatency(at_ms=self.clock.now()))
         self.last += 1
         latency.awaited[self.last] = Awaited(self.clock.now(), max(1.0, expected_ms))
@@ -117,7 +112,6 @@
                 self._observe(latency, waited)
 
     def _waited_ms(self, awaited: Awaited) -> float:
-        """Return how long a first byte has been pending, without suspensions."""
         since_ms = awaited.sent_ms
         if self.suspensions.since(since_ms) and self.suspensions.resumed_ms is not None:
             since_ms = self.suspensions.resumed_ms
@@ -133,7 +127,7 @@
         return 1.0 + (latency.mean - 1.0) * math.pow(0.5, (now - latency.at_ms) / HALF_LIFE_MS)
 
     def score(self, endpoint: str) -> float:
-        """Return the relative latency of an endpoint, in multiples of the expected time."""
+        """Return an endpoint's latency in multiples of the expected time."""
         latency = self.known.get(endpoint)
         if latency is None:
             return 1.0
@@ -169,8 +163,8 @@
     ) -> list[traffic.Endpoint]:
         """Return the endpoints without slow outliers.
 
-        A slow endpoint is used only if no other has a free slot, and then only for a fraction of
-        its slots according to its relative latency, so that no request queues there.
+        If no other has a free slot, a slow endpoint is used for a fraction of its slots according
+        to its relative latency, so that no request queues there.
 
         Args:
           running: requests at an endpoint.
--- a/plumarch/routing/return_times.py
+++ b/plumarch/routing/return_times.py
@@ -1,27 +1,23 @@
-"""Retry-After times for rejected requests, by the cause of the rejection.
-
-They are randomized, so that callers rejected together don't come back together.
-"""
+"""Retry-After times, randomized so that callers rejected together don't come back together."""
 
 import math
 import random
 
 MIN_MS = 50.0
-"""A caller that comes back sooner finds the same load."""
 
 MAX_MS = 5_000.0
-"""Later times can't be predicted well enough."""
+"""Bounds of a return time."""
 
 MAX_SPREAD = 0.3
-"""Greatest fraction by which return times are lengthened at random."""
+"""Maximum fraction by which return times are lengthened."""
 
 
 def when_drained(expected_ms: float, target_ms: float) -> float:
     """Return in how many ms a queue is expected to be short enough.
 
     Args:
-      expected_ms: time to the first token expected by a request sent now.
-      target_ms: the time to the first token that is wanted.
+      expected_ms: time to the first token of a request sent now.
+      target_ms: wanted time to the first token.
     """
     return expected_ms - target_ms
 
@@ -30,8 +26,6 @@
     """Return in how many ms a request at full endpoints is expected to end.
 
     Args:
-      running: requests sent to the endpoints and not finished.
-      slots: requests that they work on at once.
       run_ms: mean time that a request occupies a slot.
     """
     ahead = max(1, running - slots + 1)
--- a/plumarch/routing/version_split.py
+++ b/plumarch/routing/version_split.py
@@ -11,16 +11,14 @@
 
 NEW_VERSION_DELAY_MS = 3_000
 """A version new to a service gets no requests for this long, unless it is the only one: its
-endpoints may be announced before the order to roll it out, while no node holds the duty that reads
-orders."""
+endpoints may be announced before the order to roll it out."""
 
 OLD_VERSION_DRAIN_MS = 6_000
 """Old endpoints get no requests for this long after a completion: they stop at once, but their
-entries outlive them by up to three heartbeats. After that, another version may appear without a
-roll-out."""
+entries outlive them by up to three heartbeats."""
 
 PUBLISH_RETENTION_MS = 30_000
-"""How long a finished split is still published; nodes unreachable for longer are forgotten."""
+"""How long a finished split is still published."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -36,7 +34,7 @@
     """The splits of all services, and when each version was first seen.
 
     Attributes:
-      known: the last split of each service.
+      known: by service.
       first_seen: when each version of a service was first ready.
     """
 
@@ -78,7 +76,7 @@
         return [one.split for one in self.known.values() if one.split.state is running]
 
     def to_publish(self) -> list[rollouts.VersionSplit]:
-        """Return the splits to publish: running ones and those that ended recently."""
+        """Return the splits that are running or ended recently."""
         now = self.clock.now()
         running = rollouts.RolloutState.RUNNING
         return [
@@ -123,9 +121,9 @@
     def _without_new(
         self, service: str, versions: set[str], ready: Sequence[traffic.Endpoint]
     ) -> list[traffic.Endpoint]:
-        """Return the endpoints without those of a version first seen just now.
+        """Leave out the endpoints of a version first seen just now.
 
-        If several are first seen together, the highest one counts as the new one.
+        Of several first seen together, the highest is the new one.
         """
         if len(versions) < 2:
             return list(ready)
--- a/plumarch/routing/work_times.py
+++ b/plumarch/routing/work_times.py
@@ -1,6 +1,6 @@
 """Learns how long plain services work on a request, without network latency and queueing.
 
-It is used to predict queueing, so it must not include it.
+The times predict queueing, so they must not include it.
 """
 
 import dataclasses
@@ -8,11 +8,10 @@
 from plumarch.routing import engine_speed
 
 START_WORK_MS = 50.0
-"""Assumed time before any observation; a high one would send requests to other regions."""
+"""Assumed time before any observation."""
 
 MIN_MS = 1.0
 MAX_MS = 60_000.0
-"""Bounds of a learned time."""
 
 
 def _work() -> engine_speed.RunningMedian:
@@ -40,6 +39,6 @@
         known.observe(max(MIN_MS, took_ms))
 
     def expected_ms(self, service: str) -> float:
-        """Return how long a service is expected to work on a request."""
+        """Return the expected time of a service."""
         known = self.by_service.get(service)
         return known.value if known is not None else START_WORK_MS
