--- a/plumarch/limits/attempt_budget.py
+++ b/plumarch/limits/attempt_budget.py
@@ -1,7 +1,7 @@
 """Limits requests that are sent to a further endpoint: this node's share of the fleet's budget.
 
-The fixed part is divided by an upper bound on the number of nodes, so that shares never add up to
-more than the budget. A restarted node has no history and cannot spend its predecessor's again.
+The fixed part is divided by an upper bound on the number of nodes, so that shares never exceed the
+budget together.
 """
 
 import collections
@@ -28,7 +28,7 @@
     Attributes:
       ratio: repeats allowed for each first send.
       extra: additional repeats for the whole fleet in a window.
-      nodes: number of nodes that the extra is divided by.
+      nodes: what the extra is divided by.
     """
 
     clock: clock.Clock
--- a/plumarch/limits/centre_spending.py
+++ b/plumarch/limits/centre_spending.py
@@ -1,9 +1,8 @@
 """Charges the quota spending of other data centres as reported by their coordinators.
 
 All coordinators of a data centre report the same spending, each as counted by itself. Only one
-reporter is charged by; the increases of the others are kept and charged if it stops responding.
-Successive coordinators continue the same ledger: the first sum of a new one is compared with the
-last sum that was charged.
+reporter is charged by; the increases of the others are charged if it stops responding. The first
+sum of its successor in the ledger is compared with the last one charged.
 """
 
 import dataclasses
@@ -15,8 +14,7 @@
 """How long the coordinators of an unresponsive data centre are kept, as long as its nodes."""
 
 MAX_LEDGERS = 4
-"""Ledgers remembered for a data centre. It has one, and up to three for some rounds after all its
-coordinators crashed at once."""
+"""Ledgers remembered for a data centre; it has several after all its coordinators crashed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -41,11 +39,10 @@
 
     Attributes:
       name: its name and incarnation.
-      ledger: the ledger of its sums.
       reported: its sums, by workspace.
-      uncharged: increases since the last report that was charged, by workspace.
-      base: sums that its first ones are compared with. A workspace that is missing there is charged
-        from its first sum on, or completely if the ledger began after this node's start.
+      uncharged: increases since the last charged report, by workspace.
+      base: sums that its first ones are compared with. A missing workspace is charged from its
+        first sum on, or completely if the ledger began after this node's start.
     """
 
     name: str
@@ -56,7 +53,7 @@
     base: Mapping[str, float] = dataclasses.field(default_factory=dict)
 
     def apply_sums(self, sums: Mapping[str, float], now: int) -> None:
-        """Record its sums and the increases since its last ones."""
+        """Record its sums and their increases."""
         self.last_seen_ms = now
         for workspace, spent in sums.items():
             if workspace in self.reported:
@@ -88,7 +85,7 @@
 
     Attributes:
       unresponsive: the last live coordinators of data centres that stopped responding.
-      last_charged: reporters that were charged by last, alive or not, by data centre and ledger.
+      last_charged: last charged reporters, alive or not, by data centre and ledger.
     """
 
     clock: clock.Clock
@@ -112,7 +109,6 @@
           sums: units spent since it began to count, by workspace.
           alive_timeout_ms: time without a report after which a reporter is replaced.
           is_most_senior: whether it considers itself the most senior one, which reports most often.
-          ledger: the ledger of its sums.
         Returns:
           Units to charge now, by workspace.
         """
@@ -147,7 +143,7 @@
         self.last_charged.clear()
 
     def _record_charged(self, data_centre: str, reporter: Reporter) -> None:
-        """Remember the reporter that is charged by, for its successors in the ledger."""
+        """Remember a charged reporter for its successors in the ledger."""
         last = self.last_charged.setdefault(data_centre, {})
         last.pop(reporter.ledger.name, None)
         last[reporter.ledger.name] = reporter
@@ -155,7 +151,7 @@
             del last[next(iter(last))]
 
     def _base(self, data_centre: str, ledger: Ledger) -> Mapping[str, float]:
-        """Return the charged sums of a ledger, to compare a new coordinator's first sums with."""
+        """Return the charged sums of a ledger, which a new coordinator continues."""
         last = self.last_charged.get(data_centre, {}).get(ledger.name)
         return last.reported if last is not None and ledger.name else {}
 
@@ -169,10 +165,7 @@
         known[:] = live
 
     def _returning(self, data_centre: str, name: str, now: int) -> Reporter | None:
-        """Return the earlier record of a coordinator whose data centre responds again.
-
-        The other records are dropped, since its sums include what they reported.
-        """
+        """Return a returning coordinator's record; its sums include those of the others."""
         before = self.unresponsive.pop(data_centre, [])
         found = next((one for one in before if one.name == name), None)
         return found if found is not None and now - found.last_seen_ms <= RETENTION_MS else None
--- a/plumarch/limits/fair_queue.py
+++ b/plumarch/limits/fair_queue.py
@@ -1,8 +1,7 @@
 """Queue of requests that wait for an endpoint.
 
 One bounded line for each workspace, class and target, so that a flood fills only its own. Classes
-are served in order of urgency, workspaces within a class by weighted fair share. Requests past an
-age limit go before chat, so that they do not starve.
+are served by urgency, workspaces within a class by weighted fair share.
 """
 
 import collections
@@ -12,10 +11,9 @@
 from plumarch.core import data
 
 LINE_LIMIT = 200
-"""Maximum requests in a line."""
 
 AGE_LIMIT_MS = 20_000
-"""Age past which a waiting request goes before chat."""
+"""Age past which a request goes before chat, so that it does not starve."""
 
 CLASS_ORDER = tuple(data.RequestClass)
 
@@ -79,10 +77,10 @@
         return any(line.entries for line in self.lines.values() if line.workspace == workspace)
 
     def pop(self, now: int, fits: Fits) -> Entry | None:
-        """Remove and return the next request.
+        """Remove the next request.
 
         Args:
-          now: the time in milliseconds.
+          now: in milliseconds.
           fits: returns whether a request can run at once.
         Returns:
           The entry, or None if no waiting request can run.
--- a/plumarch/limits/memory_account.py
+++ b/plumarch/limits/memory_account.py
@@ -1,7 +1,6 @@
 """Accounts for the bytes that a node buffers for callers and endpoints, with limits.
 
-Slow readers make buffers grow. Limits by purpose, connection and workspace let the node abort a few
-connections instead of running out of memory.
+Slow readers make buffers grow; the node aborts a few connections instead of running out of memory.
 """
 
 import dataclasses
@@ -10,30 +9,26 @@
 from typing import TypeVar
 
 BUDGET_FRACTION = 0.6
-"""Fraction of the process's memory limit that buffers may use. The rest is for the interpreter,
-code, tables, logs and uncollected garbage."""
+"""Fraction of the process's memory limit that buffers may use."""
 
 CONNECTION_FRACTION = 1 / 6
-"""Maximum fraction of the budget for one connection: a few large answers fit, but one caller can't
-bring the node near the load at which requests are rejected."""
+"""Maximum fraction of the budget for one connection."""
 
 WORKSPACE_FRACTION = 1 / 2
-"""Maximum fraction of the budget for one workspace; larger, since a node may serve only one."""
+"""Maximum fraction of the budget for one workspace."""
 
 ANSWERS_FRACTION = 1 / 5
-"""Fraction of the budget for answers, which callers may leave unread for long. Request bodies,
-which arrive before anything ran, get the rest."""
+"""Fraction of the budget for answers, which callers may leave unread for long."""
 
 ANSWERS_WORKSPACE_FRACTION = 3 / 4
-"""Maximum fraction of the answers' memory for one workspace, so that its slow readers leave some to
-others."""
+"""Maximum fraction of the answers' memory for one workspace."""
 
 SMALL_ANSWER_BYTES = 65_536
-"""Complete answers up to this length are bounded by the budget only: slow readers of large answers
-must not block them."""
+"""Complete answers up to this length are bounded by the budget only, so that slow readers of large
+ones don't block them."""
 
 STREAM_FRACTION = 1 / 8
-"""Fraction of the free answers' memory that one stream may use; all streams never fill it."""
+"""Fraction of the free answers' memory that one stream may use."""
 
 BYTES_PER_MB = 2**20
 
@@ -72,8 +67,8 @@
     """Bytes reserved by purpose, connection and workspace, within the budget.
 
     Attributes:
-      budget: maximum reserved bytes.
-      released: bytes released since the start.
+      budget: in bytes.
+      released: bytes, since the start.
       waiting: callbacks, each called once when bytes are released.
     """
 
@@ -95,8 +90,7 @@
         Args:
           size: new size in bytes; 0 ends the reservation.
         Returns:
-          False if a limit would be exceeded: the reservation is unchanged, and the caller must not
-          keep the bytes.
+          False if a limit would be exceeded: the caller must not keep the bytes.
         """
         more = size - reservation.size
         if not more:
@@ -111,7 +105,7 @@
         return True
 
     def assign(self, reservation: Reservation, workspace: str) -> bool:
-        """Set the workspace of a reservation once it is known.
+        """Set the workspace of a reservation.
 
         Returns:
           False if the workspace's limit would be exceeded: the reservation is unchanged.
@@ -146,13 +140,12 @@
     def stream_bound(self, workspace: str) -> int:
         """Return how many unread bytes a stream may buffer now.
 
-        The bound falls with the total of all answers (the dynamic threshold of shared buffers), so
-        that many slow streams share the memory equally.
+        It falls with the total of all answers (the dynamic threshold of shared buffers), so that
+        slow streams share the memory equally.
         """
         return max(0, round(STREAM_FRACTION * self._free_for_answers(workspace)))
 
     def _free_for_answers(self, workspace: str) -> float:
-        """Return the bytes that a workspace's answers may still use."""
         max_answers = ANSWERS_FRACTION * self.budget
         free = max_answers - self.held[Purpose.UNREAD_ANSWERS]
         if not workspace:
--- a/plumarch/limits/memory_admission.py
+++ b/plumarch/limits/memory_admission.py
@@ -1,7 +1,7 @@
 """Rejects new requests while much of a node's memory is reserved.
 
-A request rejected before it ran can go to another node, while one aborted later loses the work
-done. The node therefore rejects early, the least urgent and the largest requests first.
+It rejects early, since an aborted request loses the work done: the least urgent and the largest
+requests first.
 """
 
 import dataclasses
@@ -10,11 +10,10 @@
 
 REFUSAL_START = 0.7
 """Fraction of the budget from which some requests are rejected: above the limits of one workspace
-plus one connection, so that these alone never cause rejections."""
+plus one connection."""
 
 REFUSE_ALL = 0.9
-"""Fraction of the budget from which all requests are rejected; the rest is for answers to running
-requests."""
+"""Fraction of the budget from which all are rejected; the rest is for answers."""
 
 RANKS = 10
 """Ranks of urgency; 0 is the most urgent."""
@@ -27,18 +26,12 @@
 
 MIN_RETRY_AFTER_MS = 200.0
 MAX_RETRY_AFTER_MS = 5_000.0
-"""Bounds of the return time: another request's answer, and half the time after which a caller that
-reads nothing is disconnected."""
+"""Bounds of the return time."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemoryUsage:
-    """Memory use of a node.
-
-    Attributes:
-      total: reserved bytes.
-      budget: maximum reserved bytes.
-    """
+    """Reserved bytes of a node, and their maximum."""
 
     total: int
     budget: int
@@ -54,7 +47,7 @@
 
     Args:
       size: bytes of its body.
-      rank: its urgency; 0 is the most urgent.
+      rank: 0 is the most urgent.
     """
     pressure = usage.pressure()
     if pressure <= 0.0:
@@ -70,8 +63,7 @@
     """Rejects requests and estimates when they can be retried.
 
     Attributes:
-      released: bytes that the account had released at the last update.
-      updated_ms: time of the last update.
+      released: bytes released up to the last update.
       rate: bytes released per ms, averaged.
     """
 
--- a/plumarch/limits/quarantine.py
+++ b/plumarch/limits/quarantine.py
@@ -1,8 +1,7 @@
 """Quarantines requests that are suspected of crashing endpoints.
 
-Load pattern: a request crashes every endpoint that runs it, and its caller repeats it several times
-a second at any node. Nodes exchange what they observed of a request; records merge to the same
-result in any order, duplicates included.
+A request may crash every endpoint that runs it, and its caller repeats it at any node. Records of
+nodes merge to the same result in any order, duplicates included.
 """
 
 import dataclasses
@@ -15,26 +14,23 @@
 """Points of a crash while the request was beginning to run."""
 
 LATE_POINTS = 1
-"""Points of a later crash. A request that crashes its endpoint does so when it is read or in its
-first steps; a long stream must not be blamed for every crash that it outlives."""
+"""Points of a later crash: requests that cause crashes do so early, and a long stream must not be
+blamed for every crash."""
 
 EARLY_MS = 1_000
 """Time from a request's first event within which it is still beginning."""
 
 QUARANTINE_POINTS = 3 * EARLY_POINTS
-"""Points from which a request is quarantined. A bystander may be lost once, and again with its
-repeat, but three crashes at the beginning are no coincidence."""
+"""Points from which a request is quarantined."""
 
 SAME_CRASH_MS = 1_000
-"""Crashes of one endpoint reported within this time are the same one, seen by several nodes; no
-process restarts that soon."""
+"""Crashes of one endpoint reported within this time are the same one, seen by several nodes."""
 
 MAX_CRASHES = 12
-"""Newest crashes kept of a request; enough late ones to quarantine it."""
+"""Newest crashes kept of a request."""
 
 FIRST_TRIAL_MS = 60_000
-"""Time in quarantine before the first trial. Crashed endpoints are replaced by then, and callers of
-a wrongly quarantined request still retry."""
+"""Time in quarantine before the first trial."""
 
 TRIAL_FACTOR = 4
 """Factor by which each further pause is longer."""
@@ -43,17 +39,15 @@
 """Trials after which the pause no longer grows."""
 
 MAX_PAUSE_MS = 4 * 3_600_000
-"""Longest pause between trials."""
 
 SUSPECT_RETENTION_MS = 600_000
-"""Retention of requests with too few points for quarantine; callers repeat within minutes."""
+"""Retention of requests with too few points for quarantine."""
 
 QUARANTINE_RETENTION_MS = 24 * 3_600_000
 """Retention of quarantined requests, from the last crash or trial."""
 
 MAX_SUSPECTS = 2_000
-"""Maximum number of requests remembered; beyond it those with the fewest points are dropped
-first."""
+"""Maximum requests remembered; those with the fewest points are dropped first."""
 
 
 def pause_ms(trials: int) -> int:
@@ -80,15 +74,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Suspect:
-    """What is known of a request that was running when endpoints crashed.
+    """A request that was running when endpoints crashed.
 
     Attributes:
       fingerprint: common to all tries of the request.
       crashes: the newest ones, in order of time.
-      trials: number of trials while it was quarantined.
       tried_ms: when the last trial began; 0 for none.
-      cleared_ms: when an endpoint answered it, or it was cleared; 0 for never. Earlier crashes
-        don't count.
+      cleared_ms: when it was answered or cleared; 0 for never. Earlier crashes don't count.
     """
 
     fingerprint: str
@@ -141,7 +133,6 @@
     Attributes:
       clock: the time of day, since records are shared with other nodes and the store.
       suspects: by fingerprint.
-      answers: requests that were answered recently.
     """
 
     clock: clock.Clock
@@ -166,7 +157,7 @@
     def record_crash(self, fingerprint: str, endpoint: str, points: int) -> bool:
         """Record that an endpoint crashed while it ran a request.
 
-        A recently answered request gets no more points than one that had run for long.
+        A recently answered request gets no more than LATE_POINTS.
 
         Returns:
           Whether this puts the request into quarantine.
@@ -179,7 +170,7 @@
         return not was_quarantined and self.find_quarantined(fingerprint) is not None
 
     def record_answer(self, fingerprint: str) -> bool:
-        """Record that an endpoint answered a request, so that it didn't cause the crashes.
+        """Record that an endpoint answered a request.
 
         Returns:
           Whether it had points.
@@ -201,7 +192,7 @@
         """Record that a trial of a request begins now.
 
         Args:
-          trials: number of trials including this one.
+          trials: including this one.
         """
         self.merge([Suspect(fingerprint, trials=trials, tried_ms=self.clock.now())])
 
@@ -262,10 +253,7 @@
 
 
 def _deduplicate(crashes: Iterable[Crash]) -> list[Crash]:
-    """Return each crash once, in order of time, with the highest points that were reported.
-
-    Several nodes see the same crash within some ms; an endpoint needs seconds to be back.
-    """
+    """Return each crash once, in order of time, with the highest points reported."""
     found: list[Crash] = []
     for crash in sorted(crashes, key=lambda crash: (crash.at_ms, crash.endpoint, -crash.points)):
         duplicate = next((one for one in reversed(found) if _are_same(one, crash)), None)
--- a/plumarch/limits/quota_records.py
+++ b/plumarch/limits/quota_records.py
@@ -8,12 +8,12 @@
     """One workspace's bucket as this node sees it.
 
     Attributes:
-      level: units left of the whole fleet's quota; negative after a large request.
-      share: units left for the reachable nodes; equals the level while all are reachable.
+      level: units left of the fleet's quota; negative after a large request.
+      share: units left for the reachable nodes; the level while all are reachable.
       spent: units that this process admitted since its start.
       charged: units taken off the level, whichever node admitted them.
       settled: whether the level rests on more than this process's short lifetime.
-      overflow: units of refill that did not fit into the full bucket.
+      overflow: units of refill that did not fit.
       own_share: unused units of this node's share of the refill; negative after overuse.
     """
 
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportedBucket:
-    """A bucket as reported by a coordinator, which sees all nodes' spending sooner.
+    """A bucket as reported by a coordinator.
 
     Attributes:
       level: units left, without this node's spending since its last report to the coordinator.
@@ -67,9 +67,8 @@
     """A peer's report on one workspace: its spending since its start, and its level.
 
     Attributes:
-      counted: the portion of its spending that counts as charged at the first report; all of it if
-        None.
-      overdrawn: units by which the nodes reachable from it have less left than their share.
+      counted: portion of its spending that counts as charged at the first report; None: all.
+      overdrawn: as in PeerLevel.
     """
 
     spent: float
--- a/plumarch/limits/quota_tolerance.py
+++ b/plumarch/limits/quota_tolerance.py
@@ -10,11 +10,10 @@
 
 CAPACITY_FRACTION = 0.3
 """Fraction of it by which buckets hold more than the burst, so that a large prompt fits after
-others. The remainder covers nodes that admit at the same moment."""
+others."""
 
 OVERDRAFT_FRACTION = 0.2
-"""Fraction of it by which all groups of nodes that don't reach each other may overdraw their shares
-together, with one large request each."""
+"""Fraction of it by which all groups of a partition may overdraw their shares together."""
 
 FRESH_INTERVAL_MS = 250.0
 """Heartbeat interval beyond which less of the excess is used."""
@@ -35,12 +34,12 @@
     units: float = 0.0
 
     def excess(self, workspace: traffic.Workspace) -> float:
-        """Return the tolerated excess of a workspace in a window."""
+        """Return the tolerated excess in a window."""
         quota = workspace.rate * self.window_ms / 1000.0 + workspace.burst
         return self.ratio * quota + self.units
 
     def refill(self, workspace: traffic.Workspace, update_age_ms: float) -> float:
-        """Return the units per second by which a workspace's bucket refills over all nodes.
+        """Return the refill of a workspace over all nodes in units per second.
 
         Args:
           update_age_ms: time between heartbeats.
@@ -49,7 +48,7 @@
         return workspace.rate + used * self.excess(workspace) * 1000.0 / self.window_ms
 
     def overdraft(self, workspace: traffic.Workspace) -> float:
-        """Return the units that one request on each side of a partition may overdraw, together."""
+        """Return the units that all sides of a partition may overdraw together."""
         return OVERDRAFT_FRACTION * self.excess(workspace)
 
     def capacity(self, workspace: traffic.Workspace, update_age_ms: float) -> float:
@@ -59,5 +58,4 @@
 
     @staticmethod
     def _freshness(update_age_ms: float) -> float:
-        """Return the fraction of the excess that may be used at an update age."""
         return min(1.0, FRESH_INTERVAL_MS / max(1.0, update_age_ms))
--- a/plumarch/limits/rate_allocator.py
+++ b/plumarch/limits/rate_allocator.py
@@ -1,8 +1,7 @@
 """Divides the request rate that an endpoint announces among the nodes that request permits.
 
-Load pattern: an endpoint accepts a few requests a second from hundreds of nodes. Fixed shares would
-be lost at nodes without demand, so one node allocates permits, one per request, to nodes with
-demand. It starts with an empty bucket, since its predecessor's allocations are unknown.
+Fixed shares would be lost at nodes without demand, so one node allocates permits, one per request.
+It starts with an empty bucket, since its predecessor's allocations are unknown.
 """
 
 import dataclasses
@@ -11,8 +10,7 @@
 
 BURST_PERMITS = 2.0
 BURST_S = 0.25
-"""Permits that accumulate without demand: a fixed number, plus those of a short time at high
-rates."""
+"""Permits that accumulate without demand: BURST_PERMITS plus those of BURST_S."""
 
 CONTENDER_MS = 1_000
 """Time after a denial for which a node counts as competing for permits."""
@@ -21,18 +19,16 @@
 """Time without requests after which an endpoint is dropped."""
 
 MAX_ENDPOINTS = 8_192
-"""Maximum number of endpoints remembered, above the size of the largest fleet."""
 
 MIN_PER_S = 0.1
-"""Minimum rate: a probe now and then finds out that an endpoint's limit is over."""
+"""Minimum rate, so that a probe finds out that a limit is over."""
 
 
 def new_bucket(per_s: float, now_ms: int, fraction: float = 1.0) -> token_bucket.TokenBucket:
     """Return an empty bucket of permits.
 
     Args:
-      per_s: the announced rate.
-      fraction: the fraction of it that is allocated here.
+      fraction: of the announced rate that is allocated here.
     """
     most = BURST_PERMITS + BURST_S * per_s
     return token_bucket.TokenBucket(max(MIN_PER_S, per_s) * fraction, most, now_ms)
@@ -44,7 +40,6 @@
 
     Attributes:
       per_s: requests a second, or None without a limit.
-      age_ms: age of the answer.
     """
 
     per_s: float | None
@@ -73,10 +68,9 @@
     """The answer to a request for permits.
 
     Attributes:
-      permits: number of permits granted.
-      announcement: the newest one that is known.
+      announcement: the newest known.
       next_ms: time until the next permit is available.
-      wait_ms: time after which a caller may expect one, behind the nodes denied recently.
+      wait_ms: the same behind the nodes denied recently.
       contenders: nodes denied recently, including the requesting one.
     """
 
@@ -96,8 +90,7 @@
     Attributes:
       per_s: the announced rate, or None without a limit.
       observed_ms: when the answer that announced it came.
-      last_request_ms: time of the last request by any node.
-      bucket: available permits; None without a limit.
+      bucket: None without a limit.
       denied: time of each node's last denial.
     """
 
@@ -119,8 +112,8 @@
         """Answer a node's request.
 
         Args:
-          fraction: the fraction of the fleet that is reachable. The other side of a partition has
-            its own allocator, with the rest of the rate.
+          fraction: of the fleet that is reachable. The other side of a partition has its own
+            allocator, with the rest of the rate.
         """
         now = self.clock.now()
         one = self._updated(request, now)
@@ -169,7 +162,6 @@
 def _bucket_of(
     one: EndpointPermits, per_s: float, fraction: float, now: int
 ) -> token_bucket.TokenBucket:
-    """Return an endpoint's bucket, refilled up to now and set to the given rate."""
     fresh = new_bucket(per_s, now, fraction)
     if one.bucket is None:
         one.bucket = fresh
--- a/plumarch/limits/rate_permits.py
+++ b/plumarch/limits/rate_permits.py
@@ -1,9 +1,8 @@
 """Request rates that endpoints announced to this node, and its permits to send under them.
 
 An announced rate holds for all nodes together; each request needs a permit from the fleet's
-allocator (`rate_allocator`). Permits are requested ahead, by recent demand, so that requests don't
-wait for them. Without an answer of the allocator each node uses an equal share of half the rate, so
-that one and a half times the rate is the maximum.
+allocator (`rate_allocator`), requested ahead by recent demand. Without an answer of the allocator
+each node uses an equal share of half the rate.
 """
 
 import collections
@@ -16,8 +15,7 @@
 
 PERMIT_MS = 1_000
 PERMIT_GAPS = 1.5
-"""Lifetime of a permit: PERMIT_MS plus PERMIT_GAPS times the gap between requests at the rate.
-Unused permits may all be used at once, so they are few at low rates."""
+"""Lifetime of a permit: PERMIT_MS plus PERMIT_GAPS times the gap between requests at the rate."""
 
 DEMAND_MS = 500
 """Time over which recent requests count as demand."""
@@ -29,8 +27,7 @@
 answer to a pending request."""
 
 ANSWER_MS = 500
-"""Time after which an answer counts as lost; a later one may come from a process that was
-suspended."""
+"""Time after which an answer counts as lost."""
 
 UNRESPONSIVE_MS = 1_000
 """Time without an answer after which the node uses its fixed share."""
@@ -39,21 +36,18 @@
 """Fraction of a rate that is divided into fixed shares."""
 
 FIXED_GRACE_MS = 2_000
-"""A turn of the fixed share that is unused for this time is drawn again; otherwise all nodes would
-have one saved when demand begins."""
+"""A turn unused for this time is drawn again; otherwise all nodes would have one saved when demand
+begins."""
 
 MIN_RATE_CHANGE = 0.1
-"""Relative change of a rate from which it is reported; an endpoint may compute its rate for each
-answer."""
+"""Relative change of a rate from which it is reported."""
 
 RETENTION_MS = 600_000
 
 MIN_PAUSE_MS = 250
-"""Minimum pause before missing permits are requested again; at high rates the allocator accumulates
-several meanwhile."""
+"""Minimum pause before missing permits are requested again."""
 
 MAX_PAUSE_MS = 5_000
-"""Maximum pause before a denied permit is requested again."""
 
 REQUESTS_PER_PERMIT = 4
 """Requests for each permit from all competing nodes together."""
@@ -70,12 +64,11 @@
       observed_ms: when the announcing answer came, to whichever node.
       last_noted_per_s: the rate at its last noticeable change.
       permits: expiry of each permit.
-      demand: times of recent requests for the endpoint.
+      demand: times of recent requests.
       sequence: of the last request for permits.
       count: permits that it requested.
       last_request_ms: when it was sent, or None if it was answered.
-      unanswered_since_ms: when the first request without an answer since was sent, or None.
-      pause_until_ms: no permits are requested before.
+      unanswered_since_ms: when the first unanswered request was sent, or None.
       wait_until_ms: when a caller may expect a permit, by the allocator's last answer.
       turn_ms: when the fixed share allows a request, or None while it is unused.
     """
@@ -100,11 +93,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RatePermits:
-    """The endpoints with an announced rate, by name.
-
-    Attributes:
-      nodes: how many nodes share a rate.
-    """
+    """The endpoints with an announced rate, by name."""
 
     clock: clock.Clock
     rng: random.Random
@@ -132,9 +121,7 @@
         return changed
 
     def not_announced(self, endpoint: traffic.Endpoint, sent_ms: int) -> bool:
-        """Record that an answer to a request that ran announced no rate.
-
-        A request sent before the last announcement may have been answered before it.
+        """Record that an answer announced no rate, unless sent before the last announcement.
 
         Returns:
           Whether this ends a limit.
@@ -150,7 +137,7 @@
         """Merge what an answer to another node announced.
 
         Returns:
-          Whether a limit began or ended by that, or its rate changed noticeably.
+          Whether a limit began, ended or changed noticeably.
         """
         observed_ms = self.clock.now() - announcement.age_ms
         one = self.known.get(endpoint.stable_name())
@@ -166,7 +153,6 @@
         return self._set_rate(one, announcement.per_s, observed_ms)
 
     def _set_rate(self, one: LimitedEndpoint, per_s: float | None, observed_ms: int) -> bool:
-        """Set an announced rate, and return whether it changed noticeably."""
         one.per_s, one.observed_ms = per_s, observed_ms
         if not _differs(per_s, one.last_noted_per_s):
             return False
@@ -194,7 +180,7 @@
         return one is None or self._has_permit(one) or self._has_turn(one)
 
     def use(self, endpoint: traffic.Endpoint) -> bool:
-        """Use up a permit for a request.
+        """Use a permit.
 
         Returns:
           Whether there is a limit and there was a permit.
@@ -224,7 +210,7 @@
         """Return the request for permits to send now, or None.
 
         Args:
-          is_needed: whether a request had no permit; otherwise permits are requested ahead.
+          is_needed: whether a request had no permit.
         """
         one = self._limited(endpoint)
         if one is None:
@@ -246,7 +232,7 @@
         return self._message(one, one.sequence, count)
 
     def report(self, endpoint: traffic.Endpoint) -> rate_allocator.PermitRequest | None:
-        """Return a request that reports an announcement, without asking for permits."""
+        """Return a request that only reports an announcement."""
         one = self.known.get(endpoint.stable_name())
         return self._message(one, REPORT, 0) if one is not None else None
 
@@ -258,7 +244,7 @@
         return rate_allocator.PermitRequest(self.node, one.id, sequence, count, announcement)
 
     def is_request_pending(self, endpoint: traffic.Endpoint) -> bool:
-        """Return whether the answer to a request for permits is outstanding."""
+        """Return whether a request for permits is pending."""
         one = self._limited(endpoint)
         if one is None or one.last_request_ms is None:
             return False
@@ -283,7 +269,7 @@
         return changed
 
     def _pause_ms(self, one: LimitedEndpoint, answer: rate_allocator.PermitAnswer) -> float:
-        """Return the pause before missing permits are requested, longer with more contenders."""
+        """Return the pause before the next request, longer with more contenders."""
         others = max(0, answer.contenders - 1)
         spread_ms = 2.0 * others * _gap_ms(one) / REQUESTS_PER_PERMIT
         pause_ms = answer.next_ms + self.rng.uniform(0.0, spread_ms)
@@ -296,7 +282,7 @@
         return bool(one.permits)
 
     def _has_turn(self, one: LimitedEndpoint) -> bool:
-        """Return whether the fixed share allows a request, if the allocator is unresponsive."""
+        """Return whether the fixed share allows a request."""
         now = self.clock.now()
         if one.unanswered_since_ms is None or now - one.unanswered_since_ms < UNRESPONSIVE_MS:
             return False
@@ -329,7 +315,7 @@
         An entry may vanish while its endpoint lives, and come back.
 
         Args:
-          listed: identifiers of the listed endpoints.
+          listed: endpoint identifiers.
         """
         oldest_ms = self.clock.now() - RETENTION_MS
         self.known = {
@@ -340,7 +326,6 @@
 
 
 def _differs(per_s: float | None, noted: float | None) -> bool:
-    """Return whether a limit began or ended, or its rate changed noticeably."""
     if per_s is None or noted is None:
         return per_s is not noted
     return abs(per_s - noted) > MIN_RATE_CHANGE * noted
--- a/plumarch/limits/read_progress.py
+++ b/plumarch/limits/read_progress.py
@@ -4,8 +4,8 @@
 import math
 
 LATE_FACTOR = 3.0
-"""A check this many intervals after the last one shows that this process was suspended: the peer
-was sent nothing meanwhile, and its time starts again."""
+"""A check this many intervals after the last one shows that this process was suspended; the
+peer's time starts again."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -14,9 +14,7 @@
 
     Attributes:
       limit_ms: maximum time without reading.
-      check_interval_ms: time between two checks.
-      bytes_read: bytes read since the start.
-      since_ms: when the last of them were read, or when there was first something to read.
+      since_ms: when bytes were last read, or there was first something to read.
     """
 
     limit_ms: float
--- a/plumarch/limits/recent_answers.py
+++ b/plumarch/limits/recent_answers.py
@@ -1,7 +1,7 @@
 """Requests that endpoints answered recently, on this node.
 
-Common requests, such as status checks, are running at almost any endpoint that crashes; a recent
-answer shows that such a request is not the cause.
+Common requests run at almost any endpoint that crashes; an answer shows that they are not the
+cause.
 """
 
 import dataclasses
@@ -9,10 +9,9 @@
 from plumarch.core import clock
 
 RETENTION_MS = 60_000
-"""Retention of an answer, as long as the first pause of the quarantine."""
+"""As long as the first pause of the quarantine."""
 
 MAX_ENTRIES = 4_096
-"""Maximum number of requests remembered."""
 
 
 @dataclasses.dataclass(slots=True)
--- a/plumarch/limits/retry_budget.py
+++ b/plumarch/limits/retry_budget.py
@@ -6,7 +6,7 @@
 """Retries earned by each first try."""
 
 MAX_SAVED = 20.0
-"""Maximum number of retries that a workspace saves."""
+"""Maximum retries that a workspace saves."""
 
 INITIAL_RETRIES = 5.0
 """Retries that a workspace starts with."""
--- a/plumarch/limits/workspace_quota.py
+++ b/plumarch/limits/workspace_quota.py
@@ -1,12 +1,10 @@
 """Quotas of workspaces, enforced over all nodes without a write per request.
 
 Every node keeps the same token bucket for each workspace and charges it with its own admissions and
-with those that peers report in heartbeats. While some nodes are unreachable, a node admits only
-from the share of the reachable ones, so that separated groups never exceed the quota together.
-
-Buckets refill faster by a fraction of the excess that the deployment tolerates; the rest covers
-requests that nodes admit before they receive each other's reports. A starting node has an empty
-bucket, since it does not know what its predecessor spent, and takes over a settled peer's level.
+those that peers report. While some nodes are unreachable, it admits only from the share of the
+reachable ones, so that separated groups never exceed the quota together. A starting node has an
+empty bucket, since it does not know what its predecessor spent, and takes over a settled peer's
+level.
 """
 
 import collections
@@ -20,28 +18,25 @@
 """Process age from which a new workspace starts with a full bucket."""
 
 AMPLE_FRACTION = 0.15
-"""Fraction of the bucket's capacity below which a node also needs its own share of the refill.
-Otherwise all nodes would admit from the same few units before they receive each other's reports."""
+"""Fraction of the capacity below which a node also needs its own share of the refill; otherwise all
+nodes would admit from the same few units."""
 
 OWN_SHARE_MS = 500
 """Time for which a node accumulates its share of the refill, or may be overdrawn while there is
-ample: the delay of reports over two tiers of a fleet, with a margin for large requests."""
+ample."""
 
 LEAST_URGENT_RANK = 2
 """Rank from which requests leave what a bucket holds beyond the burst to more urgent ones."""
 
 RESERVED_BURST_FRACTION = 0.35
-"""Upper bound of what they leave, as a fraction of the burst; it matters where the tolerated excess
-is far larger than the quota."""
+"""Upper bound of what they leave, as a fraction of the burst."""
 
 RESYNC_MS = 1_000
-"""Time for which lower levels are taken over after a new peer's first report, long enough for
-several heartbeats. A process that started during a partition learns in no other way what the other
-side admitted."""
+"""Time for which lower levels are taken over after a new peer's first report: a process that
+started during a partition learns in no other way what the other side admitted."""
 
 LAST_SEEN_WINDOW_MS = 900
-"""Maximum time since an unreachable node's last heartbeat: the time after which reports are no
-longer fresh, plus a heartbeat interval."""
+"""Maximum time since an unreachable node's last heartbeat."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -50,14 +45,14 @@
 
     Attributes:
       fraction: the reachable fraction of all nodes, including this one.
-      admitting_nodes: number of nodes that admit before they receive each other's reports; 1 where
-        nodes report to each other at once.
+      admitting_nodes: nodes that admit before they receive each other's reports; 1 where nodes
+        report to each other at once.
       update_age_ms: time between heartbeats of a node.
-      workspaces: those of the configuration in force, by name.
-      heard: units that nodes and groups reported as spent, by source and workspace.
-      overflow_before: overflow at the last report of a group, by group and workspace.
-      charged_by: units charged since this process started, over all workspaces, by who admitted
-        them: "" for this node, a node's name, or a group of nodes.
+      workspaces: by name.
+      heard: units reported as spent, by source and workspace.
+      overflow_before: overflow at the last report, by source and workspace.
+      charged_by: units charged since the start, by who admitted them: "" for this node, a node's
+        name, or a group of nodes.
       resync_until_ms: until when lower levels are taken over from peers.
       charge_history: charged units at recent times, by workspace.
     """
@@ -88,7 +83,7 @@
         """Charge a request.
 
         Args:
-          rank: its urgency, 0 first; the least urgent ones leave a portion of the bucket to the
+          rank: 0 is the most urgent; the least urgent ones leave a portion of the bucket to the
             others, so that a large urgent prompt fits after many small ones.
         Returns:
           0 if it is admitted; otherwise the milliseconds after which it may be.
@@ -117,23 +112,22 @@
         return 0.0
 
     def _is_ample(self, workspace: traffic.Workspace, available: float) -> bool:
-        """Return whether so much is available that this node's own share need not be checked."""
+        """Return whether the own share need not be checked."""
         capacity = self.tolerance.capacity(workspace, self.update_age_ms)
         return available >= AMPLE_FRACTION * capacity * self.fraction
 
     def _own_share_refill(self, workspace: traffic.Workspace) -> float:
-        """Return this node's share of the refill in units per second."""
+        """Return the own refill in units per second."""
         return self.tolerance.refill(workspace, self.update_age_ms) / self.admitting_nodes
 
     def _max_own_share(self, workspace: traffic.Workspace) -> float:
-        """Return the units of its share that this node may accumulate, or overdraw."""
         return self._own_share_refill(workspace) * OWN_SHARE_MS / 1000.0
 
     def _min_level(self, workspace: traffic.Workspace, units: float) -> float:
         """Return the level from which a request larger than the capacity is admitted.
 
-        A complete fleet admits requests larger than the burst once the bucket holds the burst. A
-        small group rejects them; nodes of a larger one can serve the caller.
+        A complete fleet admits it once the bucket holds the burst. A small group rejects it; nodes
+        of a larger one can serve the caller.
         """
         overdraft = self.tolerance.overdraft(workspace) * self.fraction
         burst = workspace.burst * self.fraction
@@ -194,7 +188,7 @@
         Nobody reports what it had admitted, which may be its complete share.
 
         Args:
-          share: the fraction of the fleet that it was.
+          share: its fraction of the fleet.
         """
         self.refill_all()
         unheard = 1.0 - self.fraction
@@ -205,17 +199,13 @@
             bucket.level -= used
 
     def _record_charges(self, now: int) -> None:
-        """Record the units charged so far, and prune the history."""
         charged = {name: bucket.charged for name, bucket in self.buckets.items()}
         self.charge_history.append((now, charged))
         while now - self.charge_history[0][0] > LAST_SEEN_WINDOW_MS:
             self.charge_history.popleft()
 
     def _charged_since_last_seen(self, name: str) -> float:
-        """Return the units charged since nodes that are unreachable now were last seen.
-
-        Both sides admitted from the complete level in that time and share these units.
-        """
+        """Return the units charged since nodes became unreachable, which both sides share."""
         before = self.charge_history[0][1] if self.charge_history else {}
         if name not in before:
             return 0.0
@@ -245,8 +235,8 @@
     def total_charged(self) -> float:
         """Return what all nodes admitted while they were reachable.
 
-        What a node admitted before its first report is left out: its sum since its start would
-        look like the requests of one moment. The total falls when a workspace is dropped.
+        What a node admitted before its first report is left out: it would look like the requests
+        of one moment. The total falls when a workspace is dropped.
         """
         return sum(bucket.charged for bucket in self.buckets.values())
 
@@ -263,7 +253,7 @@
           node: the peer's incarnation.
           spending: by workspace.
           after_gap: whether it was unreachable since its last report.
-          share: the fraction of the fleet that one node is.
+          share: one node's fraction of the fleet.
         Returns:
           What was charged, by workspace.
         """
@@ -298,8 +288,8 @@
     ) -> dict[str, float]:
         """Apply a peer's first report.
 
-        Its spending that no coordinator has counted is charged, up to a full bucket; otherwise it
-        would stay missing from all buckets when a new coordinator replaces those that crashed.
+        Spending that no coordinator has counted is charged, up to a full bucket; otherwise it would
+        be lost when a new coordinator replaces crashed ones.
         """
         workspace = self.workspaces[name]
         self.heard[(node, name)] = reported.spent
@@ -349,9 +339,9 @@
           group: key of its sums.
           charged: units since the last sum, by workspace.
           levels: its levels, by workspace; taken over by a node that is not settled.
-          resync: whether it is reachable again: then lower levels are taken over, since this node
-            may have missed reports.
-          share: the fraction of the fleet's nodes that the group is.
+          resync: whether it is reachable again: then lower levels are taken over, since reports
+            may have been missed.
+          share: its fraction of the fleet's nodes.
         """
         self.refill_all()
         for name, units in charged.items():
@@ -373,11 +363,11 @@
         """Return the units to charge of what a group admitted while it was unreachable.
 
         Meanwhile this bucket was refilled for the complete fleet and overflowed. The group's use
-        of its share of the refill is not charged, except for what it may have admitted at once
-        just now: its share of a full bucket.
+        of its refill is not charged, except for what it may have admitted just now: its share of a
+        full bucket.
 
         Args:
-          key: the group and the workspace.
+          key: group and workspace.
         """
         bucket, workspace = self.buckets[key[1]], self.workspaces[key[1]]
         before = self.overflow_before.get(key)
@@ -397,7 +387,7 @@
         """Take over a coordinator's buckets; others are unchanged.
 
         Args:
-          fraction: the fraction of all nodes that is reachable from it.
+          fraction: of all nodes that it reaches.
         """
         self.set_reachable_fraction(fraction)
         for name, one in reported.items():
