--- a/plumarch/fleet/decider.py
+++ b/plumarch/fleet/decider.py
@@ -10,10 +10,10 @@
 from plumarch.routing import placement
 
 PEAK_MS = 60_000
-"""Window of peak demand; VMs take about as long to start."""
+"""Window of peak demand."""
 
 RECLAIM_MEMORY_MS = 6 * 3_600_000
-"""Window of reclaims that make up a class's rate."""
+"""Window of a class's reclaim rate."""
 
 MUST_NOT_WAIT = frozenset({data.RequestClass.LOOKUP, data.RequestClass.CHAT})
 MS_PER_H = 3_600_000
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """A target's demand in the region at a time."""
+    """A target's demand at a time."""
 
     at_ms: int
     requests: int
@@ -51,7 +51,7 @@
         self.reclaims: list[tuple[int, str, str]] = []
 
     def own_demand(self) -> list[tuple[str, int, int]]:
-        """Return this node's concurrent requests by target: all, and the urgent ones."""
+        """Return this node's requests by target: all, and the urgent ones."""
         found: dict[str, list[int]] = {}
         for run in self.table.active.values():
             if run.phase not in (runs.Phase.QUEUED, runs.Phase.RUNNING):
@@ -81,7 +81,7 @@
                 del self.samples[target]
 
     def demand(self, target: str) -> plan.Demand:
-        """Return the peak demand for a target over PEAK_MS."""
+        """Return the peak demand for a target."""
         samples = self.samples.get(target, [])
         requests = max((s.requests for s in samples), default=0)
         urgent = max((s.urgent for s in samples), default=0)
@@ -124,7 +124,7 @@
         ]
 
     def vms(self, target: str) -> list[plan.FleetVm]:
-        """Return a target's VMs, including those ordered and not listed yet."""
+        """Return a target's VMs, ordered ones included."""
         found = [
             plan.FleetVm(
                 e.name,
@@ -151,7 +151,7 @@
         return found
 
     def targets(self) -> list[str]:
-        """Return the models and services that the workspaces use."""
+        """Return the models and services in use."""
         found = set(self.samples)
         for workspace in self.config.workspaces.values():
             found.add(workspace.model)
@@ -159,7 +159,7 @@
         return sorted(found)
 
     def _centres(self, target: str) -> list[str]:
-        """Return the data centres allowed by a target's workspaces that have offers."""
+        """Return the allowed data centres that have offers."""
         sold = {offer.data_centre for offer in self.offers}
         allowed: set[str] = set()
         for workspace in self.config.workspaces.values():
@@ -186,7 +186,7 @@
         return found
 
     def wanted(self) -> list[tuple[str, str, int, int]]:
-        """Return rows of target, data centre, wanted and present capacity, for operators."""
+        """Return rows of target, data centre, wanted and present capacity."""
         rows = []
         for target in self.targets():
             centres = self._centres(target)
--- a/plumarch/fleet/duty_lease.py
+++ b/plumarch/fleet/duty_lease.py
@@ -1,7 +1,6 @@
 """Record of the duty lease: holder, fencing token and usage windows.
 
-Conditional writes ensure that no two nodes act under one token, whatever the clocks say; the
-platform ignores calls with an older token.
+Conditional writes ensure that no two nodes act under one token, whatever the clocks say.
 """
 
 import dataclasses
@@ -20,7 +19,7 @@
 
     Attributes:
       began_ms: wall-clock time at which its order was first seen.
-      stage: as of fleet.rollout.
+      stage: of fleet.rollout.
     """
 
     version: str
@@ -36,8 +35,8 @@
       token: the holder's fencing token.
       windows: counts of the newest usage windows, stored before they are reported.
       sizes: endpoints that each service needs, for the next holder.
-      rollouts: the last roll-out of each service.
-      renewals: number of writes that only renewed the lease.
+      rollouts: the last one of each service.
+      renewals: writes that only renewed the lease.
     """
 
     holder: str
@@ -87,11 +86,7 @@
 def with_window(
     stored: StoredRecord, window: int, counts: dict[str, int], sizes: dict[str, int]
 ) -> StoredRecord:
-    """Return the record with a window's counts, unless it has counts of that window.
-
-    Args:
-      sizes: endpoints that services need now, for the next holder.
-    """
+    """Return the record with a window's counts; existing ones stay."""
     windows = dict(stored.record.windows)
     windows.setdefault(str(window), counts)
     newest = sorted(windows, key=int)[-RETAINED_WINDOWS:]
@@ -104,7 +99,7 @@
 
 
 def with_rollout(stored: StoredRecord, service: str, rollout: RolloutRecord) -> StoredRecord:
-    """Return the record with the progress of a service's roll-out."""
+    """Return the record with a roll-out's progress."""
     rollouts = {**stored.record.rollouts, service: rollout}
     return StoredRecord(msgspec.structs.replace(stored.record, rollouts=rollouts), stored.revision)
 
@@ -120,8 +115,7 @@
     """Tracks for how long a record has stayed unchanged.
 
     Attributes:
-      revision: at the last check.
-      since_ms: when this revision was first seen.
+      since_ms: when the revision was first seen.
       checked_ms: time of the last check.
     """
 
@@ -135,7 +129,7 @@
         Args:
           pause_ms: a longer pause between two checks restarts the time.
         Returns:
-          The time for which it is known to be unchanged.
+          The time for which it is unchanged.
         """
         if stored.revision != self.revision or now - self.checked_ms > pause_ms:
             self.revision = stored.revision
@@ -145,7 +139,7 @@
 
 
 def is_mine(stored: StoredRecord | None, node: str, incarnation: int) -> bool:
-    """Return whether a record names this process as the holder."""
+    """Return whether a record names this process."""
     if stored is None:
         return False
     return stored.record.holder == node and stored.record.incarnation == incarnation
--- a/plumarch/fleet/engine_demand.py
+++ b/plumarch/fleet/engine_demand.py
@@ -7,11 +7,10 @@
 from plumarch.routing import engine_speed
 
 MAX_READ_FRACTION = 0.5
-"""Maximum fraction of time that engines spend reading prompts, at the speed of idle engines; beyond
-it the first tokens of long prompts queue up."""
+"""Maximum fraction of time that engines spend reading prompts, at the speed of idle engines."""
 
 MAX_CAPACITY_FRACTION = 0.6
-"""Maximum average fraction of the capacity in use; the rest absorbs bursts."""
+"""Maximum average fraction of the capacity in use."""
 
 HALF_LIFE_MS = 8_000.0
 """Half-life of the weight of sent requests."""
@@ -23,8 +22,7 @@
     """Return how many engines are needed.
 
     Args:
-      read_tokens_per_s: prompt tokens to be read, over all nodes.
-      ms_per_token: typical time to read a token.
+      read_tokens_per_s: prompt tokens, over all nodes.
       running: concurrent requests, over all nodes.
       capacity: concurrent requests that an engine takes.
     """
@@ -35,12 +33,11 @@
 
 @dataclasses.dataclass(slots=True)
 class SentWork:
-    """Work that this node sent to engines recently, with exponential decay.
+    """Work that this node sent to engines, with exponential decay.
 
     Attributes:
       units: charged to quotas, over all services.
-      unread: prompt tokens to be read, by service, including those of requests rejected by busy
-        engines.
+      unread: prompt tokens to be read, by service, those of rejected requests included.
     """
 
     clock: clock.Clock
--- a/plumarch/fleet/engine_firm.py
+++ b/plumarch/fleet/engine_firm.py
@@ -17,7 +17,7 @@
     """Spread firm endpoints over the data centres, within the limits.
 
     Args:
-      needed: endpoints of both kinds that all callers need.
+      needed: endpoints of both kinds.
       total: firm endpoints to place.
       spot: spot endpoints that run or boot, by data centre.
     """
--- a/plumarch/fleet/engine_plan.py
+++ b/plumarch/fleet/engine_plan.py
@@ -1,8 +1,7 @@
 """Plans the spot and firm endpoints of a service in each data centre.
 
-Demand runs on spot endpoints spread over all data centres; firm ones are ordered only while too
-few endpoints are left and spot ones are refused. Orders are absolute counts and thus idempotent.
-A node that does not know the demand yet shrinks nothing.
+Demand runs on spot endpoints spread over all data centres; firm ones are ordered only while too few
+are left and spot ones are refused. Orders are absolute counts and thus idempotent.
 """
 
 import dataclasses
@@ -13,11 +12,11 @@
 from plumarch.fleet import engine_firm, engine_pools, engine_regions, region_demand
 
 MIN_READY_FRACTION = 0.85
-"""Fraction of the needed endpoints below which the more expensive firm ones are ordered."""
+"""Fraction of the needed endpoints below which firm ones are ordered."""
 
 LOST_AT_ONCE = 1.5
-"""Number of data centres whose loss leaves enough spot endpoints. More than one, since further ones
-may be reclaimed before firm endpoints have booted."""
+"""Number of data centres whose loss leaves enough spot endpoints; more than one, since further ones
+may be reclaimed while firm endpoints boot."""
 
 LOST_WHILE_REFUSED = 2
 """Data centres that may be reclaimed while a firm endpoint boots and spot ones are refused."""
@@ -33,24 +32,23 @@
 """Weight of the past in rising demand; lower, since a shortage costs more than a surplus."""
 
 DEMAND_SAMPLES = 3
-"""Samples with requests and a known engine speed after which the demand is known."""
+"""Samples after which the demand is known."""
 
 NO_SHRINK_SAMPLES = 10
-"""Samples during which a new holder shrinks nothing: callers and nodes return gradually after an
-outage."""
+"""Samples during which a new holder shrinks nothing: callers return gradually after an outage."""
 
 SETTLE_MS = 1_000
-"""Delay of the first order, in which existing endpoints register."""
+"""Delay of the first order, while existing endpoints register."""
 
 INITIAL_WINDOW_MS = 4_000
 """Endpoints that register within this time of the plan's start are the initial ones."""
 
 REGISTRATION_QUIET_MS = 900
-"""At the first start, no order is sent until no endpoint has registered for this time: one released
-before it registers would not be counted."""
+"""At the first start, no order is sent until no endpoint has registered for this time, so that all
+are counted."""
 
 SHRINK_MARGIN = 0.8
-"""The plan shrinks once demand is below this fraction of what the endpoints carry."""
+"""The plan shrinks below this fraction of what the endpoints carry."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -58,18 +56,17 @@
     """The plan for one service.
 
     Attributes:
-      first_start: whether the whole system starts for the first time, so that firm endpoints may
-        be released before spot ones run.
-      initial_endpoints: endpoints that were there at the first start.
-      initial_count: their number, or the number that the previous holder needed; in force until
-        the demand is known.
-      running_count: endpoints needed by what ran when this plan started; in force if neither the
+      first_start: whether the system starts for the first time, so that firm endpoints may be
+        released before spot ones run.
+      initial_endpoints: names at the first start.
+      initial_count: their number, or what the previous holder needed; in force until the demand is
+        known.
+      running_count: endpoints needed by what ran when this plan started; in force if neither
         demand nor initial_count is known.
-      demand: endpoints that the requests of all nodes need, smoothed.
-      samples: consecutive samples of demand.
+      demand: endpoints that all requests need, smoothed.
       sized_for: endpoints that the demand needed last.
       last_new_ms: when an initial endpoint registered last.
-      spot_placement: spot endpoints that were wanted last, by data centre.
+      spot_placement: spot endpoints wanted last, by data centre.
     """
 
     clock: clock.Clock
@@ -92,10 +89,10 @@
     def sample_demand(
         self, engines: float, speed_known: bool = True, fleet_reachable: bool = True
     ) -> None:
-        """Add a sample of the endpoints needed; demand rises faster than it falls.
+        """Add a sample of the endpoints needed.
 
         Args:
-          speed_known: whether the engines' speed is known; if not, the demand may be higher.
+          speed_known: if not, the demand may be higher.
           fleet_reachable: whether nearly all nodes report; if not, the demand only rises.
         """
         if engines > 0 and speed_known and fleet_reachable:
@@ -121,7 +118,7 @@
         self.initial_count = max(self.initial_count, size)
 
     def size(self) -> int:
-        """Return how many endpoints are needed, before limits."""
+        """Return the endpoints needed, before limits."""
         return max(
             self.sized_for, 0 if self._demand_known() else self.initial_count or self.running_count
         )
@@ -130,7 +127,7 @@
         return self.samples >= DEMAND_SAMPLES
 
     def needed(self, scaling: traffic.Scaling) -> int:
-        """Return how many endpoints are needed, within limits."""
+        """Return the endpoints needed, within limits."""
         self._follow_demand()
         centres = len(scaling.prices)
         maximum = scaling.maximum * centres
@@ -146,7 +143,7 @@
         return LOST_AT_ONCE if self._demand_known() or not self.initial_endpoints else 0.0
 
     def spot_wanted(self, scaling: traffic.Scaling) -> int:
-        """Return how many spot endpoints are wanted, reserve included."""
+        """Return the spot endpoints wanted, reserve included."""
         needed = self.needed(scaling)
         centres = len(scaling.prices)
         left = max(1.0, centres - self._lost_at_once())
@@ -181,7 +178,6 @@
     def _spot_counts(
         self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> dict[str, int]:
-        """Return spot counts by data centre, spread evenly or by region."""
         if not self._over_regions(scaling):
             return engine_pools.spread(self.spot_wanted(scaling), scaling)
         known = self.regions if self._demand_known() else self.regions.without_shares()
@@ -194,7 +190,7 @@
         )
 
     def _keeps_running(self) -> bool:
-        """Return whether running endpoints are kept, since too little of the demand is known."""
+        """Return whether running endpoints are kept for lack of samples."""
         return not self.initial_endpoints and self.samples < NO_SHRINK_SAMPLES
 
     def _firm_wanted(
@@ -202,8 +198,8 @@
     ) -> dict[str, int]:
         """Return firm counts: the shortfall below MIN_READY_FRACTION, where it is cheapest.
 
-        Spot endpoints that boot count; running firm ones stay until those are ready. While spot
-        orders are refused, firm ones cover the next losses as well.
+        Booting spot endpoints count; running firm ones stay until those are ready. While spot
+        orders are refused, firm ones cover the next losses too.
         """
         if self._is_initial_start(ready):
             return self._initial_firm(scaling, ready)
@@ -222,7 +218,7 @@
     def _shortage_after_losses(
         self, scaling: traffic.Scaling, ready: Mapping[engine_pools.Pool, int]
     ) -> int:
-        """Return the shortfall of endpoints once further data centres are reclaimed."""
+        """Return the shortfall after further losses."""
         spot = [count for pool, count in ready.items() if pool.spot]
         if self._over_regions(scaling):
             # Spot endpoints ordered as replacements boot as fast as firm ones.
@@ -235,8 +231,7 @@
     ) -> dict[str, int]:
         """Return firm counts at the first start: the minimum, then none.
 
-        The platform's minimum covers both kinds, so the last firm endpoint can be released only
-        after a spot order.
+        The platform's minimum covers both kinds, so a spot order comes first.
         """
         counts = {}
         for name in scaling.prices:
@@ -273,7 +268,7 @@
         return found
 
     def _refusing_centres(self) -> frozenset[str]:
-        """Return the data centres that refused spot orders recently."""
+        """Return where spot orders were refused recently."""
         now = self.clock.now()
         return frozenset(
             pool.data_centre
@@ -293,8 +288,7 @@
         """Return the orders that are due now, releases first.
 
         Args:
-          may_shrink: whether endpoints may be released; not during a roll-out, since an order
-            names no version.
+          may_shrink: false during a roll-out, since an order names no version.
         """
         ready = engine_pools.ready(self.service, endpoints)
         if not self._settled():
@@ -313,8 +307,7 @@
     def observe_endpoints(self, endpoints: Iterable[traffic.Endpoint]) -> None:
         """Record the initial endpoints of the first start, or those that run at a later one.
 
-        At the first start firm endpoints count in any state: the plan may already release some
-        while others still register.
+        At the first start firm endpoints count in any state: some may be released already.
         """
         now = self.clock.now()
         if self.began_ms is None:
@@ -340,7 +333,7 @@
         self.running_count = max(self.running_count, retained)
 
     def _settled(self) -> bool:
-        """Return whether endpoints had time to register, so that orders may be sent."""
+        """Return whether endpoints had time to register."""
         if self.began_ms is None:
             return False
         now = self.clock.now()
@@ -350,7 +343,7 @@
         return now - self.began_ms >= SETTLE_MS
 
     def _is_initial_start(self, ready: Mapping[engine_pools.Pool, int]) -> bool:
-        """Return whether firm endpoints may go at once: no demand, no refusal, no spot yet."""
+        """Return whether firm endpoints may go at once."""
         if not self.first_start or self.demand > 0:
             return False
         if any(last.refused for last in self.last_orders.values()):
@@ -378,6 +371,6 @@
         return self._overdue(last, scaling)
 
     def ordered(self, order: records.EngineOrder, refused: bool) -> None:
-        """Record an order that was sent, and whether the platform refused it."""
+        """Record an order and whether it was refused."""
         pool = engine_pools.Pool(order.data_centre, order.spot)
         self.last_orders[pool] = engine_pools.LastOrder(order.count, self.clock.now(), refused)
--- a/plumarch/fleet/engine_pools.py
+++ b/plumarch/fleet/engine_pools.py
@@ -20,7 +20,7 @@
 
     Attributes:
       refused: whether the platform had no such endpoint.
-      max_ready: highest number of ready endpoints in the pool since the order.
+      max_ready: highest number of ready endpoints since then.
     """
 
     count: int
@@ -42,7 +42,7 @@
 
 
 def ready(service: str, endpoints: Iterable[traffic.Endpoint]) -> dict[Pool, int]:
-    """Return the number of ready endpoints of a service by pool."""
+    """Return the ready endpoints of a service by pool."""
     found: dict[Pool, int] = {}
     for endpoint in endpoints:
         if endpoint.service == service and endpoint.state is traffic.EndpointState.READY:
--- a/plumarch/fleet/engine_regions.py
+++ b/plumarch/fleet/engine_regions.py
@@ -1,4 +1,4 @@
-"""Endpoint counts by data centre for services whose data centres lie in several regions."""
+"""Endpoint counts by data centre for services in several regions."""
 
 import dataclasses
 import math
@@ -34,13 +34,13 @@
 ) -> dict[str, int]:
     """Return spot endpoints by data centre: those needed and a reserve.
 
-    While some data centres refuse, the others carry the need and the reserve without them: spot
-    endpoints boot as fast as firm ones and are cheaper.
+    While some data centres refuse, the others carry both: spot endpoints boot as fast as firm ones
+    and are cheaper.
 
     Args:
       lost: data centres that may be lost at once.
-      refused: data centres that refused spot orders recently.
-      next_loss: what must survive a further loss while some refuse.
+      refused: data centres that refused spot orders.
+      next_loss: what must survive a further loss then.
     """
     counts = dict(_placement(scaling, regions, needed, lost, frozenset()).counts)
     if not refused or len(refused) == len(scaling.prices):
@@ -83,10 +83,7 @@
 ) -> dict[str, int]:
     """Return counts that shrink nothing in partially reachable regions.
 
-    There the last spot orders are kept as well, so that reclaimed endpoints are replaced.
-
-    Args:
-      spot: whether the counts are of spot endpoints.
+    There the last spot orders are kept too, so that reclaimed endpoints are replaced.
     """
     retained = dict(counts)
     for name in counts:
@@ -123,7 +120,7 @@
     wanted: Mapping[str, int],
     last_orders: Mapping[engine_pools.Pool, engine_pools.LastOrder],
 ) -> dict[str, int]:
-    """Return spot endpoints including those that are about to be ordered.
+    """Return spot endpoints including those about to be ordered.
 
     Otherwise firm endpoints would be ordered beside them and released right after.
 
@@ -144,7 +141,7 @@
     needed: int,
     here: Mapping[str, int],
 ) -> dict[str, int]:
-    """Return how many endpoints each region lacks for its local demand.
+    """Return the endpoints that each region lacks for local demand.
 
     Args:
       here: endpoints by data centre.
@@ -159,7 +156,7 @@
 def firm_cost(
     regions: region_demand.RegionView, data_centre: str, price: float, lacks: Mapping[str, int]
 ) -> float:
-    """Return the price of a firm endpoint, weighted by the latency of the requests it serves."""
+    """Return the price of a firm endpoint, weighted by latency."""
     if max(lacks.values(), default=0) <= 0 or lacks.get(regions.of(data_centre), 0) > 0:
         return price
     if regions.latency_fraction > engine_reserve.MAX_LATENCY_FRACTION:
--- a/plumarch/fleet/engine_reserve.py
+++ b/plumarch/fleet/engine_reserve.py
@@ -10,12 +10,10 @@
 from collections.abc import Iterable, Mapping
 
 MAX_LATENCY_FRACTION = 0.2
-"""Fraction of the first-token target that latency to a remote region may take, for endpoints there
-to count as a reserve."""
+"""Fraction of the first-token target that latency to a reserve may take."""
 
 LOCAL_FRACTION = 0.85
-"""Minimum fraction of a region's demand that is placed in it. Needs include headroom, so that the
-region still serves its callers in calm times."""
+"""Minimum fraction of a region's demand that is placed in it; the need includes headroom."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -40,7 +38,7 @@
     """Endpoints by data centre, as pairs of name and count.
 
     Attributes:
-      cost: price of a second, weighted by latency to remote regions.
+      cost: price of a second, weighted by latency.
       survivors: endpoints left after the loss to be covered.
     """
 
@@ -56,9 +54,9 @@
     """Return the cheapest placement that leaves what is needed after a loss.
 
     Args:
-      needed: endpoints that all regions need together.
+      needed: over all regions.
       lost: number of data centres lost at once, the largest ones.
-      latency_fraction: latency to another region as a fraction of the tightest target. Beyond
+      latency_fraction: latency to another region as a fraction of the tightest target; beyond
         MAX_LATENCY_FRACTION each region covers its own loss.
     """
     if latency_fraction <= MAX_LATENCY_FRACTION:
@@ -76,7 +74,7 @@
 
 
 def survivors(counts: Iterable[int], lost: float) -> float:
-    """Return how many endpoints are left once the largest data centres are lost.
+    """Return the endpoints left once the largest data centres are lost.
 
     Args:
       lost: number of data centres; of the last one a fraction, if it is not an integer.
@@ -108,7 +106,7 @@
     lost: float,
     latency_fraction: float,
 ) -> Placement:
-    """Return a placement whose largest data centre, the one that may be lost, is smallest."""
+    """Return the placement whose largest data centre is smallest."""
     base = _base(sites, local)
     lost = min(lost, len(sites) - 1.0)
     level = max(math.ceil(needed / (len(sites) - lost)), *base.values())
@@ -116,7 +114,7 @@
 
 
 def _base(sites: tuple[Site, ...], local: Mapping[str, int]) -> dict[str, int]:
-    """Return the local minimum of each region, spread evenly over its data centres."""
+    """Return the local minimums, spread evenly over the data centres."""
     counts = {site.name: site.minimum for site in sites}
     for region, wanted in local.items():
         own = [site for site in sites if site.region == region]
@@ -137,7 +135,7 @@
     lost: float,
     latency_fraction: float,
 ) -> Placement:
-    """Add endpoints up to a level per data centre, cheapest first, until enough survive a loss."""
+    """Add endpoints up to a level, cheapest first, until enough survive a loss."""
     counts = collections.Counter(base)
     ranked = sorted(sites, key=lambda one: (_cost(one, latency_fraction), one.name))
     while survivors(counts.values(), lost) < needed:
--- a/plumarch/fleet/orders.py
+++ b/plumarch/fleet/orders.py
@@ -1,8 +1,7 @@
 """Orders to the cloud, each carried out once even if answers are lost.
 
-One node per region decides. It holds a platform object whose epoch grows with each change of
-holder and fences its orders. Orders are stored there before they are sent, and their tokens make
-repeats idempotent, so that a successor can send them again.
+One node per region holds a platform object whose epoch fences its orders. Orders are stored there
+before they are sent, and their tokens make repeats by a successor idempotent.
 """
 
 import dataclasses
@@ -16,15 +15,14 @@
 
 OBJECT = "fleet/orders"
 INTERVAL_MS = 5_000
-"""Interval between two rounds of planning."""
 
 RETRY_MS = 1_000
 
 LIST_GRACE_MS = 300_000
-"""Maximum time until a started VM appears in the platform's list."""
+"""Maximum time until a started VM is listed."""
 
 ORDERS_LIMIT = 50
-"""Maximum number of orders in progress."""
+"""Orders in progress."""
 
 REFUSALS_LIMIT = 100
 
@@ -63,7 +61,7 @@
 
 
 class Orders:
-    """Sends VM orders while this node holds the object, and takes over from a holder that left."""
+    """Sends VM orders while this node holds the object."""
 
     def __init__(self, ctx: context.Context, membership: members.Membership) -> None:
         self.ctx = ctx
@@ -88,7 +86,7 @@
         """Take over from a holder that left, or write and send orders.
 
         Args:
-          changes: changes due by the plan; empty if this node is not the holder.
+          changes: empty if this node is not the holder.
           listed: names of the VMs that the platform lists.
         """
         now = self.ctx.now()
@@ -124,7 +122,7 @@
             self._write(dataclasses.replace(self.book, orders=kept + fresh))
 
     def _awaits_list(self, order: Order, listed: frozenset[str]) -> bool:
-        """Return whether a started VM is missing in the platform's list, which lags behind."""
+        """Return whether a started VM is missing in the list, which lags behind."""
         if not order.start or order.state is not State.DONE or order.name in listed:
             self.done_ms.pop(order.token, None)
             return False
@@ -141,7 +139,6 @@
         return Order(token, False, change.name, "", "", "", change.why)
 
     def _resend(self) -> None:
-        """Send every stored order without a known outcome."""
         assert self.book is not None
         in_progress = set(self.order_calls.values())
         for order in self.book.orders:
@@ -189,7 +186,7 @@
         self.ctx.act(events.PlatformPut(self.call, OBJECT, value, self.version))
 
     def platform_answered(self, answer: events.PlatformAnswer) -> bool:
-        """Handle a platform answer; return whether it was addressed to this object."""
+        """Handle a platform answer; return whether it was for this object."""
         if answer.call_id != self.call or not self.purpose:
             return False
         status = events.PlatformStatus
@@ -206,7 +203,7 @@
         return True
 
     def _certainly_unwritten(self, status: events.PlatformStatus) -> bool:
-        """Return whether no write of this node may still take effect after a failed call."""
+        """Return whether no write may still take effect after a failed call."""
         if self.purpose == "write":
             return status is events.PlatformStatus.UNREACHED
         return not self.writing
@@ -244,7 +241,7 @@
     # Answers of the cloud.
 
     def cloud_answered(self, answer: events.CloudAnswer) -> None:
-        """Handle the cloud's answer to an order."""
+        """Handle an answer of the cloud."""
         token = self.order_calls.pop(answer.call_id, "")
         if not token or self.book is None:
             return
--- a/plumarch/fleet/plan.py
+++ b/plumarch/fleet/plan.py
@@ -1,7 +1,6 @@
 """Decides which VMs to start and release for a target.
 
-Capacity covers all demand with headroom, and urgent demand after the loss of any one data centre.
-VM classes are ranked by effective price, reclaims included.
+Capacity covers all demand with headroom, and urgent demand after the loss of one data centre.
 """
 
 import dataclasses
@@ -17,7 +16,7 @@
 """A VM is released only if demand is below this fraction of the remaining capacity."""
 
 RECLAIM_COST_H = 0.15
-"""Cost of a reclaim in hours of the VM's price, for the start and repeated work."""
+"""Cost of a reclaim in hours of the VM's price."""
 
 COOLDOWN_MS = 30_000
 COOLDOWN_LIMIT_MS = 600_000
@@ -56,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """Concurrent requests of a target: all, and the urgent ones among them."""
+    """Concurrent requests of a target: all, and the urgent ones."""
 
     target: str
     requests: float
@@ -120,10 +119,9 @@
     """Return the starts and releases due for one target.
 
     Args:
-      centres: data centres that the target may use and that are reachable.
-      classes: VM classes on offer.
-      vms: the target's VMs, ordered ones included.
-      now: the time in milliseconds.
+      centres: reachable data centres that the target may use.
+      vms: the target's, ordered ones included.
+      now: in milliseconds.
     """
     wanted = wanted_capacity(demand, centres)
     missing = 0
@@ -163,7 +161,7 @@
     refusals: list[Refusal],
     now: int,
 ) -> tuple[list[Change], int]:
-    """Return starts for missing capacity, and the capacity for which no class is available."""
+    """Return starts for missing capacity, and the capacity without an available class."""
     open_classes = _open_classes(centre, classes, refusals, now)
     if not open_classes:
         return [], capacity
@@ -192,7 +190,7 @@
 
 
 def _releases(wanted: int, centre_vms: list[FleetVm]) -> list[Change]:
-    """Return at most one release: the most expensive idle VM that is not needed."""
+    """Return at most one release: the most expensive idle VM."""
     capacity = sum(vm.capacity for vm in centre_vms)
     for vm in sorted(centre_vms, key=lambda vm: (vm.load, -vm.price, vm.name)):
         left = capacity - vm.capacity
--- a/plumarch/fleet/region_demand.py
+++ b/plumarch/fleet/region_demand.py
@@ -1,7 +1,7 @@
 """Shares of the fleet's demand by region.
 
-Total demand is one figure for the fleet (fleet/engine_plan), so that opposite waves in two regions
-cancel out. Shares change only by a margin, since moving an engine leaves a gap while one boots.
+Total demand is one figure for the fleet, so that opposite waves in two regions cancel out. Shares
+change only by a margin, since moving an engine leaves a gap while one boots.
 """
 
 import dataclasses
@@ -13,17 +13,16 @@
 """Weight of the past in a region's rate, per sample of a second."""
 
 SHARE_MARGIN = 0.1
-"""Change of a region's share from which on the shares are updated; engine headroom absorbs smaller
-ones."""
+"""Change of a region's share from which on the shares are updated."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RegionView:
-    """The regions of a service's data centres at one moment.
+    """The regions of a service's data centres.
 
     Attributes:
       region_of: by data centre; empty if there is one region.
-      shares: fraction of the demand by region; they add up to 1.
+      shares: of the demand, by region; the sum is 1.
       partially_reachable: regions with too few reachable nodes to release endpoints there.
       latency_fraction: latency to another region as a fraction of the tightest target.
     """
@@ -82,9 +81,9 @@
 
         Args:
           units_per_s: by region.
-          partially_reachable: regions whose rate may not fall, since too few nodes are reachable.
+          partially_reachable: regions whose rate may not fall.
         Returns:
-          The demand of the whole fleet, in units per second.
+          The demand of the fleet in units per second.
         """
         total = 0.0
         for region in {*units_per_s, *self.rates}:
@@ -114,5 +113,5 @@
         self.partially_reachable = frozenset()
 
     def view(self, region_of: Mapping[str, str], latency_fraction: float) -> RegionView:
-        """Return the present view of the regions."""
+        """Return the present view."""
         return RegionView(region_of, dict(self.shares), self.partially_reachable, latency_fraction)
--- a/plumarch/fleet/rollout.py
+++ b/plumarch/fleet/rollout.py
@@ -1,7 +1,7 @@
 """Plan of a roll-out: a canary share, larger shares in steps, then completion or rollback.
 
-Only a version judged good gets more than the canary share. One that is not judged good in time is
-rolled back: a bad version in full use costs far more than repeating the order for a good one.
+A version that is not judged good in time is rolled back: a bad one in full use costs far more than
+repeating the order for a good one.
 """
 
 import dataclasses
@@ -15,27 +15,24 @@
 """Fraction of the tolerated share used for the canary; hashing makes the actual share vary."""
 
 EXTRA_REQUESTS_FRACTION = 0.5
-"""Fraction of the tolerated extra requests that is used for the canary."""
+"""Fraction of the tolerated extra requests used for the canary."""
 
 MAX_CANARY = 0.3
-"""Maximum canary share, whatever exposure is tolerated."""
 
 ENOUGH_ANSWERS = 250.0
-"""Answers of the new version that suffice for a verdict; the rest of the exposure is left to the
-later steps."""
+"""Answers of the new version that suffice for a verdict."""
 
 STEPS = ((0.5, 0.2), (0.55, 0.4), (0.6, 0.7), (0.66, 1.0))
-"""Pairs of elapsed fraction and share, for a version that stays good. Not all at once: faults that
-show only under load reach fewer requests."""
+"""Pairs of elapsed fraction and share; gradual, since some faults show only under load."""
 
 JUDGED_BY = 0.75
 """Elapsed fraction at which a version that is not judged good is rolled back."""
 
 COMPLETED_BY = 0.92
-"""Elapsed fraction from which on it is completed even if requests still run on old endpoints."""
+"""Elapsed fraction from which on it completes even if requests run on old endpoints."""
 
 MIN_CAPACITY = 0.8
-"""Fraction of the old endpoints' number from which on the new ones can carry the load."""
+"""Fraction of the old endpoints' number from which the new ones carry the load."""
 
 
 class Stage(enum.Enum):
@@ -78,8 +75,8 @@
     """Input of a roll-out decision.
 
     Attributes:
-      ready_new: ready endpoints of the version.
-      ready_old: ready endpoints of other versions.
+      ready_new: endpoints of the version.
+      ready_old: endpoints of other versions.
       running_old: requests that run on those.
       requests_per_s: of the service, over all nodes.
       by_route: answers of both since the order.
@@ -100,9 +97,9 @@
 
     Attributes:
       began_ms: wall-clock time at which the order was first seen.
-      share: fraction of the requests that the version gets now.
-      reason: why the stage is what it is, with figures.
-      periods: split at changes of the share; a plan that was taken over starts with one.
+      share: fraction of the requests that the version gets.
+      reason: of the stage, with figures.
+      periods: split at changes of the share.
     """
 
     wall: clock.Clock
@@ -130,7 +127,7 @@
         return (self.stage, self.share) != before
 
     def elapsed(self) -> float:
-        """Return the elapsed fraction of the roll-out's duration."""
+        """Return the elapsed fraction of the duration."""
         return (self.wall.now() - self.began_ms) / max(1.0, self.order.duration_ms)
 
     def _decide(self, observation: Observation) -> None:
--- a/plumarch/fleet/usage.py
+++ b/plumarch/fleet/usage.py
@@ -1,7 +1,7 @@
 """Counts of started requests by workspace and time window.
 
-Each node gossips its counts; the duty holder sums them once a window is over. Counts of a node
-that is gone remain with the nodes that received them.
+The duty holder sums them once a window is over. Counts of a node that is gone remain with the nodes
+that received them.
 """
 
 import collections
@@ -18,9 +18,9 @@
     """Usage counts of this node and of those reported by others.
 
     Attributes:
-      window_ms: length of a window; window k starts k lengths after the Unix epoch.
-      own: this process's counts, by window and workspace.
-      heard: counts reported by other incarnations, by incarnation.
+      window_ms: window k starts k lengths after the Unix epoch.
+      own: by window and workspace.
+      heard: by incarnation or group.
     """
 
     window_ms: int
@@ -47,7 +47,7 @@
         return {number: dict(counts) for number, counts in self.own.items() if number > oldest}
 
     def apply_node_report(self, node: str, counts: WindowCounts) -> None:
-        """Apply an incarnation's counts; later counts of a window replace earlier ones."""
+        """Apply an incarnation's counts, which replace earlier ones."""
         known = self.heard.setdefault(node, {})
         for number, reported in counts.items():
             known[number] = dict(reported)
--- a/plumarch/fleet/version_tally.py
+++ b/plumarch/fleet/version_tally.py
@@ -28,7 +28,7 @@
         return Tally(self.answers + other.answers, self.bad + other.bad)
 
     def since(self, earlier: "Tally") -> "Tally":
-        """Return what was counted after an earlier count."""
+        """Return the counts since earlier ones."""
         answers = max(0, self.answers - earlier.answers)
         return Tally(answers, min(answers, max(0, self.bad - earlier.bad)))
 
@@ -45,7 +45,7 @@
         return VersionPair(self.new.plus(other.new), self.old.plus(other.old))
 
     def since(self, earlier: "VersionPair") -> "VersionPair":
-        """Return what was counted after an earlier count."""
+        """Return the counts since earlier ones."""
         return VersionPair(self.new.since(earlier.new), self.old.since(earlier.old))
 
 
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TallyBook:
-    """Counts of this process and of those reported by others.
+    """Own and reported counts.
 
     Attributes:
       reported: by incarnation or data centre.
@@ -78,7 +78,7 @@
     def total(
         self, counts_in: Callable[[str], bool] = lambda source: True
     ) -> dict[TallyKey, Tally]:
-        """Return the sums over this process and all reports.
+        """Return the sums over all sources.
 
         Args:
           counts_in: whether to include a source.
@@ -105,7 +105,7 @@
         }
 
     def forget_service(self, service: str) -> None:
-        """Drop all counts of a service after its roll-out."""
+        """Drop the counts of a service."""
         for counts in (self.own, *self.reported.values()):
             for key in [key for key in counts if key.service == service]:
                 del counts[key]
--- a/plumarch/fleet/version_verdict.py
+++ b/plumarch/fleet/version_verdict.py
@@ -20,11 +20,10 @@
 """Prior of the old version's rate of bad answers, and its weight in answers."""
 
 CERTAINLY_BAD = 0.99
-"""Probability of a bad version from which on it is rolled back."""
+"""Probability of a bad version from which it is rolled back."""
 
 PROBABLY_GOOD = 0.24
-"""Probability of a bad version below which it counts as good. Lower values roll back more good
-versions, higher ones let more bad ones pass."""
+"""Probability of a bad version below which it counts as good."""
 
 MIN_RATE = 1e-4
 MIN_LIKELIHOOD = 1e-300
@@ -58,11 +57,11 @@
     """Judges a version."""
 
     def judge(self, pair: version_tally.VersionPair) -> Verdict:
-        """Judge by the answers of one route, or of all."""
+        """Judge by one route, or all."""
         return self.judge_periods([pair])
 
     def judge_periods(self, pairs: Sequence[version_tally.VersionPair]) -> Verdict:
-        """Judge by the answers of one route, or of all, by period."""
+        """Judge by one route, or all, by period."""
         ...
 
 
@@ -70,8 +69,8 @@
     """Return the probability that a version is bad, with even prior odds.
 
     Args:
-      pairs: answers by period of constant share. Periods are kept apart because a disturbance of
-        both versions may fall into one in which the new version had a larger share.
+      pairs: answers by period of constant share, since a disturbance of both versions may fall
+        into one in which the new version had a larger share.
     """
     both = _sum(pairs)
     weight = both.old.answers + PRIOR_OLD_ANSWERS
@@ -91,8 +90,7 @@
     """Return the log likelihood of the new version's answers in a period, by excess.
 
     The common rate in the period is unknown: its prior is near the usual one, updated by the old
-    version's answers. Without any, only the size of the excess tells a bad version from a
-    disturbance of both.
+    version's answers.
     """
     bad_before = usual * PERIOD_ANSWERS + pair.old.bad
     good_before = (1.0 - usual) * PERIOD_ANSWERS + pair.old.answers - pair.old.bad
@@ -118,11 +116,11 @@
     good_below: float = PROBABLY_GOOD
 
     def judge(self, pair: version_tally.VersionPair) -> Verdict:
-        """Judge by the answers of one route, or of all."""
+        """Judge by one route, or all."""
         return self.judge_periods([pair])
 
     def judge_periods(self, pairs: Sequence[version_tally.VersionPair]) -> Verdict:
-        """Judge by the answers of one route, or of all, by period."""
+        """Judge by one route, or all, by period."""
         if not any(pair.new.answers for pair in pairs):
             return Verdict.OPEN
         probability = bad_probability(*pairs)
@@ -147,11 +145,7 @@
     period_starts: tuple[ByRoute, ...] = ()
 
     def with_period(self, share: float, by_route: ByRoute) -> "SharePeriods":
-        """Return the periods, with a new one if the share changed.
-
-        Args:
-          by_route: counts until now.
-        """
+        """Return the periods, with a new one if the share changed."""
         if share == self.share:
             return self
         period_starts = (*self.period_starts, by_route) if self.share > 0.0 else self.period_starts
@@ -171,14 +165,14 @@
 
 
 def judge_all(rule: VerdictRule, *periods: ByRoute) -> tuple[Verdict, str]:
-    """Judge a version by each route and by all routes together.
+    """Judge a version by each route and by all together.
 
     The latest period alone suffices for a bad verdict: the version may turn bad late or under load.
 
     Args:
-      periods: answers by route in each period, the latest last.
+      periods: answers by route, the latest last.
     Returns:
-      The verdict and its figures, for a log line.
+      The verdict and its figures.
     """
     for route in sorted({route for period in periods for route in period}):
         pairs = [period[route] for period in periods if route in period]
