--- a/plumarch/daemon/callers.py
+++ b/plumarch/daemon/callers.py
@@ -23,8 +23,8 @@
 WEAKENED = "Plumarch-Weakened"
 LAST_EVENT = "Last-Event-ID"
 
-KEY_LENGTH = 200
-TIMEOUT_LIMIT_MS = 24 * 3_600_000
+MAX_KEY_LENGTH = 200
+MAX_TIMEOUT_MS = 24 * 3_600_000
 DEFAULT_TIMEOUT_MS = {
     data.RequestClass.LOOKUP: 5_000,
     data.RequestClass.CHAT: 120_000,
@@ -95,19 +95,19 @@
 
     def _key(self, request: AnyRequest) -> str:
         key = request.headers.get(KEY, "").strip()
-        if len(key) > KEY_LENGTH or not key.isprintable():
+        if len(key) > MAX_KEY_LENGTH or not key.isprintable():
             raise problems.CallerFault(
                 400, "Bad key", f"{KEY} is too long or not printable.", "Send a shorter key."
             )
         return key
 
     def _timeout(self, request: AnyRequest, request_class: data.RequestClass) -> int:
-        return _whole_number(
-            request, TIMEOUT, DEFAULT_TIMEOUT_MS[request_class], 1, TIMEOUT_LIMIT_MS
+        return _integer_header(
+            request, TIMEOUT, DEFAULT_TIMEOUT_MS[request_class], 1, MAX_TIMEOUT_MS
         )
 
     def _position(self, request: AnyRequest) -> int:
-        return _whole_number(request, LAST_EVENT, 0, 0, NO_TOKENS)
+        return _integer_header(request, LAST_EVENT, 0, 0, NO_TOKENS)
 
     def _class(self, request: AnyRequest, default: data.RequestClass) -> data.RequestClass:
         name = request.headers.get(CLASS, default)
@@ -127,18 +127,18 @@
           CallerFault: something about it is wrong.
         """
         workspace = self.workspace(request)
-        asked = chat.parse(body)
-        if asked.model != workspace.model:
+        chat_body = chat.parse(body)
+        if chat_body.model != workspace.model:
             raise problems.CallerFault(
                 404,
                 "Unknown model",
-                f"The workspace has no model {asked.model!r}.",
+                f"The workspace has no model {chat_body.model!r}.",
                 f"Ask for {workspace.model!r}.",
             )
         request_class = self._class(request, default)
         key = self._key(request)
         request_id = self.shell.new_request_id()
-        seed = asked.seed
+        seed = chat_body.seed
         if seed is None:
             seed = hashing.digest(workspace.name, key or request_id) >> 16
         made = data.Request(
@@ -153,12 +153,12 @@
             fingerprint=hashing.digest(body) >> 1,
             repeatable=request.headers.get(REPEATABLE, "true").lower() != "false",
             prompt_tokens=chat.prompt_tokens(body),
-            max_tokens=chat.wanted_tokens(asked),
+            max_tokens=chat.wanted_tokens(chat_body),
             seed=seed,
-            prefix=chat.prefix_of(asked) >> 1,
+            prefix=chat.prefix_of(chat_body) >> 1,
             timeout_ms=self._timeout(request, request_class),
         )
-        return made, asked
+        return made, chat_body
 
     def service_request(
         self, request: AnyRequest, name: str, path: str, body: bytes
@@ -202,23 +202,23 @@
     async def chat_completions(self, request: AnyRequest) -> Response[Any] | Stream:
         """Answer a chat request, streamed or whole."""
         body = await self.body(request)
-        made, asked = self.model_request(request, body, data.RequestClass.CHAT)
+        made, chat_body = self.model_request(request, body, data.RequestClass.CHAT)
         position = self._position(request)
         stream = self.shell.new_stream()
         self.shell.handle(events.Arrived(stream.watcher_id, made, position))
-        if asked.stream:
-            return await self._streamed(stream, asked.model, position)
-        return await self._whole(stream, made, asked.model)
+        if chat_body.stream:
+            return await self._streamed(stream, chat_body.model, position)
+        return await self._answer_complete(stream, made, chat_body.model)
 
     async def _streamed(
         self, stream: streams.CallerStream, model: str, position: int
     ) -> Response[Any] | Stream:
         try:
-            await stream.first_word()
+            await stream.wait_started()
         except BaseException:
             self.shell.release(stream)
             raise
-        if stream.end is not None and not streams.is_whole(stream.end) and not stream.tokens:
+        if stream.end is not None and not streams.is_done(stream.end) and not stream.tokens:
             self.shell.release(stream)
             return problems.response(problems.of_end(stream.end, _key_of(stream)))
         headers = {"Cache-Control": "no-store", **_headers(stream)}
@@ -232,38 +232,38 @@
         request_id = stream.accepted.request_id if stream.accepted else stream.watcher_id
         try:
             # The first token goes out at once; later ones are gathered.
-            piece = await stream.next_piece(0)
-            while piece is not None:
-                position = piece.position
-                text = "".join(piece.tokens)
+            batch = await stream.next_batch(0)
+            while batch is not None:
+                position = batch.position
+                text = "".join(batch.tokens)
                 yield chat.sse(position, chat.chunk(request_id, model, text, None))
-                piece = await stream.next_piece(window)
-            told = await stream.whole()
-            if streams.is_whole(told):
+                batch = await stream.next_batch(window)
+            end = await stream.wait_end()
+            if streams.is_done(end):
                 yield chat.sse(position, chat.chunk(request_id, model, None, "stop"))
                 yield chat.SSE_DONE
             else:
-                problem = problems.of_end(told, _key_of(stream))
+                problem = problems.of_end(end, _key_of(stream))
                 yield chat.sse(position, {"error": problem})
         finally:
             self.shell.release(stream)
 
-    async def _whole(
+    async def _answer_complete(
         self, stream: streams.CallerStream, made: data.Request, model: str
     ) -> Response[Any]:
         try:
-            told = await stream.whole()
+            end = await stream.wait_end()
         finally:
             self.shell.release(stream)
-        if not streams.is_whole(told):
-            return problems.response(problems.of_end(told, _key_of(stream) or made.key))
-        return self._completion(stream, told, model, made.prompt_tokens)
+        if not streams.is_done(end):
+            return problems.response(problems.of_end(end, _key_of(stream) or made.key))
+        return self._completion(stream, end, model, made.prompt_tokens)
 
     def _completion(
-        self, stream: streams.CallerStream, told: events.TellEnd, model: str, prompt: int
+        self, stream: streams.CallerStream, end: events.TellEnd, model: str, prompt: int
     ) -> Response[Any]:
         text = "".join(stream.tokens)
-        body = chat.completion(told.request_id, model, text, prompt, len(stream.tokens))
+        body = chat.completion(end.request_id, model, text, prompt, len(stream.tokens))
         return Response(
             msgspec.json.encode(body),
             media_type="application/json",
@@ -282,10 +282,10 @@
         stream = self.shell.new_stream()
         self.shell.handle(events.Arrived(stream.watcher_id, made, NO_TOKENS))
         try:
-            await stream.first_word()
+            await stream.wait_started()
         finally:
             self.shell.release(stream)
-        if stream.end is not None and not streams.is_whole(stream.end):
+        if stream.end is not None and not streams.is_done(stream.end):
             return problems.response(problems.of_end(stream.end, _key_of(stream) or made.key))
         key = _key_of(stream) or made.key
         answer = {
@@ -301,19 +301,19 @@
         """Say how a request stands."""
         stream = self._attach(request, key, NO_TOKENS)
         try:
-            await stream.first_word()
+            await stream.wait_started()
             if stream.end is None:
                 # Whether it has ended may be known at another node only.
                 try:
                     async with asyncio.timeout(STATUS_WAIT_S):
-                        await stream.whole()
+                        await stream.wait_end()
                 except TimeoutError:
                     pass
         finally:
             self.shell.release(stream)
         if stream.end is None:
             return Response({"key": key, "status": data.Outcome.RUNNING})
-        if not streams.is_whole(stream.end):
+        if not streams.is_done(stream.end):
             problem = problems.of_end(stream.end, key)
             if problem.status == 404:
                 return problems.response(problem)
@@ -326,14 +326,14 @@
         workspace = self.workspace(request)
         stream = self._attach(request, key, 0)
         try:
-            told = await stream.whole()
+            end = await stream.wait_end()
         finally:
             self.shell.release(stream)
-        if not streams.is_whole(told):
-            return problems.response(problems.of_end(told, key))
-        if told.reply is not None and not told.reply.tokens and told.reply.body:
-            return _passed_on(told.reply, stream)
-        return self._completion(stream, told, workspace.model, 0)
+        if not streams.is_done(end):
+            return problems.response(problems.of_end(end, key))
+        if end.reply is not None and not end.reply.tokens and end.reply.body:
+            return _forwarded(end.reply, stream)
+        return self._completion(stream, end, workspace.model, 0)
 
     async def event_stream(self, request: AnyRequest, key: str) -> Response[Any] | Stream:
         """Stream a request's answer from the caller's position on."""
@@ -359,8 +359,8 @@
         self.workspace(request)
         issued = self.shell.node.home.issue_key(self.shell.new_request_id())
         if issued is None:
-            told = events.TellEnd("", "", data.Outcome.NOT_RUN, data.Reason.NO_OWNER)
-            return problems.response(problems.of_end(told, ""))
+            end = events.TellEnd("", "", data.Outcome.NOT_RUN, data.Reason.NO_OWNER)
+            return problems.response(problems.of_end(end, ""))
         return Response({"key": issued[0]}, status_code=201)
 
     async def call_service(self, request: AnyRequest, name: str, path: str) -> Response[Any]:
@@ -370,15 +370,15 @@
         stream = self.shell.new_stream()
         self.shell.handle(events.Arrived(stream.watcher_id, made))
         try:
-            told = await stream.whole()
+            end = await stream.wait_end()
         finally:
             self.shell.release(stream)
-        if not streams.is_whole(told) or told.reply is None:
-            return problems.response(problems.of_end(told, _key_of(stream) or made.key))
-        return _passed_on(told.reply, stream)
+        if not streams.is_done(end) or end.reply is None:
+            return problems.response(problems.of_end(end, _key_of(stream) or made.key))
+        return _forwarded(end.reply, stream)
 
 
-def _passed_on(reply: data.Reply, stream: streams.CallerStream) -> Response[bytes]:
+def _forwarded(reply: data.Reply, stream: streams.CallerStream) -> Response[bytes]:
     return Response(
         reply.body,
         status_code=reply.status,
@@ -416,7 +416,7 @@
     )
 
 
-def _whole_number(request: AnyRequest, header: str, default: int, least: int, most: int) -> int:
+def _integer_header(request: AnyRequest, header: str, default: int, least: int, most: int) -> int:
     text = request.headers.get(header)
     if text is None:
         return default
--- a/plumarch/daemon/gateway.py
+++ b/plumarch/daemon/gateway.py
@@ -37,16 +37,16 @@
 )
 
 FLUSH_MS = 100
-FIRST_TABLE_MS = 400
+CONFIGURATION_WAIT_MS = 400
 """How long callers' connections wait at most for the first configuration; the store answers
 within some ms, and without it callers are better told to come back."""
 
-FIRST_TABLE_CHECK_MS = 5
+CONFIGURATION_CHECK_MS = 5
 SETTINGS_CHECK_MS = 2_000
 NOT_READY_MS = 2_600
 """After this time as not ready, the balancer sends no new connections."""
 
-CUT_BEFORE_KILL_MS = 500
+ABORT_BEFORE_KILL_MS = 500
 USAGE_EARLY_MS = 1_500
 USAGE_MARGIN_MS = 2_500
 
@@ -199,7 +199,7 @@
             self.quarantine.follow_forever,
             self.quarantine.keep_forever,
             self.wakes.watch_forever,
-            self._keep_house,
+            self._run_housekeeping,
             self._watch_settings,
         ):
             self.tasks.append(asyncio.get_running_loop().create_task(self._guard(work)))
@@ -243,13 +243,13 @@
 
         Without a configuration each request would have to be turned away.
         """
-        gives_up_ms = self.clock.now() + FIRST_TABLE_MS
+        gives_up_ms = self.clock.now() + CONFIGURATION_WAIT_MS
         while self.state.table is None and self.clock.now() < gives_up_ms:
-            await asyncio.sleep(FIRST_TABLE_CHECK_MS / 1000.0)
+            await asyncio.sleep(CONFIGURATION_CHECK_MS / 1000.0)
         if not self.stopping:
             await self.listeners[0].start_serving()
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         """Write logs, and bring limits and gauges up to date."""
         while True:
             await asyncio.sleep(FLUSH_MS / 1000.0)
@@ -293,7 +293,7 @@
         self.duties.leaving = True
         self.gossiper.send_heartbeat_soon()
         self.state.log.write("stop", urgent=True, busy=self.callers.busy())
-        ends = begun + grace_ms - CUT_BEFORE_KILL_MS
+        ends = begun + grace_ms - ABORT_BEFORE_KILL_MS
         while self.clock.now() < begun + NOT_READY_MS:
             await asyncio.sleep(0.05)
         self.state.stops_at_ms = round(ends)
@@ -318,12 +318,12 @@
       settings_path: the file that is read again when it changes or by SIGHUP.
     """
     gateway.settings_path = settings_path
-    asked = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, asked.set)
+        loop.add_signal_handler(number, stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: gateway.reload(settings_path))
     os.set_blocking(1, False)
     await gateway.start()
-    await asked.wait()
+    await stop_requested.wait()
     await gateway.stop()
--- a/plumarch/daemon/main.py
+++ b/plumarch/daemon/main.py
@@ -62,13 +62,13 @@
       SettingsError: a listener can't be opened.
     """
     daemon = Daemon(given)
-    asked = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, asked.set)
+        loop.add_signal_handler(number, stop_requested.set)
     await daemon.start()
-    await asked.wait()
-    log.info("Stop asked for.")
+    await stop_requested.wait()
+    log.info("Stop requested.")
     await daemon.stop()
     log.info("Stopped.")
 
--- a/plumarch/daemon/problems.py
+++ b/plumarch/daemon/problems.py
@@ -8,7 +8,9 @@
 from plumarch.core import data, events
 
 PROBLEM_TYPE = "application/problem+json"
-BUSY = frozenset({data.Reason.QUEUE_FULL, data.Reason.RUN_TABLE_FULL, data.Reason.COPY_LIMIT})
+OVERLOAD_REASONS = frozenset(
+    {data.Reason.QUEUE_FULL, data.Reason.RUN_TABLE_FULL, data.Reason.COPY_LIMIT}
+)
 
 REMEDY = {
     data.Outcome.NOT_RUN: "It did not run and will not. Send it again under a new key.",
@@ -38,29 +40,29 @@
         self.problem = Problem(title, status, detail, remedy)
 
 
-def of_end(told: events.TellEnd, key: str) -> Problem:
+def of_end(end: events.TellEnd, key: str) -> Problem:
     """Return the problem for a final answer other than done."""
-    if told.reason == data.Reason.KEY_CONFLICT:
+    if end.reason == data.Reason.KEY_CONFLICT:
         detail = "The key was used before for a request with another content."
         return Problem("Key conflict", 422, detail, "Use a new key for a new request.", key=key)
-    if told.reason == data.Reason.UNKNOWN_KEY:
+    if end.reason == data.Reason.UNKNOWN_KEY:
         detail = "No request is known under this key."
         return Problem("Unknown key", 404, detail, "Check the key and the workspace.", key=key)
-    not_run = told.outcome is data.Outcome.NOT_RUN
+    not_run = end.outcome is data.Outcome.NOT_RUN
     status = 504
     if not_run:
-        status = 429 if told.reason in BUSY else 503
+        status = 429 if end.reason in OVERLOAD_REASONS else 503
     title = "Not run" if not_run else "Outcome unknown"
     return Problem(
         title,
         status,
-        f"The request was given up: {told.reason}.",
-        REMEDY[told.outcome],
+        f"The request was given up: {end.reason}.",
+        REMEDY[end.outcome],
         not_run,
-        told.outcome,
-        told.reason,
+        end.outcome,
+        end.reason,
         key,
-        told.retry_after_ms,
+        end.retry_after_ms,
     )
 
 
--- a/plumarch/daemon/settings.py
+++ b/plumarch/daemon/settings.py
@@ -8,7 +8,7 @@
 from plumarch.config import fields, ini
 from plumarch.core import file_problems
 
-KEY_LEAST = 16
+MIN_KEY_LENGTH = 16
 
 
 def _peers(text: str) -> dict[str, str]:
@@ -56,14 +56,14 @@
 class PeersSection(ini.Section, frozen=True):
     """[peers]: the other entry nodes, and the key that all share."""
 
-    key: Annotated[str, msgspec.Meta(min_length=KEY_LEAST)]
+    key: Annotated[str, msgspec.Meta(min_length=MIN_KEY_LENGTH)]
     nodes: PeerAddresses = {}
 
 
 class OperatorsSection(ini.Section, frozen=True):
     """[operators]: the token of operators' calls."""
 
-    token: Annotated[str, msgspec.Meta(min_length=KEY_LEAST)]
+    token: Annotated[str, msgspec.Meta(min_length=MIN_KEY_LENGTH)]
 
 
 class LimitsSection(ini.Section, frozen=True):
--- a/plumarch/daemon/shell.py
+++ b/plumarch/daemon/shell.py
@@ -19,7 +19,7 @@
 from plumarch.object_api import protocol
 from plumarch.peers import wire
 
-DECISIONS_LIMIT = 4_000
+MAX_DECISIONS = 4_000
 """Decisions kept for those who ask later."""
 
 VM_POLL_S = 2.0
@@ -60,7 +60,7 @@
         self.callers: dict[str, streams.CallerStream] = {}
         self.calls: dict[tuple[str, int], asyncio.Task[None]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.decisions: collections.deque[data.Decision] = collections.deque(maxlen=DECISIONS_LIMIT)
+        self.decisions: collections.deque[data.Decision] = collections.deque(maxlen=MAX_DECISIONS)
         self.listeners: set[asyncio.Queue[data.Decision]] = set()
         self.sequence = 0
         self.platform_seen_ms = -1
@@ -74,7 +74,7 @@
         self.node.address = f"{host}:{port}"
         for name, address in self.settings.peers.nodes.items():
             self.transport.add_peer(name, address)
-        for loop in (self._keep_time(), self._poll_vms(), self._poll_loads()):
+        for loop in (self._run_ticks(), self._poll_vms(), self._poll_loads()):
             self.spawn(loop)
         self.spawn(self._watch_config())
         self.spawn(self._poll_notices())
@@ -123,11 +123,11 @@
             case events.TellTokens():
                 stream = self.callers.get(action.watcher_id)
                 if stream is not None:
-                    stream.tell_tokens(action)
+                    stream.handle_tokens(action)
             case events.Send():
                 self.transport.send(action.node, action.message)
             case events.HandOver():
-                self._hand_over(action)
+                self._dispatch(action)
             case events.Abort():
                 call = self.calls.pop((action.request_id, action.attempt), None)
                 if call is not None:
@@ -141,11 +141,11 @@
             case events.TellAccepted():
                 stream = self.callers.get(action.watcher_id)
                 if stream is not None:
-                    stream.tell_accepted(action)
+                    stream.handle_accepted(action)
             case events.TellEnd():
                 stream = self.callers.get(action.watcher_id)
                 if stream is not None:
-                    stream.tell_end(action)
+                    stream.handle_end(action)
             case events.Note():
                 self._note(action.decision)
             case events.Count():
@@ -161,10 +161,10 @@
 
     def _received(self, sender: str, message: messages.AnyMessage) -> None:
         if isinstance(message, messages.Heartbeat) and message.address:
-            self._know_peer(context.name_of(sender), message.address)
+            self._add_peer(context.name_of(sender), message.address)
         self.handle(events.PeerMessage(sender, message))
 
-    def _know_peer(self, name: str, address: str) -> None:
+    def _add_peer(self, name: str, address: str) -> None:
         if name == self.settings.node.name:
             return
         self.transport.add_peer(name, address)
@@ -196,7 +196,7 @@
 
     # Endpoints.
 
-    def _hand_over(self, order: events.HandOver) -> None:
+    def _dispatch(self, order: events.HandOver) -> None:
         name = (order.request.id, order.attempt)
         task = self.spawn(self.endpoints.run(order, self.handle))
         self.calls[name] = task
@@ -266,8 +266,10 @@
             action.fencing_token,
         )
         try:
-            told = await self.platform.order(order)
-            answer = events.CloudAnswer(action.call_id, events.CloudStatus(told.status), told.name)
+            order_answer = await self.platform.order(order)
+            answer = events.CloudAnswer(
+                action.call_id, events.CloudStatus(order_answer.status), order_answer.name
+            )
         except errors.PlatformError as error:
             self._platform_failed(error)
             answer = events.CloudAnswer(action.call_id, events.CloudStatus.UNKNOWN)
@@ -286,7 +288,7 @@
     def _platform_failed(self, error: errors.PlatformError) -> None:
         self.metrics.count(events.Count("platform_errors", label=type(error).__name__))
 
-    async def _keep_time(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             self._note_suspension()
             self.handle(events.Tick())
@@ -316,7 +318,7 @@
     def _use_vms(self, listed: protocol.VmList) -> None:
         for vm in listed.vms:
             if vm.role == "entry" and vm.address:
-                self._know_peer(vm.name, vm.address)
+                self._add_peer(vm.name, vm.address)
         self.handle(events.EndpointsSeen(protocol.endpoints_of(listed)))
         if listed.gone:
             self.handle(events.NodesGone(tuple(listed.gone)))
--- a/plumarch/daemon/status_pages.py
+++ b/plumarch/daemon/status_pages.py
@@ -9,10 +9,10 @@
 
 METRICS_PATH = b"/metrics"
 STATUS_PATH = b"/status"
-HELD_NAMED = 20
+MAX_QUARANTINED_LISTED = 20
 """Requests held back that the status page names."""
 
-LEFT_OUT_NAMED = 20
+MAX_EXCLUDED_LISTED = 20
 """Endpoints that the status page names as leaving, and as many as resting."""
 
 TEXT = [(b"content-type", b"text/plain; version=0.0.4")]
@@ -48,29 +48,35 @@
 
     def _status(self) -> list[str]:
         """Return a line for each thing that an operator may want to look at."""
-        held = [
+        quarantined = [
             f"quarantined {one.fingerprint}: ended {', '.join(end.endpoint for end in one.crashes)}"
-            for one in self.state.quarantine.held()[:HELD_NAMED]
+            for one in self.state.quarantine.held()[:MAX_QUARANTINED_LISTED]
         ]
         unreadable = [f"unreadable {line}" for line in self.state.unreadable.lines()]
-        heard = builds.lines(self.view) if self.view is not None else []
-        return [f"node {self.state.node}", *heard, *self._left_out(), *unreadable, *held]
+        build_lines = builds.lines(self.view) if self.view is not None else []
+        return [
+            f"node {self.state.node}",
+            *build_lines,
+            *self._excluded(),
+            *unreadable,
+            *quarantined,
+        ]
 
-    def _left_out(self) -> list[str]:
+    def _excluded(self) -> list[str]:
         """Return a line for each endpoint that is left out for what it said in an answer."""
         state, found = self.state, []
-        for name in state.registry.drains.in_force()[:LEFT_OUT_NAMED]:
+        for name in state.registry.drains.in_force()[:MAX_EXCLUDED_LISTED]:
             found.append(f"leaves by its own word: {name}")
-        for name, left_ms in list(self._resting().items())[:LEFT_OUT_NAMED]:
+        for name, left_ms in list(self._backing_off().items())[:MAX_EXCLUDED_LISTED]:
             found.append(f"asked for rest: {name}, {left_ms} ms more")
-        for name, per_s in list(self._limited().items())[:LEFT_OUT_NAMED]:
+        for name, per_s in list(self._rate_limited().items())[:MAX_EXCLUDED_LISTED]:
             found.append(f"announces a limit: {name}, {per_s:g} requests a second of all nodes")
         return found
 
-    def _limited(self) -> dict[str, float]:
+    def _rate_limited(self) -> dict[str, float]:
         return self.state.permits.lasting(self.state.registry.endpoints.values())
 
-    def _resting(self) -> dict[str, int]:
+    def _backing_off(self) -> dict[str, int]:
         return self.state.backoff.lasting(self.state.registry.endpoints.values())
 
     def _set_gauges(self) -> None:
@@ -81,8 +87,8 @@
         sizes["registry_age_ms"] = state.registry.age_ms()
         sizes["endpoints"] = len(state.registry.endpoints)
         sizes["endpoints_leaving_by_answer"] = len(state.registry.drains.in_force())
-        sizes["endpoints_resting"] = len(self._resting())
-        sizes["endpoints_with_announced_rate"] = len(self._limited())
+        sizes["endpoints_resting"] = len(self._backing_off())
+        sizes["endpoints_with_announced_rate"] = len(self._rate_limited())
         sizes["heard_fraction"] = state.quota.fraction
         sizes["data_centres_known"] = state.contact.known
         sizes["data_centres_unheard"] = state.contact.unreachable
@@ -94,5 +100,5 @@
         for endpoint, limit in state.limits.lowered(state.registry.endpoints).items():
             limits.set(limit, endpoint)
         sizes["memory_budget_bytes"] = state.memory.budget
-        for purpose, held in state.memory.held.items():
-            sizes[f"memory_{purpose.value}_bytes"] = held
+        for purpose, size in state.memory.held.items():
+            sizes[f"memory_{purpose.value}_bytes"] = size
--- a/plumarch/daemon/status_pages_test.py
+++ b/plumarch/daemon/status_pages_test.py
@@ -10,7 +10,7 @@
 from plumarch.standins import gateway_parts
 
 
-class KeptReply:
+class RecordingReply:
     """A reply that keeps what was sent."""
 
     body = b""
@@ -20,7 +20,7 @@
 
 
 def page(path: bytes, state: object, view: fleet_view.FleetView | None = None) -> list[str]:
-    reply = KeptReply()
+    reply = RecordingReply()
     request = caller_requests.CallerRequest(b"GET", path, (), b"", 0)
     asyncio.run(status_pages.StatusPages(state, lambda: True, view).handle(request, reply))
     return reply.body.decode().splitlines()
--- a/plumarch/daemon/streams.py
+++ b/plumarch/daemon/streams.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Piece:
+class TokenBatch:
     """Tokens ready to be written; position counts the tokens up to their end."""
 
     position: int
@@ -29,39 +29,39 @@
         self.position = 0
         self.changed = asyncio.Event()
 
-    def tell_accepted(self, told: events.TellAccepted) -> None:
+    def handle_accepted(self, action: events.TellAccepted) -> None:
         """Take in that the request is accepted."""
-        self.accepted = told
+        self.accepted = action
         self.changed.set()
 
-    def tell_tokens(self, told: events.TellTokens) -> None:
+    def handle_tokens(self, action: events.TellTokens) -> None:
         """Take in tokens."""
-        self.tokens.extend(told.tokens)
-        self.position = told.position + len(told.tokens)
+        self.tokens.extend(action.tokens)
+        self.position = action.position + len(action.tokens)
         self.changed.set()
 
-    def tell_end(self, told: events.TellEnd) -> None:
+    def handle_end(self, action: events.TellEnd) -> None:
         """Take in the final answer."""
-        self.end = told
+        self.end = action
         self.changed.set()
 
-    async def wait_change(self) -> None:
+    async def wait_changed(self) -> None:
         """Wait until something is told after the last wait."""
         await self.changed.wait()
         self.changed.clear()
 
-    async def first_word(self) -> None:
+    async def wait_started(self) -> None:
         """Wait until the caller is told anything at all."""
         while self.accepted is None and self.end is None and not self.tokens:
-            await self.wait_change()
+            await self.wait_changed()
 
-    async def whole(self) -> events.TellEnd:
+    async def wait_end(self) -> events.TellEnd:
         """Wait for the final answer; the tokens stay in the buffer."""
         while self.end is None:
-            await self.wait_change()
+            await self.wait_changed()
         return self.end
 
-    async def next_piece(self, window_ms: int) -> Piece | None:
+    async def next_batch(self, window_ms: int) -> TokenBatch | None:
         """Wait for tokens, then for the rest of the window.
 
         Args:
@@ -72,14 +72,14 @@
         while not self.tokens:
             if self.end is not None:
                 return None
-            await self.wait_change()
+            await self.wait_changed()
         if window_ms and self.end is None:
             await asyncio.sleep(window_ms / 1000)
-        taken = tuple(self.tokens)
+        batch = tuple(self.tokens)
         self.tokens.clear()
-        return Piece(self.position, taken)
+        return TokenBatch(self.position, batch)
 
 
-def is_whole(told: events.TellEnd) -> bool:
+def is_done(end: events.TellEnd) -> bool:
     """Return whether a final answer means that the whole answer was given."""
-    return told.outcome is data.Outcome.DONE
+    return end.outcome is data.Outcome.DONE
