--- a/plumarch/config/state.py
+++ b/plumarch/config/state.py
@@ -71,7 +71,7 @@
         while len(self.history) > HISTORY:
             del self.history[next(iter(self.history))]
 
-    def give(self, revision: int) -> messages.ConfigGive:
+    def to_message(self, revision: int) -> messages.ConfigGive:
         """Return what a node at an older revision lacks: the changes since, if known."""
         if revision not in self.history:
             return messages.ConfigGive(self.revision, 0, self.manifest, self.documents)
@@ -82,7 +82,7 @@
         documents = {d: self.documents[d] for d in changes.values() if d in self.documents}
         return messages.ConfigGive(self.revision, revision, changes, documents)
 
-    def take(self, given: messages.ConfigGive) -> bool:
+    def apply_message(self, given: messages.ConfigGive) -> bool:
         """Put in force what a peer gave.
 
         Returns:
--- a/plumarch/node/node.py
+++ b/plumarch/node/node.py
@@ -232,7 +232,7 @@
             case messages.ConfigAsk():
                 self._give_config(sender, m.revision)
             case messages.ConfigGive():
-                if self.config.take(m):
+                if self.config.apply_message(m):
                     self._beat()
 
     def _heard(self, sender: str, beat: messages.Heartbeat) -> None:
@@ -246,7 +246,7 @@
 
     def _give_config(self, sender: str, revision: int) -> None:
         if self.config.revision > revision:
-            self.ctx.send(sender, self.config.give(revision))
+            self.ctx.send(sender, self.config.to_message(revision))
 
     def _cancel(self, event: events.CancelAsked) -> None:
         for run in list(self.table.active.values()):
--- a/tests/config_test.py
+++ b/tests/config_test.py
@@ -122,11 +122,11 @@
     for revision in (1, 2, 3):
         given = seen(revision, documents(500, weight=revision))
         giver.apply(given.revision, given.manifest, given.documents)
-    give = giver.give(2)
+    give = giver.to_message(2)
     assert (give.base, list(give.manifest), len(give.documents)) == (2, ["workspace/w0"], 1)
     taker = config_state()
-    assert not taker.take(give)
-    assert taker.take(giver.give(0))
+    assert not taker.apply_message(give)
+    assert taker.apply_message(giver.to_message(0))
     assert taker.workspaces == giver.workspaces
 
 
@@ -135,11 +135,11 @@
     taker = config_state()
     first = seen(1, documents(3))
     giver.apply(first.revision, first.manifest, first.documents)
-    taker.take(giver.give(0))
+    taker.apply_message(giver.to_message(0))
     less = {n: t for n, t in documents(3).items() if n != "workspace/w2"}
     second = seen(2, less)
     giver.apply(second.revision, second.manifest, second.documents)
-    assert taker.take(giver.give(1))
+    assert taker.apply_message(giver.to_message(1))
     assert sorted(taker.workspaces) == ["w0", "w1"]
 
 
