--- a/plumarch/cli/main.py
+++ b/plumarch/cli/main.py
@@ -87,7 +87,7 @@
             time = clock.MonotonicClock()
             platform = client.HttpPlatform(given.platform.url, given.platform.token, time)
             # One operator's command is one burst; the daemon's share is not meant for it.
-            platform.reads.saved = platform.writes.saved = float(1_000)
+            platform.reads.balance = platform.writes.balance = float(1_000)
             try:
                 return await work(platform)
             finally:
--- a/plumarch/cli/nodes.py
+++ b/plumarch/cli/nodes.py
@@ -8,7 +8,7 @@
 import httpx
 import msgspec
 
-ASK_S = 2.0
+REQUEST_TIMEOUT_S = 2.0
 POLL_S = 0.1
 
 Found = dict[str, dict[str, Any]]
@@ -16,7 +16,9 @@
 
 
 def _client(token: str) -> httpx.AsyncClient:
-    return httpx.AsyncClient(headers={"Authorization": f"Bearer {token}"}, timeout=ASK_S)
+    return httpx.AsyncClient(
+        headers={"Authorization": f"Bearer {token}"}, timeout=REQUEST_TIMEOUT_S
+    )
 
 
 async def _ask(
@@ -54,7 +56,7 @@
     """
     found: dict[str, str] = {}
     missing: Missing = {}
-    async with httpx.AsyncClient(timeout=ASK_S) as http:
+    async with httpx.AsyncClient(timeout=REQUEST_TIMEOUT_S) as http:
         for address in addresses:
             try:
                 answer = await http.get(f"http://{address}/status")
@@ -123,7 +125,7 @@
                 "GET",
                 f"http://{address}/watch",
                 params={"workspace": workspace},
-                timeout=httpx.Timeout(ASK_S, read=None),
+                timeout=httpx.Timeout(REQUEST_TIMEOUT_S, read=None),
             ) as answer,
         ):
             async for line in answer.aiter_lines():
--- a/plumarch/cli/stories.py
+++ b/plumarch/cli/stories.py
@@ -10,14 +10,14 @@
 
 import msgspec
 
-BEFORE_MS = 3_000
+STATE_BEFORE_MS = 3_000
 """How long before the request's first line a node's beliefs are part of its story."""
 
-NAMES = ("key", "fingerprint")
+REQUEST_FIELDS = ("key", "fingerprint")
 """Fields by which a line names its request, besides its id."""
 
-COMMON = frozenset({"at", "node", "kind", "request"})
-BELIEFS = frozenset(
+COMMON_FIELDS = frozenset({"at", "node", "kind", "request"})
+STATE_KINDS = frozenset(
     {
         "configuration",
         "endpoint",
@@ -72,7 +72,7 @@
 
 
 def _line(fields: dict[str, Any]) -> Line:
-    others = {name: value for name, value in fields.items() if name not in COMMON}
+    others = {name: value for name, value in fields.items() if name not in COMMON_FIELDS}
     return Line(
         int(fields["at"]),
         str(fields.get("node", "")),
@@ -97,19 +97,19 @@
         return []
     nodes = {line.node for line in own}
     endpoints = {line.fields.get("endpoint") for line in own}
-    begin = min(line.at_ms for line in own) - BEFORE_MS
+    begin = min(line.at_ms for line in own) - STATE_BEFORE_MS
     end = max(line.at_ms for line in own)
-    beliefs = [
+    state_lines = [
         line
         for line in lines
-        if line.kind in BELIEFS and line.node in nodes and begin <= line.at_ms <= end
+        if line.kind in STATE_KINDS and line.node in nodes and begin <= line.at_ms <= end
         if line.kind != "endpoint" or line.fields.get("endpoint") in endpoints
     ]
-    return sorted(own + beliefs, key=lambda line: (line.at_ms, line.node))
+    return sorted(own + state_lines, key=lambda line: (line.at_ms, line.node))
 
 
 def _is_known_as(line: Line, name: str) -> bool:
-    return any(line.fields.get(field) == name for field in NAMES)
+    return any(line.fields.get(field) == name for field in REQUEST_FIELDS)
 
 
 def render(lines: list[Line]) -> str:
--- a/plumarch/config/fields.py
+++ b/plumarch/config/fields.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-READER = "reader"
+PARSER_KEY = "reader"
 """Names the function, among the extras of a type, that makes a value of a key's text."""
 
 ADDRESS = re.compile(r"^(?P<host>[0-9a-fA-F.:\[\]]+):(?P<port>\d{1,5})$")
-PORT_LIMIT = 65_535
+MAX_PORT = 65_535
 
 
 def words(text: str) -> tuple[str, ...]:
@@ -31,22 +31,22 @@
       ValueError: it is not IP:port.
     """
     found = ADDRESS.match(text)
-    if not found or int(found["port"]) > PORT_LIMIT:
+    if not found or int(found["port"]) > MAX_PORT:
         raise ValueError(f"{text!r} is not IP:port")
     return text
 
 
-def read_by(reader: Callable[[str], Any]) -> msgspec.Meta:
+def parsed_by(reader: Callable[[str], Any]) -> msgspec.Meta:
     """Return the mark of a type whose values a function makes of a key's text.
 
     Args:
       reader: raises ValueError, with what is wrong, for a text that it does not take.
     """
-    return msgspec.Meta(extra={READER: reader})
+    return msgspec.Meta(extra={PARSER_KEY: reader})
 
 
-Words = Annotated[tuple[str, ...], read_by(words)]
-Address = Annotated[str, read_by(address)]
+CommaSeparated = Annotated[tuple[str, ...], parsed_by(words)]
+Address = Annotated[str, parsed_by(address)]
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 NotNegative = Annotated[float, msgspec.Meta(ge=0)]
 NonEmpty = Annotated[str, msgspec.Meta(min_length=1)]
@@ -72,4 +72,4 @@
     if get_origin(wanted) is not Annotated:
         return []
     extras = [mark.extra or {} for mark in get_args(wanted)[1:] if isinstance(mark, msgspec.Meta)]
-    return [extra[READER] for extra in extras if READER in extra]
+    return [extra[PARSER_KEY] for extra in extras if PARSER_KEY in extra]
--- a/plumarch/config/publishing.py
+++ b/plumarch/config/publishing.py
@@ -17,7 +17,7 @@
 
 PREFIX = "config/"
 HEAD = "config/head"
-TRIES = 5
+MAX_WRITE_ATTEMPTS = 5
 
 
 class Head(msgspec.Struct, frozen=True):
@@ -114,13 +114,13 @@
         note,
         uuid.uuid4().hex,
     )
-    await _switch(platform, current, head)
+    await _write_head(platform, current, head)
     return head.revision
 
 
 async def _write_document(platform: protocol.Platform, digest: str, text: str) -> None:
     """Write a document; one that is there already has the same content."""
-    for _ in range(TRIES):
+    for _ in range(MAX_WRITE_ATTEMPTS):
         try:
             await platform.put(document_name(digest), text.encode(), 0)
         except errors.PlatformConflict:
@@ -131,10 +131,10 @@
     raise errors.PlatformUnavailable("The platform loses its answers. Apply again later.")
 
 
-async def _switch(platform: protocol.Platform, current: Current, head: Head) -> None:
+async def _write_head(platform: protocol.Platform, current: Current, head: Head) -> None:
     """Write the head once, however often its answer is lost."""
     value = msgspec.json.encode(head)
-    for _ in range(TRIES):
+    for _ in range(MAX_WRITE_ATTEMPTS):
         try:
             await platform.put(HEAD, value, current.version)
         except errors.PlatformAnswerLost:
@@ -144,14 +144,14 @@
             now = await read_head(platform)
             if now.head.token == head.token:
                 return
-            raise ChangeConflict(_told_apart(current, now)) from error
+            raise ChangeConflict(_describe_conflict(current, now)) from error
         return
     raise errors.PlatformAnswerLost(
         "It is not known whether the change is in force. Run `plumarch diff` to see."
     )
 
 
-def _told_apart(before: Current, now: Current) -> str:
+def _describe_conflict(before: Current, now: Current) -> str:
     """Return who changed what since a head was read, and the remedy."""
     old = before.head.manifest
     new = now.head.manifest
--- a/plumarch/config/rendering.py
+++ b/plumarch/config/rendering.py
@@ -39,7 +39,7 @@
     return found
 
 
-Name = Annotated[str, fields.read_by(_name)]
+Name = Annotated[str, fields.parsed_by(_name)]
 
 
 class TemplateHead(ini.Section, frozen=True):
@@ -54,12 +54,12 @@
 
     name: Name
     template: Name
-    token_sha256: Annotated[str, fields.read_by(_digest)]
+    token_sha256: Annotated[str, fields.parsed_by(_digest)]
     model: str
     adapter: str = ""
     weight: Annotated[float, msgspec.Meta(gt=0, le=1000)] = 1.0
-    data_centres: fields.Words = ()
-    vm_classes: fields.Words = ()
+    data_centres: fields.CommaSeparated = ()
+    vm_classes: fields.CommaSeparated = ()
 
 
 class ClassSection(ini.Section, frozen=True):
@@ -74,7 +74,7 @@
     """A section [service.NAME]."""
 
     request_class: data.RequestClass = msgspec.field(default=data.RequestClass.LOOKUP, name="class")
-    not_repeatable: Annotated[tuple[str, ...], fields.read_by(_patterns)] = ()
+    not_repeatable: Annotated[tuple[str, ...], fields.parsed_by(_patterns)] = ()
 
 
 def template_name(workspace_text: str) -> str:
--- a/plumarch/config/state.py
+++ b/plumarch/config/state.py
@@ -14,7 +14,7 @@
 TEMPLATE = "template/"
 WORKSPACE = "workspace/"
 
-HISTORY = 64
+MAX_HISTORY = 64
 """Changes remembered, so that a peer a little behind gets only what it lacks."""
 
 
@@ -54,7 +54,7 @@
             return False
         changed = {n for n, digest in manifest.items() if self.manifest.get(n) != digest}
         changed |= {n for n in self.manifest if n not in manifest}
-        self._remember({name: manifest.get(name, "") for name in sorted(changed)})
+        self._record_change({name: manifest.get(name, "") for name in sorted(changed)})
         self.documents = {digest: known[digest] for digest in manifest.values()}
         self.manifest = dict(manifest)
         self.revision = revision
@@ -65,10 +65,10 @@
         self.ctx.note(None, "config", f"revision {revision}", why)
         return True
 
-    def _remember(self, changes: dict[str, str]) -> None:
+    def _record_change(self, changes: dict[str, str]) -> None:
         """Keep what the next revision changes, against the one in force until now."""
         self.history[self.revision] = changes
-        while len(self.history) > HISTORY:
+        while len(self.history) > MAX_HISTORY:
             del self.history[next(iter(self.history))]
 
     def to_message(self, revision: int) -> messages.ConfigGive:
--- a/plumarch/daemon/gateway_settings.py
+++ b/plumarch/daemon/gateway_settings.py
@@ -20,7 +20,7 @@
     return words
 
 
-Duties = Annotated[tuple[str, ...], fields.read_by(_duties)]
+Duties = Annotated[tuple[str, ...], fields.parsed_by(_duties)]
 
 
 def _regions(text: str) -> dict[str, str]:
@@ -35,7 +35,7 @@
     return found
 
 
-Regions = Annotated[dict[str, str], fields.read_by(_regions)]
+Regions = Annotated[dict[str, str], fields.parsed_by(_regions)]
 
 
 class NodeSection(ini.Section, frozen=True):
@@ -73,7 +73,7 @@
 class PeersSection(ini.Section, frozen=True):
     """[peers]: IP or IP:port of some nodes that may exist; all listen on the same port."""
 
-    seeds: fields.Words = ()
+    seeds: fields.CommaSeparated = ()
 
 
 class StoreSection(ini.Section, frozen=True):
--- a/plumarch/daemon/settings.py
+++ b/plumarch/daemon/settings.py
@@ -27,8 +27,8 @@
     return value.rstrip("/")
 
 
-PeerAddresses = Annotated[dict[str, str], fields.read_by(_peers)]
-Url = Annotated[str, fields.read_by(_url)]
+PeerAddresses = Annotated[dict[str, str], fields.parsed_by(_peers)]
+Url = Annotated[str, fields.parsed_by(_url)]
 
 
 class NodeSection(ini.Section, frozen=True):
--- a/plumarch/endpoints/client.py
+++ b/plumarch/endpoints/client.py
@@ -24,7 +24,7 @@
 
 PRIORITY = {name: number for number, name in enumerate(data.RequestClass)}
 
-NEVER_SENT = (
+NOT_DELIVERED_ERRORS = (
     httpx.ConnectError,
     httpx.ConnectTimeout,
     httpx.PoolTimeout,
@@ -34,7 +34,7 @@
 )
 """Errors that prove that no byte of the request was acted on."""
 
-FAILED = (
+FAILURE_ERRORS = (
     httpx.HTTPError,
     httpx.StreamError,
     aiohttp.ClientError,
@@ -43,7 +43,7 @@
     errors.EndpointError,
 )
 
-BROKEN = (
+BROKEN_CONNECTION_ERRORS = (
     httpx.ReadError,
     httpx.RemoteProtocolError,
     aiohttp.ServerDisconnectedError,
@@ -53,7 +53,7 @@
 )
 """Errors by which a connection broke while its request ran."""
 
-CONNECTIONS = 4_000
+MAX_CONNECTIONS = 4_000
 KEEP_ALIVE_S = 2.0
 JSON = {"Content-Type": "application/json"}
 OCTETS = "application/octet-stream"
@@ -117,16 +117,16 @@
     def __init__(self) -> None:
         # Idle connections are closed before servers usually do: a request sent on a
         # connection that the server has just closed could neither be called run nor not.
-        limits = httpx.Limits(max_connections=CONNECTIONS, keepalive_expiry=KEEP_ALIVE_S)
+        limits = httpx.Limits(max_connections=MAX_CONNECTIONS, keepalive_expiry=KEEP_ALIVE_S)
         timeout = httpx.Timeout(READ_S, connect=CONNECT_S)
         self.once = httpx.AsyncClient(timeout=timeout, limits=limits)
         self.session: aiohttp.ClientSession | None = None
-        self.limited: set[str] = set()
+        self.rate_limited: set[str] = set()
 
     def repeatable(self) -> aiohttp.ClientSession:
         """Return the session for engines and repeatable calls; it needs a running loop."""
         if self.session is None:
-            connector = aiohttp.TCPConnector(limit=CONNECTIONS, keepalive_timeout=KEEP_ALIVE_S)
+            connector = aiohttp.TCPConnector(limit=MAX_CONNECTIONS, keepalive_timeout=KEEP_ALIVE_S)
             timeout = aiohttp.ClientTimeout(total=None, connect=CONNECT_S, sock_read=READ_S)
             self.session = aiohttp.ClientSession(
                 connector=connector, timeout=timeout, auto_decompress=False
@@ -143,15 +143,15 @@
                 await self._run_service(order, sink)
             else:
                 await self._run_once(order, sink)
-        except NEVER_SENT as error:
-            rest_ms = error.rest_ms if isinstance(error, errors.NotDelivered) else 0.0
+        except NOT_DELIVERED_ERRORS as error:
+            backoff_ms = error.rest_ms if isinstance(error, errors.NotDelivered) else 0.0
             sink(
                 events.EndpointFailed(
-                    request.id, order.attempt, False, repr(error), rest_ms=rest_ms
+                    request.id, order.attempt, False, repr(error), rest_ms=backoff_ms
                 )
             )
-        except FAILED as error:
-            broken = isinstance(error, BROKEN)
+        except FAILURE_ERRORS as error:
+            broken = isinstance(error, BROKEN_CONNECTION_ERRORS)
             sink(events.EndpointFailed(request.id, order.attempt, True, repr(error), broken))
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             why = f"not an engine's stream: {error}"
@@ -163,25 +163,25 @@
         answer = await self.once.request(
             request.method, url, content=request.body, headers=_service_headers(order)
         )
-        self._tell_rate(order, sink, answer.status_code, answer.headers)
+        self._report_rate(order, sink, answer.status_code, answer.headers)
         content_type = answer.headers.get("content-type", OCTETS)
-        _tell_reply(order, sink, answer.status_code, content_type, answer.content)
+        _report_reply(order, sink, answer.status_code, content_type, answer.content)
 
     async def _run_service(self, order: events.HandOver, sink: protocol.Sink) -> None:
         request = order.request
         url = yarl.URL(order.endpoint.address + request.path, encoded=True)
-        asked = self.repeatable().request(
+        call = self.repeatable().request(
             request.method,
             url,
             data=request.body,
             headers=_service_headers(order),
             allow_redirects=False,
         )
-        async with asked as answer:
-            self._tell_rate(order, sink, answer.status, answer.headers)
+        async with call as answer:
+            self._report_rate(order, sink, answer.status, answer.headers)
             content = await answer.read()
             content_type = answer.headers.get("content-type", OCTETS)
-            _tell_reply(order, sink, answer.status, content_type, content)
+            _report_reply(order, sink, answer.status, content_type, content)
 
     async def _run_engine(self, order: events.HandOver, sink: protocol.Sink) -> None:
         request = order.request
@@ -189,17 +189,17 @@
         url = order.endpoint.address + "/v1/chat/completions"
         body = self._engine_body(order, name)
         async with self.repeatable().post(url, data=body, headers=JSON) as answer:
-            self._tell_rate(order, sink, answer.status, answer.headers)
+            self._report_rate(order, sink, answer.status, answer.headers)
             if answer.status == httpx.codes.SERVICE_UNAVAILABLE:
-                rest_ms = retry_after.milliseconds(answer.headers.get(retry_after.HEADER, ""))
-                raise errors.NotDelivered("The engine refused the request.", rest_ms)
+                backoff_ms = retry_after.milliseconds(answer.headers.get(retry_after.HEADER, ""))
+                raise errors.NotDelivered("The engine refused the request.", backoff_ms)
             if answer.status != httpx.codes.OK:
                 raise errors.EndpointError(f"The engine answered {answer.status}.")
             recomputed = await self._read_stream(order, name, answer, sink)
         reply = data.Reply(200, "text/event-stream")
         sink(events.EndpointDone(request.id, order.attempt, reply, recomputed))
 
-    def _tell_rate(
+    def _report_rate(
         self, order: events.HandOver, sink: protocol.Sink, status: int, headers: Mapping[str, str]
     ) -> None:
         """Tell the rate that an answer announces, or that it announces none any more.
@@ -211,9 +211,9 @@
         if value and per_s is None:
             return
         if per_s is not None:
-            self.limited.add(name)
-        elif name in self.limited and status != httpx.codes.SERVICE_UNAVAILABLE:
-            self.limited.discard(name)
+            self.rate_limited.add(name)
+        elif name in self.rate_limited and status != httpx.codes.SERVICE_UNAVAILABLE:
+            self.rate_limited.discard(name)
         else:
             return
         sink(events.EndpointRate(order.request.id, order.attempt, per_s))
@@ -240,8 +240,8 @@
                 recomputed = max(recomputed, event.recomputed)
                 finished = finished or _is_finished(event)
             if tokens:
-                news = tuple(tokens)
-                sink(events.EndpointTokens(order.request.id, order.attempt, position, news))
+                new_tokens = tuple(tokens)
+                sink(events.EndpointTokens(order.request.id, order.attempt, position, new_tokens))
                 position += len(tokens)
         if not finished:
             raise errors.DeliveryUnknown("The stream ended before the answer did.")
@@ -249,18 +249,18 @@
 
     def _engine_body(self, order: events.HandOver, name: str) -> bytes:
         request = order.request
-        asked = msgspec.json.decode(request.body) if request.body else {}
+        chat_body = msgspec.json.decode(request.body) if request.body else {}
         source = ""
         if order.import_from:
             source = attempt_name(request.id, order.import_attempt)
-        asked.update(
+        chat_body.update(
             stream=True,
             max_tokens=request.max_tokens,
             seed=request.seed,
             priority=PRIORITY[request.request_class],
             continuation=Continuation(name, list(order.tokens), order.import_from, source),
         )
-        return msgspec.json.encode(asked)
+        return msgspec.json.encode(chat_body)
 
     async def load(self, endpoint: data.Endpoint) -> data.LoadReport:
         """Read an endpoint's load. Raises EndpointError."""
@@ -288,7 +288,7 @@
     }
 
 
-def _tell_reply(
+def _report_reply(
     order: events.HandOver, sink: protocol.Sink, status: int, content_type: str, body: bytes
 ) -> None:
     if status == httpx.codes.PRECONDITION_FAILED:
@@ -313,12 +313,12 @@
     Decoding what is there in one go keeps the decisions from being woken for each
     event when an engine sends several in one packet.
     """
-    rest = b""
+    remainder = b""
     async for part in answer.content.iter_any():
-        *whole, rest = (rest + part).split(EVENT_END)
+        *complete, remainder = (remainder + part).split(EVENT_END)
         batch = [
             STREAM_DECODER.decode(text[len(DATA) :])
-            for text in whole
+            for text in complete
             if text.startswith(DATA) and not text.startswith(DATA + DONE)
         ]
         if batch:
--- a/plumarch/load/callers.py
+++ b/plumarch/load/callers.py
@@ -14,7 +14,7 @@
 from plumarch.proof import invariants
 from plumarch.standins import model
 
-PATIENCE_S = 90.0
+MAX_ATTEMPTS_S = 90.0
 """How long a caller tries before it gives up: by time and not by tries, since on a busy machine
 all tries of some seconds may fail to connect while the nodes stand still. Longer than any
 promise takes to be kept; a judgement."""
@@ -124,7 +124,7 @@
         outcome = self._outcome(key, data.RequestClass.CHAT, seed, tokens)
         body = {**self._body(seed, tokens, f"Explain {key}."), "stream": True}
         start = time.monotonic()
-        await _until_done(outcome, lambda: self._stream(outcome, key, body, start))
+        await _retry_until_final(outcome, lambda: self._stream(outcome, key, body, start))
         outcome.total_ms = (time.monotonic() - start) * 1000
         return outcome
 
@@ -189,13 +189,13 @@
                 outcome, answer.status_code, answer.content
             )
 
-        if await _until_done(outcome, submit_once) and not outcome.view.accepted:
+        if await _retry_until_final(outcome, submit_once) and not outcome.view.accepted:
             return outcome
-        await _until_done(outcome, lambda: self._fetch(outcome, key))
+        await _retry_until_final(outcome, lambda: self._fetch_result(outcome, key))
         outcome.total_ms = (time.monotonic() - start) * 1000
         return outcome
 
-    async def _fetch(self, outcome: Outcome, key: str) -> bool:
+    async def _fetch_result(self, outcome: Outcome, key: str) -> bool:
         """Ask for a result once. Returns whether the answer is final."""
         url = f"{self.balancer.pick()}/v1/requests/{key}/result"
         answer = await self.http.get(url, headers=self._headers())
@@ -227,18 +227,18 @@
                 return True
             return self._problem(outcome, answer.status_code, answer.content)
 
-        await _until_done(outcome, call_once)
+        await _retry_until_final(outcome, call_once)
         outcome.total_ms = (time.monotonic() - start) * 1000
         return outcome
 
 
-async def _until_done(outcome: Outcome, attempt: Callable[[], Awaitable[bool]]) -> bool:
+async def _retry_until_final(outcome: Outcome, attempt: Callable[[], Awaitable[bool]]) -> bool:
     """Make attempts until one is final or patience ends; broken connections are counted.
 
     Returns:
       Whether one was final.
     """
-    until = time.monotonic() + PATIENCE_S
+    until = time.monotonic() + MAX_ATTEMPTS_S
     while time.monotonic() < until:
         try:
             if await attempt():
--- a/plumarch/object_api/client.py
+++ b/plumarch/object_api/client.py
@@ -23,10 +23,10 @@
     def __init__(self, time: clock.Clock, per_second: float) -> None:
         self.time = time
         self.per_second = per_second
-        self.saved = per_second * BURST_S
+        self.balance = per_second * BURST_S
         self.last_ms = time.now()
 
-    def take(self) -> None:
+    def spend(self) -> None:
         """Spend a call.
 
         Raises:
@@ -34,11 +34,11 @@
         """
         now = self.time.now()
         earned = (now - self.last_ms) / 1000 * self.per_second
-        self.saved = min(self.per_second * BURST_S, self.saved + earned)
+        self.balance = min(self.per_second * BURST_S, self.balance + earned)
         self.last_ms = now
-        if self.saved < 1.0:
+        if self.balance < 1.0:
             raise errors.BudgetExceeded("Too many platform calls. Wait a second.")
-        self.saved -= 1.0
+        self.balance -= 1.0
 
 
 class HttpPlatform:
@@ -58,7 +58,7 @@
         timeout_s: float = TIMEOUT_S,
         headers: dict[str, str] | None = None,
     ) -> httpx.Response:
-        self.reads.take()
+        self.reads.spend()
         try:
             answer = await self.http.get(path, params=params, timeout=timeout_s, headers=headers)
         except httpx.HTTPError as error:
@@ -84,7 +84,7 @@
           PlatformUnavailable: the call never arrived; nothing was written.
           PlatformAnswerLost: it may have been written; read it back.
         """
-        self.writes.take()
+        self.writes.spend()
         headers = {"If-Match": str(expected_version)}
         if expected_version == 0:
             headers = {"If-None-Match": "*"}
@@ -131,7 +131,7 @@
           PlatformUnavailable: it was not reached.
           PlatformAnswerLost: it may have carried the order out. Give it again.
         """
-        self.writes.take()
+        self.writes.spend()
         body = msgspec.json.encode(order)
         try:
             answer = await self.http.post("/cloud/orders", content=body)
