--- a/plumarch/daemon/gateway.py
+++ b/plumarch/daemon/gateway.py
@@ -38,13 +38,13 @@
 
 FLUSH_MS = 100
 CONFIGURATION_WAIT_MS = 400
-"""How long callers' connections wait at most for the first configuration; the store answers
-within some ms, and without it callers are better told to come back."""
+"""How long callers' connections wait for the first configuration; after that, requests are
+answered with an error until there is one."""
 
 CONFIGURATION_CHECK_MS = 5
 SETTINGS_CHECK_MS = 2_000
 NOT_READY_MS = 2_600
-"""After this time as not ready, the balancer sends no new connections."""
+"""Time until the balancer sends no more new connections to a node that is not ready."""
 
 ABORT_BEFORE_KILL_MS = 500
 USAGE_EARLY_MS = 1_500
@@ -62,10 +62,10 @@
         cloud: ports.Cloud,
         opened: socket.socket | None = None,
     ) -> None:
-        """Build the process's parts.
+        """Build the components of the process.
 
         Args:
-          opened: a socket on which callers connect already, or None to open one.
+          opened: the callers' listening socket if it is open already, else None.
         """
         self.settings = settings
         self.opened = opened
@@ -180,7 +180,7 @@
         return not self.stopping and self.state.table is not None
 
     async def start(self) -> None:
-        """Open all listeners and begin to follow, tell and act."""
+        """Open all listeners and start the periodic tasks."""
         listen = self.settings.listen
         await self.gossiper.start()
         callers_socket = self.opened or listening.bind(listen.callers)
@@ -215,7 +215,7 @@
         self.state.log.flush()
 
     async def _guard(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Run a part; a fault in it is logged, and the part begins again."""
+        """Run a task; on an exception, log it and restart the task."""
         while True:
             try:
                 await work()
@@ -239,9 +239,9 @@
         self.listeners.append(listener)
 
     async def _serve_callers(self) -> None:
-        """Accept callers' connections, which wait in the kernel's queue until then.
+        """Start to accept callers' connections; until then they wait in the kernel's queue.
 
-        Without a configuration each request would have to be turned away.
+        Without a configuration each request would be rejected.
         """
         gives_up_ms = self.clock.now() + CONFIGURATION_WAIT_MS
         while self.state.table is None and self.clock.now() < gives_up_ms:
@@ -250,7 +250,7 @@
             await self.listeners[0].start_serving()
 
     async def _run_housekeeping(self) -> None:
-        """Write logs, and bring limits and gauges up to date."""
+        """Flush the log and update limits and gauges, at intervals."""
         while True:
             await asyncio.sleep(FLUSH_MS / 1000.0)
             state = self.state
@@ -260,7 +260,7 @@
             state.measures.lines_dropped = state.log.dropped_total
 
     async def _watch_settings(self) -> None:
-        """Notice a settings file that changed without a signal."""
+        """Reload the settings file when its modification time changes."""
         path = pathlib.Path(self.settings_path)
         if not path.is_file():
             return
@@ -274,7 +274,7 @@
                     self.reload(str(path))
 
     def reload(self, path: str) -> None:
-        """Take over what may change in a settings file; a bad one changes nothing."""
+        """Apply the settings that may change at run time; an invalid file is ignored."""
         try:
             fresh = gateway_settings.load(path)
         except errors.SettingsError as error:
@@ -284,7 +284,7 @@
         self.state.log.write("reload", urgent=True, outcome="taken", seeds=list(fresh.peers.seeds))
 
     async def stop(self) -> None:
-        """Stop as planned: not ready first, then finish what was read, then end."""
+        """Report not ready, finish the requests that are in progress, then close."""
         begun = self.clock.now()
         grace_ms = self.settings.bounds.stop_s * 1000.0
         self.stopping = True
@@ -312,10 +312,10 @@
 
 
 async def serve(gateway: Gateway, settings_path: str) -> None:
-    """Run a gateway until it is told to stop.
+    """Run a gateway until SIGTERM or SIGINT.
 
     Args:
-      settings_path: the file that is read again when it changes or by SIGHUP.
+      settings_path: the file that is reloaded when it changes or on SIGHUP.
     """
     gateway.settings_path = settings_path
     stop_requested = asyncio.Event()
--- a/plumarch/daemon/gateway_settings.py
+++ b/plumarch/daemon/gateway_settings.py
@@ -1,4 +1,4 @@
-"""The gateway's settings: an INI file, validated whole before anything starts."""
+"""The gateway's settings: an INI file, validated before anything starts."""
 
 import dataclasses
 from typing import Annotated
@@ -39,7 +39,7 @@
 
 
 class NodeSection(ini.Section, frozen=True):
-    """[node]: who this node is, and whether the whole system starts for the first time."""
+    """[node]: the node's name, and whether the system starts for the first time."""
 
     name: fields.NonEmpty
     data_centre: fields.NonEmpty
@@ -49,20 +49,20 @@
 class RegionsSection(ini.Section, frozen=True):
     """[regions]: the region of each data centre, as DATA CENTRE:REGION, separated by commas.
 
-    Without any, all data centres are of one region.
+    Without any, all data centres form one region.
     """
 
     data_centres: Regions = {}
 
 
 class MemorySection(ini.Section, frozen=True):
-    """[memory]: the memory that the process may take, in MB of 2**20 bytes."""
+    """[memory]: the memory that the process may use, in MB of 2**20 bytes."""
 
     limit_mb: fields.Positive = 512.0
 
 
 class ListenSection(ini.Section, frozen=True):
-    """[listen]: where it listens; peers is used for TCP and UDP."""
+    """[listen]: addresses of the listeners; peers is used for TCP and UDP."""
 
     callers: fields.Address
     readiness: fields.Address
@@ -71,7 +71,7 @@
 
 
 class PeersSection(ini.Section, frozen=True):
-    """[peers]: IP or IP:port of some nodes that may exist; all listen on the same port."""
+    """[peers]: IP or IP:port of seed nodes; the port is ignored, all nodes use the same one."""
 
     seeds: fields.CommaSeparated = ()
 
@@ -83,9 +83,9 @@
 
 
 class CloudSection(ini.Section, frozen=True):
-    """[cloud]: the platform's calls of one node at a time; without an address there are none.
+    """[cloud]: the platform's calls that one node makes; without an address there are none.
 
-    The duties are "usage", to report it, and "scaling", to order endpoints.
+    The duties are "usage" (reports usage) and "scaling" (orders endpoints).
     """
 
     address: str = ""
@@ -93,7 +93,7 @@
 
 
 class BoundsSection(ini.Section, frozen=True):
-    """[bounds]: what the deployment promises; times in ms unless named otherwise."""
+    """[bounds]: the guarantees of the deployment; times in s."""
 
     stop_s: fields.Positive = 8.0
     retry_ratio: fields.NotNegative = 0.2
@@ -107,10 +107,10 @@
 
 
 class RolloutsSection(ini.Section, frozen=True):
-    """[rollouts]: what a bad version may get at most until it is rolled back.
+    """[rollouts]: the most requests that a bad version may get before it is rolled back.
 
-    A part of the service's requests during the roll-out, and some requests besides; without a
-    share there are no roll-outs.
+    They are a fraction of the service's requests during the roll-out, plus a fixed number. Without
+    a fraction there are no roll-outs.
     """
 
     exposure_share: fields.NotNegative = 0.0
@@ -118,7 +118,7 @@
 
 
 class LogSection(ini.Section, frozen=True):
-    """[log]: how many lines a second at most."""
+    """[log]: the maximum number of lines a second."""
 
     lines_per_s: Annotated[int, msgspec.Meta(gt=0)] = 500
 
@@ -143,7 +143,7 @@
     """Read and validate a settings file.
 
     Raises:
-      SettingsError: with all problems, each at its file, section and key, and a remedy.
+      SettingsError: lists all problems, each with file, section, key and remedy.
     """
     return ini.load(path, read)
 
--- a/plumarch/daemon/gateway_settings_test.py
+++ b/plumarch/daemon/gateway_settings_test.py
@@ -1,4 +1,4 @@
-"""The gateway's settings: whole ones, and every problem at its place."""
+"""Tests of the gateway's settings: valid files, and problems with their section and key."""
 
 import pathlib
 
@@ -7,7 +7,7 @@
 from plumarch.core import errors
 from plumarch.daemon import gateway_settings
 
-WHOLE = """
+VALID = """
 [node]
 name = a
 data_centre = z
@@ -27,16 +27,16 @@
 """
 
 
-def test_whole_settings():
-    found, problems = gateway_settings.read("g.ini", WHOLE)
+def test_valid_settings():
+    found, problems = gateway_settings.read("g.ini", VALID)
     assert problems == []
     assert found.node.first_start
     assert found.peers.seeds == ("10.0.0.1:8", "10.0.0.2:8")
     assert found.cloud.duties == ("usage", "scaling")
 
 
-def test_all_problems_are_told_at_once_with_their_lines():
-    wrong = WHOLE.replace("127.0.0.1:2", "nowhere").replace("usage, scaling", "usage, dancing")
+def test_all_problems_are_reported_at_once_with_their_lines():
+    wrong = VALID.replace("127.0.0.1:2", "nowhere").replace("usage, scaling", "usage, dancing")
     found, problems = gateway_settings.read("g.ini", wrong + "[bounds]\nstop_s = -1\nodd = 2\n")
     assert found is None
     places = {(one.section, one.key) for one in problems}
@@ -49,26 +49,26 @@
     assert all(one.line > 0 and one.remedy for one in problems)
 
 
-def test_a_file_that_cannot_be_read_names_the_remedy(tmp_path: pathlib.Path):
+def test_an_unreadable_file_is_reported_with_a_remedy(tmp_path: pathlib.Path):
     with pytest.raises(errors.SettingsError, match="Name a file"):
         gateway_settings.load(str(tmp_path / "missing.ini"))
 
 
 def test_regions_of_data_centres():
     found, problems = gateway_settings.read(
-        "g.ini", WHOLE + "[regions]\ndata_centres = z:south, y: south,x:north\n"
+        "g.ini", VALID + "[regions]\ndata_centres = z:south, y: south,x:north\n"
     )
     assert problems == []
     assert found.regions.data_centres == {"z": "south", "y": "south", "x": "north"}
 
 
-def test_no_regions_are_named_by_an_empty_list():
-    found, problems = gateway_settings.read("g.ini", WHOLE + "[regions]\ndata_centres =\n")
+def test_an_empty_list_of_data_centres_is_no_regions():
+    found, problems = gateway_settings.read("g.ini", VALID + "[regions]\ndata_centres =\n")
     assert problems == []
     assert found.regions.data_centres == {}
 
 
 @pytest.mark.parametrize("text", ["z", "z:", ":south", "z:south, z:north"])
-def test_bad_regions_are_told(text):
-    _, problems = gateway_settings.read("g.ini", WHOLE + f"[regions]\ndata_centres = {text}\n")
+def test_bad_regions_are_reported(text):
+    _, problems = gateway_settings.read("g.ini", VALID + f"[regions]\ndata_centres = {text}\n")
     assert [(one.section, one.key) for one in problems] == [("regions", "data_centres")]
--- a/plumarch/daemon/listening.py
+++ b/plumarch/daemon/listening.py
@@ -1,6 +1,6 @@
-"""Listening sockets, for whatever serves on them.
+"""Listening sockets.
 
-Imports hardly anything: a gateway opens its callers' socket with it before all else.
+Imports little, since a gateway opens its callers' socket before it imports all else.
 """
 
 import configparser
@@ -13,7 +13,7 @@
     """Open a listening socket.
 
     Raises:
-      SettingsError: the address can't be had.
+      SettingsError: the address can't be bound.
     """
     host, port = addresses.split(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -34,16 +34,16 @@
 def bind_first(path: str, section: str, key: str) -> socket.socket | None:
     """Open the listening socket that a settings file names, before the settings are validated.
 
-    Connections then wait in the kernel's queue while the process starts; they would be reset
-    otherwise, for 0.29 s of processor time (imports, python -S), twice that on half a core.
+    Connections then wait in the kernel's queue while the process imports its modules, and are
+    not refused.
 
     Args:
       path: the settings file.
-      section: where the address stands.
-      key: what it is called there.
+      section: the section of the address.
+      key: its key.
     Returns:
-      The socket, or None if the file names no address that can be had: the validation of the
-      settings and the second attempt to listen say why.
+      The socket, or None if the file names no address that can be bound; the validation of the
+      settings and the second attempt to listen report the cause.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
--- a/plumarch/daemon/logs.py
+++ b/plumarch/daemon/logs.py
@@ -1,4 +1,4 @@
-"""Logs: loguru to standard error, a fixed prefix per part, other libraries routed in."""
+"""Logging by loguru to standard error, records of the standard logging module included."""
 
 import asyncio
 import logging
@@ -10,10 +10,10 @@
 
 
 class ToLoguru(logging.Handler):
-    """Hands records of the standard logging module to loguru, httpx's at debug level."""
+    """Forwards records of the standard logging module to loguru, httpx's at debug level."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Pass one record on. A request ended by closing its socket is no error."""
+        """Forward one record, unless it reports a cancelled request."""
         if record.exc_info and isinstance(record.exc_info[1], asyncio.CancelledError):
             return
         quiet = record.name.startswith(("httpx", "httpcore"))
@@ -26,8 +26,8 @@
     """Send all logs to standard error.
 
     Args:
-      level: the least level to show.
-      json_lines: one JSON object a line in place of text.
+      level: the lowest level to show.
+      json_lines: write one JSON object a line instead of text.
     """
     logger.remove()
     logger.configure(extra={"part": "main"})
--- a/plumarch/daemon/main.py
+++ b/plumarch/daemon/main.py
@@ -1,4 +1,4 @@
-"""plumarchd SETTINGS.ini: the daemon on one entry VM."""
+"""plumarchd SETTINGS.ini: the daemon of an entry VM."""
 
 import asyncio
 import signal
@@ -48,7 +48,7 @@
         )
 
     async def stop(self) -> None:
-        """Stop as planned: first not ready, then finish or hand over, then close."""
+        """Drain the node, then close all listeners."""
         await self.shell.stop()
         await self.callers.stop()
         await self.operators.stop()
@@ -56,7 +56,7 @@
 
 
 async def serve(given: settings.Settings) -> None:
-    """Run a daemon until it is told to stop.
+    """Run a daemon until SIGTERM or SIGINT.
 
     Raises:
       SettingsError: a listener can't be opened.
--- a/plumarch/daemon/problems.py
+++ b/plumarch/daemon/problems.py
@@ -1,4 +1,4 @@
-"""Errors told to callers, as application/problem+json with a remedy."""
+"""Errors that callers receive, as application/problem+json with a remedy."""
 
 import math
 
@@ -33,7 +33,7 @@
 
 
 class CallerFault(Exception):
-    """A request that can't be taken as it is; becomes a 4xx answer."""
+    """An invalid request; answered by a 4xx status."""
 
     def __init__(self, status: int, title: str, detail: str, remedy: str) -> None:
         super().__init__(detail)
--- a/plumarch/daemon/serving.py
+++ b/plumarch/daemon/serving.py
@@ -1,4 +1,4 @@
-"""uvicorn inside a running event loop: one server a listener, stopped from outside."""
+"""uvicorn servers inside a running event loop, one for each listener."""
 
 import asyncio
 import contextlib
@@ -10,11 +10,11 @@
 
 
 class EmbeddedServer(uvicorn.Server):
-    """A uvicorn server that leaves the process's signals to the daemon."""
+    """A uvicorn server that installs no signal handlers; the daemon has its own."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Capture no signals."""
+        """Leave the signal handlers as they are."""
         yield
 
 
@@ -41,14 +41,14 @@
         return int(self.sock.getsockname()[1])
 
     async def start(self) -> None:
-        """Serve, and return once connections are taken."""
+        """Serve, and return once connections are accepted."""
         serve = self.server.serve(sockets=[self.sock])
         self.task = asyncio.get_running_loop().create_task(serve)
         while not self.server.started and not self.task.done():
             await asyncio.sleep(0.005)
 
     async def abort(self) -> None:
-        """End at once, connections included, as if the VM had vanished."""
+        """Abort all connections and stop, as if the VM had been lost."""
         self.server.force_exit = True
         for connection in list(self.server.server_state.connections):
             transport = getattr(connection, "transport", None)
@@ -57,7 +57,7 @@
         await self.stop()
 
     async def stop(self) -> None:
-        """Stop taking connections and end those that are idle."""
+        """Stop accepting connections and close idle ones."""
         self.server.should_exit = True
         if self.task is not None:
             await self.task
--- a/plumarch/daemon/settings.py
+++ b/plumarch/daemon/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings: an INI file, validated whole before anything starts."""
+"""The daemon's settings: an INI file, validated before anything starts."""
 
 import dataclasses
 from typing import Annotated
@@ -32,14 +32,14 @@
 
 
 class NodeSection(ini.Section, frozen=True):
-    """[node]: who this node is."""
+    """[node]: the node's name and data centre."""
 
     name: Annotated[str, msgspec.Meta(pattern=r"^[a-z0-9][a-z0-9-]*$")]
     data_centre: str
 
 
 class ListenSection(ini.Section, frozen=True):
-    """[listen]: where it listens. Port 0 takes any free port."""
+    """[listen]: addresses of the listeners; port 0 means any free port."""
 
     callers: fields.Address
     operators: fields.Address
@@ -54,7 +54,7 @@
 
 
 class PeersSection(ini.Section, frozen=True):
-    """[peers]: the other entry nodes, and the key that all share."""
+    """[peers]: the other entry nodes, and the shared key."""
 
     key: Annotated[str, msgspec.Meta(min_length=MIN_KEY_LENGTH)]
     nodes: PeerAddresses = {}
@@ -67,7 +67,7 @@
 
 
 class LimitsSection(ini.Section, frozen=True):
-    """[limits]: sizes and times of the callers' side."""
+    """[limits]: sizes and times for callers."""
 
     body_bytes: Annotated[int, msgspec.Meta(gt=0, le=64 * 1024 * 1024)] = 1024 * 1024
     coalesce_ms: Annotated[int, msgspec.Meta(ge=0, le=1000)] = 0
@@ -75,7 +75,7 @@
 
 
 class LogSection(ini.Section, frozen=True):
-    """[log]: what is logged, and how."""
+    """[log]: level and format of the log."""
 
     level: Annotated[str, msgspec.Meta(pattern="^(DEBUG|INFO|WARNING|ERROR)$")] = "INFO"
     json_lines: bool = False
@@ -98,7 +98,7 @@
     """Read and validate a settings file.
 
     Raises:
-      SettingsError: with all problems, each at its file, section and key, and a remedy.
+      SettingsError: lists all problems, each with file, section, key and remedy.
     """
     return ini.load(path, read)
 
--- a/plumarch/daemon/streams.py
+++ b/plumarch/daemon/streams.py
@@ -1,4 +1,4 @@
-"""What a caller is told, from the node's decisions to the HTTP handler that waits for it."""
+"""Streams of a caller's answer, from the node to the HTTP handler that waits for it."""
 
 import asyncio
 import dataclasses
@@ -8,17 +8,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TokenBatch:
-    """Tokens ready to be written; position counts the tokens up to their end."""
+    """Tokens ready to be written; position is the number of tokens up to their end."""
 
     position: int
     tokens: tuple[str, ...]
 
 
 class CallerStream:
-    """One caller's answer as it comes in.
+    """One caller's answer, buffered until the reader fetches it.
 
-    Tokens are read eagerly into a buffer; a reader takes all that came within its
-    window at once, which saves most of the cost of waking and writing per token.
+    The reader fetches all tokens of a window at once, which saves a wake-up and a write per token.
     """
 
     def __init__(self, watcher_id: str) -> None:
@@ -30,44 +29,44 @@
         self.changed = asyncio.Event()
 
     def handle_accepted(self, action: events.TellAccepted) -> None:
-        """Take in that the request is accepted."""
+        """Record that the request is accepted."""
         self.accepted = action
         self.changed.set()
 
     def handle_tokens(self, action: events.TellTokens) -> None:
-        """Take in tokens."""
+        """Append tokens to the buffer."""
         self.tokens.extend(action.tokens)
         self.position = action.position + len(action.tokens)
         self.changed.set()
 
     def handle_end(self, action: events.TellEnd) -> None:
-        """Take in the final answer."""
+        """Record the final answer."""
         self.end = action
         self.changed.set()
 
     async def wait_changed(self) -> None:
-        """Wait until something is told after the last wait."""
+        """Wait for a change since the last wait."""
         await self.changed.wait()
         self.changed.clear()
 
     async def wait_started(self) -> None:
-        """Wait until the caller is told anything at all."""
+        """Wait until the request is accepted, has tokens, or has ended."""
         while self.accepted is None and self.end is None and not self.tokens:
             await self.wait_changed()
 
     async def wait_end(self) -> events.TellEnd:
-        """Wait for the final answer; the tokens stay in the buffer."""
+        """Wait for the final answer; leave the tokens in the buffer."""
         while self.end is None:
             await self.wait_changed()
         return self.end
 
     async def next_batch(self, window_ms: int) -> TokenBatch | None:
-        """Wait for tokens, then for the rest of the window.
+        """Wait for tokens, then until the window ends.
 
         Args:
-          window_ms: how long to gather after the first token.
+          window_ms: how long to collect tokens after the first one.
         Returns:
-          The tokens, or None once the answer has ended and all is read.
+          The tokens, or None once the answer has ended and all tokens are read.
         """
         while not self.tokens:
             if self.end is not None:
@@ -81,5 +80,5 @@
 
 
 def is_done(end: events.TellEnd) -> bool:
-    """Return whether a final answer means that the whole answer was given."""
+    """Return whether a final answer is complete."""
     return end.outcome is data.Outcome.DONE
