--- a/plumarch/daemon/callers.py
+++ b/plumarch/daemon/callers.py
@@ -33,7 +33,7 @@
 }
 STATUS_WAIT_S = 0.3
 NO_TOKENS = 1 << 40
-"""A position past every answer's end: the reader wants no tokens."""
+"""A position past the end of every answer, for readers that need no tokens."""
 
 AnyRequest = Request[Any, Any, Any]
 MODEL_CLASSES = frozenset(
@@ -42,7 +42,7 @@
 
 
 class CallersApi:
-    """The handlers, around one shell."""
+    """The handlers of the callers' API."""
 
     def __init__(self, node_shell: shell.Shell) -> None:
         self.shell = node_shell
@@ -50,13 +50,13 @@
         self.by_token: dict[str, data.Workspace] = {}
         self.by_token_revision = -1
 
-    # Who is asking, and what.
+    # Authentication and parsing.
 
     def workspace(self, request: AnyRequest) -> data.Workspace:
-        """Return the workspace whose token the caller presents.
+        """Return the workspace of the request's token.
 
         Raises:
-          CallerFault: there is none.
+          CallerFault: no workspace has that token.
         """
         config = self.shell.node.config
         if self.by_token_revision != config.revision:
@@ -75,10 +75,10 @@
         return found
 
     async def body(self, request: AnyRequest) -> bytes:
-        """Read the body within its limit.
+        """Read the body.
 
         Raises:
-          CallerFault: it is longer.
+          CallerFault: it exceeds the limit.
         """
         limit = self.limits.body_bytes
         announced = request.headers.get("content-length", "0")
@@ -121,10 +121,10 @@
     def model_request(
         self, request: AnyRequest, body: bytes, default: data.RequestClass
     ) -> tuple[data.Request, chat.ChatBody]:
-        """Make the node's request from a chat body and its headers.
+        """Make a data.Request from a chat body and its headers.
 
         Raises:
-          CallerFault: something about it is wrong.
+          CallerFault: the request is invalid.
         """
         workspace = self.workspace(request)
         chat_body = chat.parse(body)
@@ -163,7 +163,7 @@
     def service_request(
         self, request: AnyRequest, name: str, path: str, body: bytes
     ) -> data.Request:
-        """Make the node's request for a plain service.
+        """Make a data.Request for a plain service.
 
         Raises:
           CallerFault: the workspace has no such service.
@@ -197,10 +197,10 @@
             timeout_ms=self._timeout(request, request_class),
         )
 
-    # Answers.
+    # Handlers.
 
     async def chat_completions(self, request: AnyRequest) -> Response[Any] | Stream:
-        """Answer a chat request, streamed or whole."""
+        """Answer a chat request, streamed or complete."""
         body = await self.body(request)
         made, chat_body = self.model_request(request, body, data.RequestClass.CHAT)
         position = self._position(request)
@@ -231,7 +231,7 @@
         window = self.limits.coalesce_ms
         request_id = stream.accepted.request_id if stream.accepted else stream.watcher_id
         try:
-            # The first token goes out at once; later ones are gathered.
+            # Sends the first token at once, later ones in batches.
             batch = await stream.next_batch(0)
             while batch is not None:
                 position = batch.position
@@ -272,7 +272,7 @@
         )
 
     async def submit(self, request: AnyRequest) -> Response[Any]:
-        """Accept a request that waits; answer before it runs."""
+        """Accept a request of a waiting class; answer before it runs."""
         body = await self.body(request)
         made, _ = self.model_request(request, body, data.RequestClass.REVIEW)
         if made.request_class not in data.WAITING_CLASSES:
@@ -298,12 +298,12 @@
         return Response(answer, status_code=202, headers=_headers(stream))
 
     async def status(self, request: AnyRequest, key: str) -> Response[Any]:
-        """Say how a request stands."""
+        """Return a request's status."""
         stream = self._attach(request, key, NO_TOKENS)
         try:
             await stream.wait_started()
             if stream.end is None:
-                # Whether it has ended may be known at another node only.
+                # Only another node may know whether it has ended.
                 try:
                     async with asyncio.timeout(STATUS_WAIT_S):
                         await stream.wait_end()
@@ -322,7 +322,7 @@
         return Response({"key": key, "status": data.Outcome.DONE})
 
     async def result(self, request: AnyRequest, key: str) -> Response[Any]:
-        """Return a request's whole answer, waiting for it if need be."""
+        """Wait for a request's complete answer and return it."""
         workspace = self.workspace(request)
         stream = self._attach(request, key, 0)
         try:
@@ -336,7 +336,7 @@
         return self._completion(stream, end, workspace.model, 0)
 
     async def event_stream(self, request: AnyRequest, key: str) -> Response[Any] | Stream:
-        """Stream a request's answer from the caller's position on."""
+        """Stream a request's answer from a position."""
         workspace = self.workspace(request)
         position = self._position(request)
         stream = self._attach(request, key, position)
@@ -349,13 +349,13 @@
         return stream
 
     def cancel(self, request: AnyRequest, key: str) -> Response[Any]:
-        """Cancel a request that is in progress."""
+        """Cancel a request."""
         workspace = self.workspace(request)
         self.shell.handle(events.CancelAsked(workspace.name, key))
         return Response({"key": key, "status": "cancelling"}, status_code=202)
 
     def issue_key(self, request: AnyRequest) -> Response[Any]:
-        """Issue a key that proves itself new after any takeover."""
+        """Issue a key that is recognised as new even after a slot takeover."""
         self.workspace(request)
         issued = self.shell.node.home.issue_key(self.shell.new_request_id())
         if issued is None:
--- a/plumarch/daemon/chat.py
+++ b/plumarch/daemon/chat.py
@@ -1,4 +1,4 @@
-"""The OpenAI-style bodies: what callers send, and what they get back."""
+"""OpenAI-style bodies of chat requests and answers."""
 
 from typing import Annotated, Any
 
@@ -20,7 +20,7 @@
 
 
 class ChatBody(msgspec.Struct, frozen=True):
-    """The part of a chat request that plumarch reads; the rest goes to the engine as it is."""
+    """The fields of a chat request that plumarch reads; the engine gets the body unchanged."""
 
     model: str
     messages: Annotated[list[Message], msgspec.Meta(min_length=1)]
@@ -34,7 +34,7 @@
     """Parse a chat request.
 
     Raises:
-      CallerFault: it is no JSON, or a field is missing or wrong.
+      CallerFault: it is not JSON, or a field is missing or invalid.
     """
     try:
         return msgspec.json.decode(body, type=ChatBody)
@@ -45,7 +45,7 @@
 
 
 def wanted_tokens(body: ChatBody) -> int:
-    """Return the largest number of tokens that the caller wants."""
+    """Return the maximum number of tokens that the caller asks for."""
     return body.max_completion_tokens or body.max_tokens or DEFAULT_TOKENS
 
 
@@ -55,7 +55,7 @@
 
 
 def prefix_of(body: ChatBody) -> int:
-    """Return a hash of the part of the prompt that requests are likely to share."""
+    """Return a hash of the prompt segment that requests are likely to share."""
     return hashing.digest(body.model, str(body.messages[0].content))
 
 
@@ -72,7 +72,7 @@
 
 
 def sse(event_id: int, body: object) -> bytes:
-    """Return one server-sent event; its id counts the tokens up to its end."""
+    """Return one server-sent event; its id is the number of tokens up to its end."""
     return b"id: %d\ndata: %s\n\n" % (event_id, msgspec.json.encode(body))
 
 
@@ -80,7 +80,7 @@
 
 
 def completion(request_id: str, model: str, text: str, prompt: int, made: int) -> dict[str, Any]:
-    """Return the body of an answer that is not streamed."""
+    """Return the body of a complete answer."""
     message = {"role": "assistant", "content": text}
     return {
         "id": request_id,
--- a/plumarch/daemon/gateway.py
+++ b/plumarch/daemon/gateway.py
@@ -243,8 +243,8 @@
 
         Without a configuration each request would be rejected.
         """
-        gives_up_ms = self.clock.now() + CONFIGURATION_WAIT_MS
-        while self.state.table is None and self.clock.now() < gives_up_ms:
+        deadline_ms = self.clock.now() + CONFIGURATION_WAIT_MS
+        while self.state.table is None and self.clock.now() < deadline_ms:
             await asyncio.sleep(CONFIGURATION_CHECK_MS / 1000.0)
         if not self.stopping:
             await self.listeners[0].start_serving()
@@ -276,12 +276,12 @@
     def reload(self, path: str) -> None:
         """Apply the settings that may change at run time; an invalid file is ignored."""
         try:
-            fresh = gateway_settings.load(path)
+            loaded = gateway_settings.load(path)
         except errors.SettingsError as error:
             self.state.log.write("reload", urgent=True, outcome="kept the old", why=str(error))
             return
-        self.gossiper.learn_seeds(fresh.peers.seeds)
-        self.state.log.write("reload", urgent=True, outcome="taken", seeds=list(fresh.peers.seeds))
+        self.gossiper.learn_seeds(loaded.peers.seeds)
+        self.state.log.write("reload", urgent=True, outcome="taken", seeds=list(loaded.peers.seeds))
 
     async def stop(self) -> None:
         """Report not ready, finish the requests that are in progress, then close."""
--- a/plumarch/daemon/metrics.py
+++ b/plumarch/daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by prometheus_client: histograms per workspace and class, counters by label."""
+"""Prometheus metrics: histograms per workspace and class, counters by label."""
 
 import prometheus_client
 
@@ -10,8 +10,8 @@
 HISTOGRAMS = {
     "first_token": "Time from arrival to the first token.",
     "between_tokens": "Time between tokens.",
-    "queue_wait": "Time from arrival to the first hand-over.",
-    "total": "Time from arrival to the whole answer.",
+    "queue_wait": "Time from arrival to the first dispatch.",
+    "total": "Time from arrival to the complete answer.",
 }
 
 COUNTERS = {
@@ -19,23 +19,23 @@
     "answers": "Final answers, by outcome.",
     "refusals": "Answers other than done, by reason.",
     "retries": "Endpoint calls made again after a failure.",
-    "moves": "Requests moved off leaving endpoints.",
+    "moves": "Requests moved from leaving endpoints to others.",
     "recomputed_tokens": "Tokens computed again after a failure or move.",
     "stale_replies": "Replies for an earlier attempt, dropped, by source.",
-    "weakened": "Requests accepted with a promise weakened, by which.",
+    "weakened": "Requests accepted with a weakened guarantee, by guarantee.",
     "copies_declined": "Copies this node declined at its limit.",
     "lost_homes": "Requests taken over from lost nodes.",
     "handed_over_runs": "Requests handed to other nodes by this one as it left.",
-    "slot_takeovers": "Slots taken over, whole or uncertain.",
-    "permissions_failed": "Hand-overs for which no permission could be recorded.",
+    "slot_takeovers": "Slots taken over, with complete or uncertain records.",
+    "permissions_failed": "Dispatches for which no permission could be recorded.",
     "ambiguous_writes_resolved": "Platform writes whose lost answer was found by reading back.",
-    "endpoints_ejected": "Endpoints taken out as slow, by name.",
-    "fleet_orders": "Orders to the cloud, by how they ended.",
+    "endpoints_ejected": "Endpoints ejected as slow, by name.",
+    "fleet_orders": "Orders to the cloud, by outcome.",
     "config_applied": "Configurations put in force.",
-    "config_ignored": "Configurations not put in force, by why.",
+    "config_ignored": "Configurations not put in force, by reason.",
     "config_rejected": "Documents that could not be rendered.",
-    "peer_drops": "Peer messages or connections dropped, by why.",
-    "suspensions": "Times that the process did not run: machine suspended, or process stopped.",
+    "peer_drops": "Peer messages or connections dropped, by reason.",
+    "suspensions": "Suspensions of the machine or stops of the process.",
     "platform_errors": "Platform calls that failed, by kind.",
 }
 
@@ -66,14 +66,14 @@
         )
 
     def count(self, action: events.Count) -> None:
-        """Count something."""
+        """Add to a counter."""
         self.counters[action.name].labels(action.workspace, action.label).inc(action.amount)
 
     def observe(self, action: events.Observe) -> None:
-        """Put a duration into its histogram."""
+        """Record a duration in its histogram."""
         histogram = self.histograms[action.name]
         histogram.labels(action.workspace, action.request_class).observe(action.value_ms / MS)
 
     def text(self) -> bytes:
-        """Return all metrics in Prometheus' text format."""
+        """Return all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
--- a/plumarch/daemon/operators.py
+++ b/plumarch/daemon/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP listener: health, metrics, status and decisions. It changes nothing."""
+"""The operators' HTTP listener: health, metrics, status and decisions, all read-only."""
 
 import asyncio
 import dataclasses
@@ -20,7 +20,7 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """How this node sees another."""
+    """Another node, as this one sees it."""
 
     node: str
     data_centre: str
@@ -29,7 +29,7 @@
 
 
 class EndpointStatus(msgspec.Struct, frozen=True):
-    """How this node sees an endpoint."""
+    """An endpoint, as this node sees it."""
 
     name: str
     data_centre: str
@@ -44,7 +44,7 @@
 
 
 class WantedStatus(msgspec.Struct, frozen=True):
-    """Places wanted and held for a target in a data centre, as this node sees it."""
+    """Capacity wanted and present for a target in a data centre, as this node sees it."""
 
     target: str
     data_centre: str
@@ -53,7 +53,7 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """All that `plumarch status` shows of one node."""
+    """A node's status, as `plumarch status` shows it."""
 
     node: str
     data_centre: str
@@ -121,7 +121,7 @@
 
 
 def order_text(order: orders.Order) -> str:
-    """Return an order to the cloud as one line."""
+    """Return an order to the cloud as a line of text."""
     what = f"release {order.name}"
     if order.start:
         what = f"start {order.vm_class} in {order.data_centre} for {order.target}"
@@ -129,7 +129,7 @@
 
 
 class OperatorsApi:
-    """The handlers, around one shell."""
+    """The handlers of the operators' API."""
 
     def __init__(self, node_shell: shell.Shell) -> None:
         self.shell = node_shell
@@ -152,7 +152,7 @@
             )
 
     def ready(self) -> tuple[bool, str]:
-        """Return whether callers should be sent here, and why not."""
+        """Return whether the node can serve callers, and the reason if not."""
         node = self.shell.node
         if node.membership.leaving:
             return False, "stopping"
@@ -184,10 +184,10 @@
         return self.shell.metrics.text()
 
     def decisions(self, request_id: str) -> list[dict[str, Any]]:
-        """Return the decisions kept about a request, oldest first.
+        """Return the retained decisions about a request, oldest first.
 
         Args:
-          request_id: its id, or the key that a caller knows it by.
+          request_id: its id or its key.
         """
         node = self.shell.node
         ids = {request_id}
--- a/plumarch/daemon/shell.py
+++ b/plumarch/daemon/shell.py
@@ -1,4 +1,4 @@
-"""The shell of a node: turns sockets into events, and the node's actions into calls."""
+"""The shell of a node: turns input into events, and carries out the node's actions."""
 
 import asyncio
 import collections
@@ -20,11 +20,12 @@
 from plumarch.peers import wire
 
 MAX_DECISIONS = 4_000
-"""Decisions kept for those who ask later."""
+"""Decisions retained for operators."""
 
 VM_POLL_S = 2.0
 LOAD_POLL_S = 0.5
-"""Time between two engines' load reports: a bounded cost, however many engines there are."""
+"""Time between two load requests; one engine at a time, so that the cost does not grow with the
+number of engines."""
 
 OFFER_POLL_S = 30.0
 CONFIG_WAIT_MS = 5_000
@@ -34,7 +35,7 @@
 
 
 class Shell:
-    """One node with its sockets."""
+    """A node with its listeners and clients."""
 
     def __init__(self, given: settings.Settings) -> None:
         self.settings = given
@@ -68,7 +69,7 @@
     # Starting and stopping.
 
     async def start(self) -> None:
-        """Open the peer listener, greet the peers, begin to keep time."""
+        """Open the peer listener, add the peers and start the periodic tasks."""
         host, port = addresses.split(self.settings.listen.peers)
         port = await self.transport.listen(host, port)
         self.node.address = f"{host}:{port}"
@@ -82,7 +83,7 @@
         log.info("Node {} listens for peers on {}:{}.", self.identity, host, port)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a coroutine until it ends or the shell closes."""
+        """Run a coroutine as a task that close() cancels."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self._ended)
@@ -94,16 +95,16 @@
             log.opt(exception=task.exception()).error("A task failed.")
 
     async def stop(self) -> None:
-        """End as planned: hand over what is left, then wait for those who still read."""
+        """Hand the remaining requests to other nodes, then wait for callers that still read."""
         self.handle(events.StopAsked())
         limit = self.clock.now() + self.settings.limits.stop_s * 1000
         while not (self.node.drained() and not self.callers) and self.clock.now() < limit:
             await asyncio.sleep(node.TICK_MS / 1000)
         left = len(self.node.table.active)
-        log.info("Node {} stops with {} requests left.", self.identity, left)
+        log.info("Node {} stops with {} requests in progress.", self.identity, left)
 
     async def close(self) -> None:
-        """Close all sockets."""
+        """Cancel all tasks and close all sockets."""
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -114,7 +115,7 @@
     # Events and actions.
 
     def handle(self, event: events.Event) -> None:
-        """Hand an event to the node and carry its actions out."""
+        """Let the node handle an event and carry out the resulting actions."""
         for action in self.node.handle(event):
             self._perform(action)
 
@@ -178,19 +179,19 @@
     # Callers.
 
     def new_stream(self) -> streams.CallerStream:
-        """Return a stream for a caller that is about to ask something."""
+        """Return a stream for a caller's next request."""
         self.sequence += 1
         stream = streams.CallerStream(f"{self.identity}/c{self.sequence}")
         self.callers[stream.watcher_id] = stream
         return stream
 
     def new_request_id(self) -> str:
-        """Return an identity for a request that came in here."""
+        """Return an ID for a request that arrived at this node."""
         self.sequence += 1
         return f"{self.identity}/{self.sequence}"
 
     def release(self, stream: streams.CallerStream) -> None:
-        """Forget a caller's stream; the node hears that the caller is gone."""
+        """Remove a caller's stream; notify the node if it had not ended."""
         if self.callers.pop(stream.watcher_id, None) is not None and stream.end is None:
             self.handle(events.CallerGone(stream.watcher_id))
 
@@ -203,18 +204,18 @@
         task.add_done_callback(lambda _: self.calls.pop(name, None))
 
     async def _poll_loads(self) -> None:
-        """Ask the engines of this data centre in turn."""
+        """Request load reports from the engines of this data centre in turn."""
         turn = 0
         while True:
-            here = [
+            local = [
                 e
                 for e in self.node.placement.endpoints.values()
                 if e.kind is data.EndpointKind.ENGINE
                 and e.data_centre == self.settings.node.data_centre
             ]
-            if here:
+            if local:
                 turn += 1
-                await self._poll_load(here[turn % len(here)])
+                await self._poll_load(local[turn % len(local)])
             await asyncio.sleep(LOAD_POLL_S)
 
     async def _poll_load(self, endpoint: data.Endpoint) -> None:
@@ -276,7 +277,7 @@
         self.handle(answer)
 
     async def _poll_offers(self) -> None:
-        """Read the cloud's offers, if this node may have to decide by them."""
+        """Read the cloud's offers while this node is a watcher."""
         while True:
             if self.node.is_watcher():
                 try:
@@ -304,13 +305,13 @@
 
     async def _poll_vms(self) -> None:
         while True:
-            asked_ms = self.clock.now()
+            request_ms = self.clock.now()
             try:
                 listed = await self.platform.vms()
             except errors.PlatformError as error:
                 self._platform_failed(error)
             else:
-                self.platform_seen_ms = asked_ms
+                self.platform_seen_ms = request_ms
                 if listed is not None:
                     self._use_vms(listed)
             await asyncio.sleep(VM_POLL_S)
@@ -324,7 +325,7 @@
             self.handle(events.NodesGone(tuple(listed.gone)))
 
     async def _poll_notices(self) -> None:
-        """Read reclaim notices, if this node watches; others hear them from peers."""
+        """Read reclaim notices while this node is a watcher; other nodes get them from peers."""
         since = 0
         while True:
             if self.node.is_watcher():
@@ -332,7 +333,7 @@
             await asyncio.sleep(IDLE_S)
 
     async def _read_notices(self, since: int) -> int:
-        """Act on the notices after a number. Returns the number of the last one."""
+        """Handle the notices after a number. Returns the number of the last one."""
         try:
             for notice in await self.platform.notices(since):
                 since = max(since, notice.number)
@@ -344,7 +345,7 @@
     # Configuration.
 
     async def _watch_config(self) -> None:
-        """Follow the configuration's head on the platform."""
+        """Watch the configuration's head on the platform."""
         since = -1
         while True:
             try:
--- a/plumarch/daemon/status_pages.py
+++ b/plumarch/daemon/status_pages.py
@@ -1,4 +1,4 @@
-"""The pages that a gateway serves to the platform and to operators: readiness, metrics, status."""
+"""The pages of a gateway: readiness for the platform, metrics and status for operators."""
 
 from collections.abc import Callable
 
@@ -10,16 +10,16 @@
 METRICS_PATH = b"/metrics"
 STATUS_PATH = b"/status"
 MAX_QUARANTINED_LISTED = 20
-"""Requests held back that the status page names."""
+"""Quarantined requests that the status page lists at most."""
 
 MAX_EXCLUDED_LISTED = 20
-"""Endpoints that the status page names as leaving, and as many as resting."""
+"""Endpoints that the status page lists at most for each reason."""
 
 TEXT = [(b"content-type", b"text/plain; version=0.0.4")]
 
 
 class StatusPages:
-    """Answers /metrics with all metrics, /status with what needs an operator, else readiness."""
+    """Answers /metrics and /status, and all other paths with the readiness."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
             reply.send(503, TEXT, b"not ready\n")
 
     def _status(self) -> list[str]:
-        """Return a line for each thing that an operator may want to look at."""
+        """Return the lines of the status page."""
         quarantined = [
             f"quarantined {one.fingerprint}: ended {', '.join(end.endpoint for end in one.crashes)}"
             for one in self.state.quarantine.held()[:MAX_QUARANTINED_LISTED]
@@ -63,7 +63,7 @@
         ]
 
     def _excluded(self) -> list[str]:
-        """Return a line for each endpoint that is left out for what it said in an answer."""
+        """Return a line for each endpoint that an answer of its own excludes or limits."""
         state, found = self.state, []
         for name in state.registry.drains.in_force()[:MAX_EXCLUDED_LISTED]:
             found.append(f"leaves by its own word: {name}")
--- a/plumarch/daemon/status_pages_test.py
+++ b/plumarch/daemon/status_pages_test.py
@@ -1,4 +1,4 @@
-"""What operators see of a node's memory."""
+"""Tests of the status and metrics pages."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 class RecordingReply:
-    """A reply that keeps what was sent."""
+    """Keeps the body that was sent."""
 
     body = b""
 
@@ -26,7 +26,7 @@
     return reply.body.decode().splitlines()
 
 
-def test_bytes_held_are_told_by_purpose_beside_callers_cut_and_streams_let_go():
+def test_metrics_show_reserved_bytes_by_purpose_disconnected_callers_and_abandoned_streams():
     state = gateway_parts.new_state(clock.ManualClock(1_000))
     purpose = memory_account.Purpose.UNREAD_ANSWERS
     assert state.memory.resize(memory_account.Reservation("c", "", purpose), 1_234)
@@ -41,7 +41,7 @@
     assert 'plumarch_gateway_streams_total{what="let_go"} 1.0' in lines
 
 
-def test_endpoints_that_are_left_out_by_their_own_word_are_named():
+def test_status_lists_endpoints_that_drain_or_back_off_by_their_answers():
     state = gateway_parts.new_state(clock.ManualClock(1_000))
     ready = traffic.EndpointState.READY
     one, other = (
@@ -58,7 +58,7 @@
     assert 'plumarch_gateway_state{name="endpoints_resting"} 1.0' in found
 
 
-def test_endpoints_that_announce_a_request_rate_are_named():
+def test_status_lists_endpoints_that_announce_a_request_rate():
     state = gateway_parts.new_state(clock.ManualClock(1_000))
     one = traffic.Endpoint("one", "s", "10.0.0.1:80", "a", 8, traffic.EndpointState.READY)
     state.registry.replace([one], 1, "store")
@@ -68,7 +68,7 @@
     assert 'plumarch_gateway_state{name="endpoints_with_announced_rate"} 1.0' in found
 
 
-def test_the_builds_of_a_mixed_fleet_are_told():
+def test_status_lists_the_builds_of_a_mixed_fleet():
     steady = clock.ManualClock(1_000)
     view = fleet_view.FleetView(steady, "n", 1_764_720_000_000, "10.0.0.9:7", "a")
     for number, name in enumerate(("", "", "later")):
