--- a/plumarch/endpoints/client.py
+++ b/plumarch/endpoints/client.py
@@ -1,9 +1,7 @@
-"""Model engines and plain services over HTTP.
+"""HTTP clients of model engines and plain services.
 
-Two clients: reading an engine's stream by httpx cost over half of a node's processor
-time, so engines and repeatable calls go by aiohttp, which hands on all that has
-arrived at once. It may send a call again by itself when a kept connection breaks,
-though; a call that must not run twice goes by httpx, which never does.
+Engines and repeatable calls use aiohttp, which reads streams at less cost but may resend a call
+when a reused connection breaks. Calls that must not run twice use httpx, which never resends.
 """
 
 from collections.abc import AsyncIterator, Mapping
@@ -32,7 +30,7 @@
     aiohttp.ConnectionTimeoutError,
     errors.NotDelivered,
 )
-"""Errors that prove that no byte of the request was acted on."""
+"""Errors that prove that the endpoint did not act on the request."""
 
 FAILURE_ERRORS = (
     httpx.HTTPError,
@@ -51,7 +49,7 @@
     aiohttp.ClientPayloadError,
     errors.DeliveryUnknown,
 )
-"""Errors by which a connection broke while its request ran."""
+"""Errors of connections that broke while their request ran."""
 
 MAX_CONNECTIONS = 4_000
 KEEP_ALIVE_S = 2.0
@@ -60,7 +58,7 @@
 
 
 class Continuation(msgspec.Struct, frozen=True):
-    """Where an engine goes on: tokens made so far, and who may export their KV cache."""
+    """Where an engine continues: the tokens so far, and who may export their KV cache."""
 
     attempt: str
     tokens: list[str]
@@ -69,7 +67,7 @@
 
 
 class Delta(msgspec.Struct, frozen=True):
-    """The news in a streamed choice."""
+    """The new content of a streamed choice."""
 
     content: str | None = None
 
@@ -85,8 +83,8 @@
     """One event of an engine's stream.
 
     Attributes:
-      id: the attempt it belongs to; another one's event is not ours.
-      tokens: the tokens one by one, from engines that put several into an event.
+      id: the attempt that it belongs to.
+      tokens: the single tokens, from engines that put several into an event.
     """
 
     id: str
@@ -107,7 +105,7 @@
 
 
 def attempt_name(request_id: str, attempt: int) -> str:
-    """Return the name by which an endpoint knows an attempt."""
+    """Return an attempt's name at endpoints."""
     return f"{request_id}/{attempt}"
 
 
@@ -115,8 +113,8 @@
     """The client of all endpoints."""
 
     def __init__(self) -> None:
-        # Idle connections are closed before servers usually do: a request sent on a
-        # connection that the server has just closed could neither be called run nor not.
+        # Closes idle connections before servers usually do: of a request on a connection that the
+        # server has just closed, it is unknown whether it ran.
         limits = httpx.Limits(max_connections=MAX_CONNECTIONS, keepalive_expiry=KEEP_ALIVE_S)
         timeout = httpx.Timeout(READ_S, connect=CONNECT_S)
         self.once = httpx.AsyncClient(timeout=timeout, limits=limits)
@@ -124,7 +122,7 @@
         self.rate_limited: set[str] = set()
 
     def repeatable(self) -> aiohttp.ClientSession:
-        """Return the session for engines and repeatable calls; it needs a running loop."""
+        """Return the session for engines and repeatable calls; needs a running event loop."""
         if self.session is None:
             connector = aiohttp.TCPConnector(limit=MAX_CONNECTIONS, keepalive_timeout=KEEP_ALIVE_S)
             timeout = aiohttp.ClientTimeout(total=None, connect=CONNECT_S, sock_read=READ_S)
@@ -134,7 +132,7 @@
         return self.session
 
     async def run(self, order: events.HandOver, sink: protocol.Sink) -> None:
-        """Hand a request over and report on it."""
+        """Send a request and report its progress to the sink."""
         request = order.request
         try:
             if request.kind is data.EndpointKind.ENGINE:
@@ -192,7 +190,7 @@
             self._report_rate(order, sink, answer.status, answer.headers)
             if answer.status == httpx.codes.SERVICE_UNAVAILABLE:
                 backoff_ms = retry_after.milliseconds(answer.headers.get(retry_after.HEADER, ""))
-                raise errors.NotDelivered("The engine refused the request.", backoff_ms)
+                raise errors.NotDelivered("The engine rejected the request.", backoff_ms)
             if answer.status != httpx.codes.OK:
                 raise errors.EndpointError(f"The engine answered {answer.status}.")
             recomputed = await self._read_stream(order, name, answer, sink)
@@ -202,9 +200,9 @@
     def _report_rate(
         self, order: events.HandOver, sink: protocol.Sink, status: int, headers: Mapping[str, str]
     ) -> None:
-        """Tell the rate that an answer announces, or that it announces none any more.
+        """Report the request rate that an answer announces, or that it no longer announces one.
 
-        A refusal without a rate ends no limit.
+        A rejection without a rate does not end a limit.
         """
         name, value = order.endpoint.name, headers.get(request_rate.HEADER, "")
         per_s = request_rate.per_second(value)
@@ -225,7 +223,7 @@
         answer: aiohttp.ClientResponse,
         sink: protocol.Sink,
     ) -> int:
-        """Tell the sink a stream's tokens. Returns the tokens computed again for it."""
+        """Report a stream's tokens to the sink. Returns the number of tokens computed again."""
         position = len(order.tokens)
         recomputed = 0
         finished = False
@@ -233,7 +231,7 @@
             tokens: list[str] = []
             for event in batch:
                 if event.id != name:
-                    raise errors.EndpointError("The stream is another attempt's.")
+                    raise errors.EndpointError("The stream belongs to another attempt.")
                 if event.position >= 0 and event.position != position + len(tokens):
                     raise errors.EndpointError("Tokens are missing from the stream.")
                 tokens += _tokens_of(event)
@@ -244,7 +242,7 @@
                 sink(events.EndpointTokens(order.request.id, order.attempt, position, new_tokens))
                 position += len(tokens)
         if not finished:
-            raise errors.DeliveryUnknown("The stream ended before the answer did.")
+            raise errors.DeliveryUnknown("The stream ended before the answer was complete.")
         return recomputed
 
     def _engine_body(self, order: events.HandOver, name: str) -> bytes:
@@ -263,7 +261,7 @@
         return msgspec.json.encode(chat_body)
 
     async def load(self, endpoint: data.Endpoint) -> data.LoadReport:
-        """Read an endpoint's load. Raises EndpointError."""
+        """Return an endpoint's load. Raises EndpointError."""
         try:
             async with self.repeatable().get(endpoint.address + "/load") as answer:
                 found = msgspec.json.decode(await answer.read(), type=LoadAnswer)
@@ -292,7 +290,7 @@
     order: events.HandOver, sink: protocol.Sink, status: int, content_type: str, body: bytes
 ) -> None:
     if status == httpx.codes.PRECONDITION_FAILED:
-        raise errors.NotDelivered("The endpoint refused the fencing token as too old.")
+        raise errors.NotDelivered("The endpoint rejected the fencing token as stale.")
     reply = data.Reply(status, content_type, body)
     sink(events.EndpointDone(order.request.id, order.attempt, reply))
 
@@ -308,10 +306,9 @@
 
 
 async def _event_batches(answer: aiohttp.ClientResponse) -> AsyncIterator[list[StreamEvent]]:
-    """Yield the events of a stream, all that arrived together at once.
+    """Yield the events of a stream in batches of those that arrived together.
 
-    Decoding what is there in one go keeps the decisions from being woken for each
-    event when an engine sends several in one packet.
+    One batch wakes the node once, also when an engine sends several events in one packet.
     """
     remainder = b""
     async for part in answer.content.iter_any():
--- a/plumarch/endpoints/protocol.py
+++ b/plumarch/endpoints/protocol.py
@@ -1,4 +1,4 @@
-"""What plumarch needs of endpoints."""
+"""The interface of endpoint clients."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -11,14 +11,14 @@
 class EndpointClient(Protocol):
     """Calls one kind of endpoint.
 
-    run() tells all that happens to the sink, ends with exactly one EndpointDone or
-    EndpointFailed, and is cancelled to cancel the call at the endpoint.
+    run() reports events to the sink, the last of them exactly one EndpointDone or EndpointFailed.
+    Cancelling run() cancels the call at the endpoint.
     """
 
     async def run(self, order: events.HandOver, sink: Sink) -> None:
-        """Hand a request over and report on it."""
+        """Send a request and report its progress to the sink."""
         ...
 
     async def load(self, endpoint: data.Endpoint) -> data.LoadReport:
-        """Read an endpoint's load. Raises EndpointError."""
+        """Return an endpoint's load. Raises EndpointError."""
         ...
--- a/plumarch/object_api/client.py
+++ b/plumarch/object_api/client.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP, within this process's share of its call budget."""
+"""HTTP client of the platform, within this process's share of the call budget."""
 
 import httpx
 import msgspec
@@ -8,11 +8,11 @@
 
 READS_PER_S = 13.0
 WRITES_PER_S = 2.6
-"""This process's share of the 6,000 reads and 1,200 writes a second that the platform takes from a
-grown fleet, at the target's 450 nodes; a burst covers what is over for a while."""
+"""This process's share of the 6,000 reads and 1,200 writes a second that the platform accepts from
+a fleet of 450 nodes."""
 
 BURST_S = 10.0
-"""A process may save up this many seconds of calls."""
+"""Capacity of the token buckets, in seconds of calls."""
 
 TIMEOUT_S = 3.0
 
@@ -27,17 +27,17 @@
         self.last_ms = time.now()
 
     def spend(self) -> None:
-        """Spend a call.
+        """Spend one token.
 
         Raises:
-          BudgetExceeded: none is left.
+          BudgetExceeded: the bucket is empty.
         """
         now = self.time.now()
         earned = (now - self.last_ms) / 1000 * self.per_second
         self.balance = min(self.per_second * BURST_S, self.balance + earned)
         self.last_ms = now
         if self.balance < 1.0:
-            raise errors.BudgetExceeded("Too many platform calls. Wait a second.")
+            raise errors.BudgetExceeded("The budget of platform calls is spent. Wait a second.")
         self.balance -= 1.0
 
 
@@ -62,9 +62,13 @@
         try:
             answer = await self.http.get(path, params=params, timeout=timeout_s, headers=headers)
         except httpx.HTTPError as error:
-            raise errors.PlatformUnavailable(f"No answer: {error!r}. Try again.") from error
+            raise errors.PlatformUnavailable(
+                f"No answer from the platform: {error!r}. Try again."
+            ) from error
         if answer.status_code >= 500 or answer.status_code == 429:
-            raise errors.PlatformUnavailable(f"Status {answer.status_code}. Try again.")
+            raise errors.PlatformUnavailable(
+                f"The platform answered {answer.status_code}. Try again."
+            )
         return answer
 
     async def get(self, name: str) -> protocol.Object:
@@ -81,7 +85,7 @@
           The new version.
         Raises:
           PlatformConflict: the object has another version; nothing was written.
-          PlatformUnavailable: the call never arrived; nothing was written.
+          PlatformUnavailable: the platform was not reached; nothing was written.
           PlatformAnswerLost: it may have been written; read it back.
         """
         self.writes.spend()
@@ -91,23 +95,34 @@
         try:
             answer = await self.http.put(f"/objects/{name}", content=value, headers=headers)
         except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as error:
-            raise errors.PlatformUnavailable(f"Not reached: {error!r}.") from error
+            raise errors.PlatformUnavailable(f"The platform was not reached: {error!r}.") from error
         except httpx.HTTPError as error:
-            raise errors.PlatformAnswerLost(f"Answer lost: {error!r}. Read back.") from error
+            raise errors.PlatformAnswerLost(
+                f"Answer lost: {error!r}. Read the object back."
+            ) from error
         if answer.status_code == 412:
             raise errors.PlatformConflict(f"{name} changed since it was read. Read it again.")
         if answer.status_code == 429:
-            raise errors.PlatformUnavailable("The platform declined the call. Try again.")
+            raise errors.PlatformUnavailable(
+                "The platform rejected the call: too many calls. Try again."
+            )
         if answer.status_code != 200:
-            raise errors.PlatformAnswerLost(f"Status {answer.status_code}. Read back.")
+            raise errors.PlatformAnswerLost(f"Status {answer.status_code}. Read the object back.")
         return int(answer.headers["etag"])
 
     async def watch(self, prefix: str, since: int, wait_ms: int) -> protocol.Change:
-        """Wait for changes. Raises PlatformRevisionExpired, PlatformUnavailable."""
+        """Wait for changes after a revision.
+
+        Raises:
+          PlatformRevisionExpired: the platform no longer has the changes since then.
+          PlatformUnavailable: the platform did not answer.
+        """
         params: dict[str, str | int] = {"prefix": prefix, "since": since, "wait_ms": wait_ms}
         answer = await self._read("/watch", params, wait_ms / 1000 + TIMEOUT_S)
         if answer.status_code == 410:
-            raise errors.PlatformRevisionExpired("The history is shorter. Read all, then watch.")
+            raise errors.PlatformRevisionExpired(
+                "The changes since that revision are gone. Read all objects, then watch."
+            )
         return msgspec.json.decode(answer.content, type=protocol.Change)
 
     async def vms(self) -> protocol.VmList | None:
@@ -125,26 +140,26 @@
         return msgspec.json.decode(answer.content, type=list[protocol.Notice])
 
     async def order(self, order: protocol.Order) -> protocol.OrderAnswer:
-        """Give the cloud an order.
+        """Send an order to the cloud.
 
         Raises:
-          PlatformUnavailable: it was not reached.
-          PlatformAnswerLost: it may have carried the order out. Give it again.
+          PlatformUnavailable: the platform was not reached.
+          PlatformAnswerLost: the order may have been carried out. Send it again.
         """
         self.writes.spend()
         body = msgspec.json.encode(order)
         try:
             answer = await self.http.post("/cloud/orders", content=body)
         except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as error:
-            raise errors.PlatformUnavailable(f"Not reached: {error!r}.") from error
+            raise errors.PlatformUnavailable(f"The platform was not reached: {error!r}.") from error
         except httpx.HTTPError as error:
             raise errors.PlatformAnswerLost(f"Answer lost: {error!r}.") from error
         if answer.status_code != httpx.codes.OK:
-            raise errors.PlatformAnswerLost(f"Status {answer.status_code}. Give it again.")
+            raise errors.PlatformAnswerLost(f"Status {answer.status_code}. Send the order again.")
         return msgspec.json.decode(answer.content, type=protocol.OrderAnswer)
 
     async def offers(self) -> list[data.Offer]:
-        """Read what the cloud sells. Raises PlatformUnavailable."""
+        """Read the cloud's offers. Raises PlatformUnavailable."""
         answer = await self._read("/cloud/offers", {})
         return msgspec.json.decode(answer.content, type=list[data.Offer])
 
--- a/plumarch/object_api/protocol.py
+++ b/plumarch/object_api/protocol.py
@@ -1,4 +1,4 @@
-"""What plumarch needs of the platform, and the types it speaks in."""
+"""The interface of the platform, and the types of its calls."""
 
 from typing import Protocol
 
@@ -16,7 +16,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """The answer of a watch: the revision reached, and the names that changed."""
+    """The answer to a watch: the current revision, and the names that changed."""
 
     revision: int
     names: list[str]
@@ -46,7 +46,7 @@
 
 
 class VmList(msgspec.Struct, frozen=True):
-    """The VM list; gone names node incarnations that no longer exist."""
+    """The VM list; gone lists node incarnations that no longer exist."""
 
     vms: list[Vm]
     gone: list[str] = []
@@ -61,11 +61,11 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """An order to the cloud. Its token makes a repeated order the same order.
+    """An order to the cloud; orders with the same token are carried out once.
 
     Attributes:
-      start: whether a VM is to be started (or else released, by name).
-      fencing_token: an order with a lower one than seen is not carried out.
+      start: whether to start a VM, or else to release the named one.
+      fencing_token: the cloud rejects an order with a lower token than it has seen.
     """
 
     token: str
@@ -87,7 +87,7 @@
 class Platform(Protocol):
     """The platform's services. Every call may raise PlatformUnavailable.
 
-    Writes may raise PlatformAnswerLost: they may then have taken effect.
+    Writes may raise PlatformAnswerLost: the write may have taken effect.
     """
 
     async def get(self, name: str) -> Object:
@@ -103,15 +103,15 @@
         ...
 
     async def vms(self) -> VmList | None:
-        """Read the VM list, which lags; None if it is the same as at the last read."""
+        """Read the VM list, which may be stale; None if it has not changed since the last read."""
         ...
 
     async def order(self, order: Order) -> OrderAnswer:
-        """Give the cloud an order. The same token is never carried out twice."""
+        """Send an order to the cloud; the same token is never carried out twice."""
         ...
 
     async def offers(self) -> list[data.Offer]:
-        """Read which VM classes the cloud sells, where, and at which price."""
+        """Read the VM classes that the cloud sells, with data centre and price."""
         ...
 
     async def notices(self, since: int) -> list[Notice]:
