--- a/plumarch/config/__init__.py
+++ b/plumarch/config/__init__.py
@@ -1,1 +1,1 @@
-"""Templates, workspace parameters, and the configuration in force."""
+"""Configuration: templates, workspaces, publishing and the state on a node."""
--- a/plumarch/config/fields.py
+++ b/plumarch/config/fields.py
@@ -1,8 +1,6 @@
-"""Types of the keys of INI sections, and how a key's text becomes a value of its type.
+"""Types of the keys of INI sections, and the conversion of a key's text to its type.
 
-Reading and checking is msgspec's: importing the gateway's settings takes 8 ms with it, and took 109
-with a validation library that compiles schemas (python -X importtime). Every start of every node
-pays for that.
+Uses msgspec for validation, since its import is fast and every start of a node waits for it.
 """
 
 import configparser
@@ -13,7 +11,7 @@
 import msgspec
 
 PARSER_KEY = "reader"
-"""Names the function, among the extras of a type, that makes a value of a key's text."""
+"""The entry in a type's msgspec.Meta extra that holds the parser of a key's text."""
 
 ADDRESS = re.compile(r"^(?P<host>[0-9a-fA-F.:\[\]]+):(?P<port>\d{1,5})$")
 MAX_PORT = 65_535
@@ -37,10 +35,10 @@
 
 
 def parsed_by(reader: Callable[[str], Any]) -> msgspec.Meta:
-    """Return the mark of a type whose values a function makes of a key's text.
+    """Return the annotation of a type whose values a function parses.
 
     Args:
-      reader: raises ValueError, with what is wrong, for a text that it does not take.
+      reader: parses a key's text; raises ValueError for an invalid one.
     """
     return msgspec.Meta(extra={PARSER_KEY: reader})
 
@@ -53,12 +51,12 @@
 
 
 def read(wanted: Any, text: str) -> Any:
-    """Return the value that a key's text stands for.
+    """Parse a key's text.
 
     Args:
       wanted: the key's type.
     Raises:
-      ValueError: the text is not of the type (msgspec.ValidationError is one).
+      ValueError: the text is invalid for the type; may be a msgspec.ValidationError.
     """
     given: Any = text
     for reader in _readers(wanted):
--- a/plumarch/config/files.py
+++ b/plumarch/config/files.py
@@ -1,4 +1,4 @@
-"""Configuration files as operators keep them: read, validated whole, compared."""
+"""Reads, validates and compares operators' configuration files."""
 
 import dataclasses
 import difflib
@@ -13,7 +13,7 @@
     """Documents by name ("template/X", "workspace/Y"), and the problems found.
 
     Attributes:
-      files: which file each document came from.
+      files: the file of each document.
     """
 
     texts: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -26,7 +26,7 @@
 
 
 def collect(paths: list[str]) -> list[pathlib.Path]:
-    """Return the .ini files among paths and under the folders among them."""
+    """Return the files among paths and the .ini files in the folders among them."""
     found: list[pathlib.Path] = []
     for name in paths:
         path = pathlib.Path(name)
@@ -35,7 +35,7 @@
 
 
 def read(paths: list[str]) -> Documents:
-    """Read configuration files. Each holds one template or one workspace."""
+    """Read configuration files, each with one template or one workspace."""
     documents = Documents()
     for path in collect(paths):
         try:
@@ -74,7 +74,7 @@
 
 
 def validate(documents: Documents) -> list[file_problems.Problem]:
-    """Return all problems of a whole set of documents, with file and line."""
+    """Return all problems of a complete set of documents, with file and line."""
     problems = list(documents.problems)
     tokens: dict[str, str] = {}
     for name, text in sorted(documents.texts.items()):
--- a/plumarch/config/ini.py
+++ b/plumarch/config/ini.py
@@ -1,4 +1,4 @@
-"""INI texts read into validated models, with every problem at its file and line."""
+"""Reads INI texts into validated models; reports each problem with file and line."""
 
 import configparser
 import dataclasses
@@ -20,7 +20,7 @@
 
 
 class Section(msgspec.Struct, frozen=True, kw_only=True):
-    """Base of the models of sections: unknown keys are problems."""
+    """Base of the models of sections; unknown keys are problems."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -33,7 +33,7 @@
     problems: list[file_problems.Problem] = dataclasses.field(default_factory=list)
 
     def problem(self, section: str, key: str, message: str, remedy: str) -> None:
-        """Collect a problem at a section's key, or at the section if key is ""."""
+        """Add a problem of a section's key, or of the section if key is ""."""
         line = self.lines.get((section, key)) or self.lines.get((section, ""), 0)
         self.problems.append(file_problems.Problem(self.file, line, section, key, message, remedy))
 
@@ -42,8 +42,8 @@
 
         Args:
           name: the section's name.
-          model: what it must fit.
-          required: whether a missing section is a problem; if not, defaults are taken.
+          model: the section's model.
+          required: whether a missing section is a problem; if not, defaults apply.
         Returns:
           The model, or None if there were problems.
         """
@@ -73,7 +73,7 @@
             return None
 
     def allow_sections(self, exact: set[str], prefixes: tuple[str, ...] = ()) -> None:
-        """Collect a problem for each section that is not known."""
+        """Add a problem for each unknown section."""
         for name in self.sections:
             if name not in exact and not name.startswith(prefixes or ("\0",)):
                 wanted = ", ".join(sorted(exact) + [f"{p}NAME" for p in prefixes])
@@ -112,7 +112,7 @@
     Args:
       read: validates a text, given the file's name and the text.
     Raises:
-      SettingsError: with all problems, each at its file, section and key, and a remedy.
+      SettingsError: lists all problems, each with file, section, key and remedy.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
--- a/plumarch/config/publishing.py
+++ b/plumarch/config/publishing.py
@@ -1,8 +1,7 @@
-"""Putting a configuration on the platform: one conditional write switches all of it.
+"""Publishes a configuration on the platform atomically.
 
-Documents are written first, under names made of their content, where they change
-nothing. The head object then names all documents in force. Whoever writes it
-second at the same version loses, and nothing of that change is in force.
+Documents are written first, under names that are digests of their content. One conditional write
+of the head object, which lists all documents, then puts them in force.
 """
 
 import dataclasses
@@ -21,11 +20,11 @@
 
 
 class Head(msgspec.Struct, frozen=True):
-    """The object that says which documents are in force.
+    """The object that lists the documents in force.
 
     Attributes:
       manifest: document name to digest.
-      token: names the change; the same for a repeated try of one change.
+      token: identifies the change, also when its write is repeated.
     """
 
     revision: int
@@ -37,7 +36,7 @@
 
 
 class ChangeConflict(errors.PlumarchError):
-    """Somebody else changed the configuration first. Nothing of this change is in force."""
+    """Another change was published first; nothing of this one is in force."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -73,13 +72,13 @@
 async def merged(
     platform: protocol.Platform, current: Current, given: files.Documents, prune: bool
 ) -> files.Documents:
-    """Return the whole set of documents that an apply would put in force.
+    """Return the complete set of documents that an apply would put in force.
 
     Args:
       platform: where the documents in force are read from.
       current: the configuration in force.
       given: the operator's documents.
-      prune: whether documents that are not among the given ones are removed.
+      prune: whether to remove documents that are not among the given ones.
     """
     kept = {} if prune else current.head.manifest
     texts = await read_texts(platform, {n: d for n, d in kept.items() if n not in given.texts})
@@ -93,14 +92,14 @@
     author: str,
     note: str,
 ) -> int:
-    """Put a validated set of documents in force, all of it or nothing.
+    """Put a validated set of documents in force, all of them or none.
 
     Returns:
       The new revision; it is durable on the platform.
     Raises:
       ChangeConflict: the head changed since current was read.
       PlatformUnavailable: the platform could not be reached; nothing is in force.
-      PlatformAnswerLost: it stayed unknown whether the change took effect.
+      PlatformAnswerLost: it is unknown whether the change took effect.
     """
     manifest = wanted.manifest()
     for name, digest in sorted(manifest.items()):
@@ -119,7 +118,7 @@
 
 
 async def _write_document(platform: protocol.Platform, digest: str, text: str) -> None:
-    """Write a document; one that is there already has the same content."""
+    """Write a document, unless it exists: its name is the digest of its content."""
     for _ in range(MAX_WRITE_ATTEMPTS):
         try:
             await platform.put(document_name(digest), text.encode(), 0)
@@ -128,17 +127,19 @@
         except errors.PlatformAnswerLost:
             continue
         return
-    raise errors.PlatformUnavailable("The platform loses its answers. Apply again later.")
+    raise errors.PlatformUnavailable(
+        "The platform's answers are lost repeatedly. Apply again later."
+    )
 
 
 async def _write_head(platform: protocol.Platform, current: Current, head: Head) -> None:
-    """Write the head once, however often its answer is lost."""
+    """Write the head, repeating the write while its answer is lost."""
     value = msgspec.json.encode(head)
     for _ in range(MAX_WRITE_ATTEMPTS):
         try:
             await platform.put(HEAD, value, current.version)
         except errors.PlatformAnswerLost:
-            # Written again at the same version: at most one of the tries can land.
+            # The repeated write expects the same version, so at most one of them succeeds.
             continue
         except errors.PlatformConflict as error:
             now = await read_head(platform)
@@ -152,7 +153,7 @@
 
 
 def _describe_conflict(before: Current, now: Current) -> str:
-    """Return who changed what since a head was read, and the remedy."""
+    """Return a message with the change since a head was read, and the remedy."""
     old = before.head.manifest
     new = now.head.manifest
     changed = sorted(n for n in old.keys() | new.keys() if old.get(n) != new.get(n))
--- a/plumarch/config/rendering.py
+++ b/plumarch/config/rendering.py
@@ -1,8 +1,6 @@
-"""Templates and workspace parameters: INI documents rendered to data.Workspace.
+"""Renders template and workspace documents to data.Workspace.
 
-A template says what a kind of workspace offers; a workspace names its template
-and fills the parameters in. A section [class.NAME] or [service.NAME] of the
-workspace replaces the template's of that name.
+A section [class.NAME] or [service.NAME] of a workspace replaces that of its template.
 """
 
 import re
@@ -78,7 +76,7 @@
 
 
 def template_name(workspace_text: str) -> str:
-    """Return the template that a workspace document names, or ""."""
+    """Return the name of a workspace document's template, or ""."""
     document = ini.parse("", workspace_text)
     return document.sections.get("workspace", {}).get("template", "")
 
--- a/plumarch/config/routing_table.py
+++ b/plumarch/config/routing_table.py
@@ -1,4 +1,4 @@
-"""The configuration in force for the gateway: routes, services, workspaces, limits."""
+"""The gateway's configuration and its index: routes, services, workspaces, limits."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """One version of the configuration, as it is handed from node to node."""
+    """One version of the configuration, as nodes exchange it."""
 
     version: int
     routes: tuple[traffic.Route, ...]
@@ -18,11 +18,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """One version of the configuration, indexed for look-ups.
+    """Index of one version of the configuration.
 
     Attributes:
       routes_by_host: the routes of each host, longest prefix first.
-      workspaces_by_key: the workspace that holds each access key.
+      workspaces_by_key: the workspace of each access key.
       most_urgent_stream: the lowest priority number of the routes that stream.
     """
 
@@ -39,7 +39,7 @@
         return self.configuration.version
 
     def match(self, host: str, path: str) -> traffic.Route | None:
-        """Return the route of a host with the longest prefix of a path.
+        """Return the host's route with the longest prefix of a path.
 
         Args:
           host: the Host header; a port is ignored.
--- a/plumarch/config/routing_table_test.py
+++ b/plumarch/config/routing_table_test.py
@@ -1,4 +1,4 @@
-"""Look-ups of routes and keys."""
+"""Tests of the look-ups of routes and access keys."""
 
 from plumarch.config import routing_table
 from plumarch.core import traffic
@@ -29,19 +29,19 @@
     return found.name if found else ""
 
 
-def test_the_longest_prefix_of_the_host_wins():
+def test_match_returns_the_longest_prefix_of_the_host():
     assert name_of("h.example", "/a/b/c") == "long"
     assert name_of("h.example", "/a/x") == "short"
     assert name_of("H.EXAMPLE:8080", "/a/b/") == "long"
     assert name_of("other.example", "/anything") == "other"
 
 
-def test_no_route():
+def test_match_returns_none_without_a_matching_route():
     assert name_of("h.example", "/b/") == ""
     assert name_of("unknown.example", "/a/b/") == ""
     assert name_of("h.example", "/a") == ""
 
 
-def test_keys_lead_to_their_workspace():
+def test_access_keys_are_indexed_by_workspace():
     assert TABLE.workspaces_by_key["k2"].name == "w"
     assert "k3" not in TABLE.workspaces_by_key
--- a/plumarch/config/state.py
+++ b/plumarch/config/state.py
@@ -1,9 +1,7 @@
-"""The configuration in force on one node, applied by revision and only forward.
+"""The configuration in force on a node.
 
-Documents are told apart by digest, so a change touches only the workspaces
-whose own document or template changed. (The rule that unrelated streams are not
-replayed by one change is the point of "Data-plane triggering: why one config
-change replays everything", 2026-08-25.)
+Documents are compared by digest, so that a change renders only the workspaces whose document or
+template changed.
 """
 
 import hashlib
@@ -15,16 +13,16 @@
 WORKSPACE = "workspace/"
 
 MAX_HISTORY = 64
-"""Changes remembered, so that a peer a little behind gets only what it lacks."""
+"""Revisions of which changes are retained, for peers that are slightly behind."""
 
 
 def digest_of(text: str) -> str:
-    """Return the name of a document's content."""
+    """Return the digest of a document."""
     return hashlib.sha256(text.encode()).hexdigest()[:32]
 
 
 class ConfigState:
-    """Documents, and the workspaces rendered from them."""
+    """The documents in force and the workspaces rendered from them."""
 
     def __init__(self, ctx: context.Context) -> None:
         self.ctx = ctx
@@ -37,12 +35,12 @@
         self.rendered = 0
 
     def apply(self, revision: int, manifest: dict[str, str], documents: dict[str, str]) -> bool:
-        """Put a configuration in force if it is newer and whole.
+        """Put a configuration in force if it is newer and complete.
 
         Args:
           revision: its revision; one that is not higher is ignored.
           manifest: document name to digest, for all documents.
-          documents: texts by digest; those known already may be left out.
+          documents: texts by digest; those that this node has may be left out.
         Returns:
           Whether it is in force now.
         """
@@ -66,13 +64,13 @@
         return True
 
     def _record_change(self, changes: dict[str, str]) -> None:
-        """Keep what the next revision changes, against the one in force until now."""
+        """Record the changes from the revision in force to the next one."""
         self.history[self.revision] = changes
         while len(self.history) > MAX_HISTORY:
             del self.history[next(iter(self.history))]
 
     def to_message(self, revision: int) -> messages.ConfigGive:
-        """Return what a node at an older revision lacks: the changes since, if known."""
+        """Return the changes since an older revision, or all documents if they are not retained."""
         if revision not in self.history:
             return messages.ConfigGive(self.revision, 0, self.manifest, self.documents)
         changes: dict[str, str] = {}
@@ -83,11 +81,11 @@
         return messages.ConfigGive(self.revision, revision, changes, documents)
 
     def apply_message(self, given: messages.ConfigGive) -> bool:
-        """Put in force what a peer gave.
+        """Apply a peer's configuration message.
 
         Returns:
-          Whether it is in force now; False if it is not newer, or a change to another
-          revision than the one in force here.
+          Whether it is in force now; False if it is not newer, or if its changes are based on
+          another revision than the one in force.
         """
         if given.base and given.base != self.revision:
             return False
@@ -98,11 +96,11 @@
         return self.apply(given.revision, manifest, given.documents)
 
     def missing(self, manifest: dict[str, str]) -> list[str]:
-        """Return the digests of a manifest whose texts this node lacks."""
+        """Return the digests in a manifest of the documents that this node lacks."""
         return sorted({d for d in manifest.values() if d not in self.documents})
 
     def _render(self, changed: set[str]) -> list[str]:
-        """Render again only the workspaces that a change concerns."""
+        """Render the workspaces that a change affects; return their names."""
         touched = []
         for name in sorted(self.manifest):
             if not name.startswith(WORKSPACE):
@@ -126,7 +124,7 @@
         template = self.documents.get(self.manifest.get(template_name, ""), "")
         rendered, problems = rendering.render(workspace, text, template)
         if rendered is None:
-            # Only validated documents are accepted, so this is another version's document.
+            # Published documents are validated; this one is of another version of plumarch.
             why = problems[0].text() if problems else "no reason"
             self.ctx.count("config_rejected", workspace)
             self.ctx.note(None, "config", f"keep old {workspace}", why)
