--- a/plumarch/cli/main.py
+++ b/plumarch/cli/main.py
@@ -1,7 +1,7 @@
 """plumarch: the operators' command-line tool.
 
-Exit codes: 0 done; 1 not in force everywhere, or a node not reached; 2 bad input
-or settings; 3 another operator was first; 4 the platform did not do it.
+Exit codes: 0 success; 1 not in force everywhere, or a node not reached; 2 invalid input
+or settings; 3 conflict with another operator's change; 4 the platform failed.
 """
 
 import asyncio
@@ -42,7 +42,7 @@
 
 
 def _report(problems: list[file_problems.Problem], as_json: bool) -> None:
-    """Print all problems and end, if there are any."""
+    """Print all problems and exit, if there are any."""
     if not problems:
         return
     for problem in problems:
@@ -72,7 +72,7 @@
 
 
 class Commands:
-    """Operators' commands. There is none that places work by hand."""
+    """Operators' commands."""
 
     def __init__(self, settings_file: str = "") -> None:
         self._settings_file = settings_file
@@ -86,7 +86,7 @@
         async def run() -> Result:
             time = clock.MonotonicClock()
             platform = client.HttpPlatform(given.platform.url, given.platform.token, time)
-            # One operator's command is one burst; the daemon's share is not meant for it.
+            # The daemon's share of the call budget does not apply to an operator's command.
             platform.reads.balance = platform.writes.balance = float(1_000)
             try:
                 return await work(platform)
@@ -126,16 +126,16 @@
         author: str = "",
         timeout_s: float = 12.0,
     ) -> None:
-        """Put files in force, all of them or nothing.
+        """Put files in force, all of them or none.
 
         Args:
           paths: files and folders.
           prune: remove documents that are not among them.
           base: apply only if this revision is the one in force.
           wait: wait until it is in force on every node that can be reached.
-          note: a word for other operators.
-          author: who applies; the login name if left out.
-          timeout_s: how long to wait at most.
+          note: a note for other operators.
+          author: the operator's name; the login name if left out.
+          timeout_s: maximum time to wait.
         """
         given = files.read(_paths(paths))
         _report(given.problems, False)
@@ -176,8 +176,8 @@
         """Show nodes, the revision in force on each and its age, and endpoints.
 
         Args:
-          gateways: IP:port of the metrics of gateways, by commas: shows in place of the nodes what
-            they can't read in the platform's store, and which requests they hold back.
+          gateways: IP:port of gateways' metrics, separated by commas; shows, instead of the nodes,
+            entries of the platform's store that they can't read, and quarantined requests.
         """
         if gateways:
             self._gateway_status([one.strip() for one in gateways.split(",") if one.strip()])
@@ -220,10 +220,10 @@
             raise Stop(EXIT_PARTIAL)
 
     def story(self, request: str, *logs: str) -> None:
-        """Show a request's story out of the logs of gateways, by its id, key or fingerprint.
+        """Show the log lines of a request from gateways' logs, by its id, key or fingerprint.
 
         Args:
-          logs: files of log lines, of any number of nodes.
+          logs: log files of any number of nodes.
         """
         lines: list[stories.Line] = []
         for name in logs:
@@ -240,7 +240,7 @@
         print(stories.render(found))
 
     def watch(self, workspace: str = "", json: bool = False) -> None:
-        """Show decisions as they happen, of one workspace or all."""
+        """Show decisions as they are made, of one workspace or all."""
         given = self._settings()
 
         def show(line: dict[str, Any]) -> None:
@@ -250,7 +250,7 @@
         asyncio.run(nodes.watch(given.nodes, given.token, workspace, show))
 
     def vms(self, json: bool = False) -> None:
-        """Show the VMs that are held, and what is wanted and why, by the node that decides."""
+        """Show the VMs in use, and the wanted ones with reasons by the deciding node."""
         given = self._settings()
         found, missing = asyncio.run(nodes.statuses(given.nodes, given.token))
         _table(nodes.vm_rows(found), json)
--- a/plumarch/cli/nodes.py
+++ b/plumarch/cli/nodes.py
@@ -1,4 +1,4 @@
-"""Asking the operators' listeners of the entry nodes."""
+"""Requests to the operators' listeners of the entry nodes."""
 
 import asyncio
 import time
@@ -24,7 +24,7 @@
 async def _ask(
     http: httpx.AsyncClient, address: str, path: str, params: dict[str, str]
 ) -> tuple[Any, str]:
-    """Return a node's answer and "", or None and why there is none."""
+    """Return a node's answer and "", or None and the reason."""
     try:
         answer = await http.get(f"http://{address}{path}", params=params)
     except httpx.HTTPError as error:
@@ -35,7 +35,7 @@
 
 
 async def statuses(addresses: dict[str, str], token: str) -> tuple[Found, Missing]:
-    """Return each node's status, and why some could not be had."""
+    """Return the nodes' statuses, and the reason for each that is missing."""
     found: Found = {}
     missing: Missing = {}
     async with _client(token) as http:
@@ -49,10 +49,10 @@
 
 
 async def gateway_pages(addresses: list[str]) -> tuple[dict[str, str], Missing]:
-    """Return what each gateway's status page says, and why some could not be had.
+    """Return the gateways' status pages, and the reason for each that is missing.
 
     Args:
-      addresses: IP:port where they serve metrics.
+      addresses: IP:port of their metrics.
     """
     found: dict[str, str] = {}
     missing: Missing = {}
@@ -76,7 +76,7 @@
     """Wait until a revision is in force on every node.
 
     Returns:
-      Milliseconds until each node had it, and why some did not.
+      Milliseconds until it was in force on each node, and the reason for each where it is not.
     """
     start = time.monotonic()
     ages: dict[str, int] = {}
@@ -97,7 +97,7 @@
 async def decisions(
     addresses: dict[str, str], token: str, request: str
 ) -> tuple[list[dict[str, Any]], Missing]:
-    """Return all nodes' decisions about a request, each node's in order."""
+    """Return all nodes' decisions about a request, in order for each node."""
     found: list[dict[str, Any]] = []
     missing: Missing = {}
     async with _client(token) as http:
@@ -116,7 +116,7 @@
     workspace: str,
     show: Callable[[dict[str, Any]], None],
 ) -> None:
-    """Show decisions of all nodes until the connections end."""
+    """Show the decisions of all nodes until the connections end."""
 
     async def follow(address: str) -> None:
         async with (
@@ -140,7 +140,7 @@
 
 
 def node_row(status: dict[str, Any]) -> dict[str, Any]:
-    """Return a node's line of the status table; what an earlier build doesn't tell is empty."""
+    """Return a node's row of the status table; fields that an earlier build lacks are empty."""
     names = (
         "node",
         "data_centre",
@@ -158,7 +158,7 @@
 
 
 def endpoint_rows(found: Found) -> list[dict[str, Any]]:
-    """Return the endpoints' lines: each endpoint's load summed over the nodes that see it."""
+    """Return the endpoints' rows, each with the highest load that a node reports."""
     rows: dict[str, dict[str, Any]] = {}
     for status in found.values():
         for endpoint in status["endpoints"]:
@@ -171,13 +171,13 @@
 
 
 def vm_rows(found: Found) -> list[dict[str, Any]]:
-    """Return the lines of the VM table."""
+    """Return the rows of the VM table."""
     names = ("name", "data_centre", "vm_class", "reclaimable", "price", "state", "load", "capacity")
     return [{name: row[name] for name in names} for row in endpoint_rows(found)]
 
 
 def decider(found: Found) -> dict[str, Any] | None:
-    """Return the status of the node that decides on VMs, if one does."""
+    """Return the status of the node that decides on VMs, if any."""
     for status in found.values():
         if status["decides"]:
             return status
@@ -185,7 +185,7 @@
 
 
 def decision_text(decision: dict[str, Any]) -> str:
-    """Return a decision as lines for people."""
+    """Return a decision as text."""
     head = (
         f"{decision['at_ms'] / 1000:12.3f} {decision['node']:28} {decision['workspace']:20}"
         f" {decision['kind']:8} {decision['choice']}: {decision['why']}"
--- a/plumarch/cli/settings.py
+++ b/plumarch/cli/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the command-line tool: where the platform and the nodes are."""
+"""The settings of the command-line tool: addresses of the platform and the nodes."""
 
 import dataclasses
 import os
@@ -31,7 +31,7 @@
     """Read and validate the tool's settings.
 
     Args:
-      path: the file; "" means the one that the environment names, or plumarch.ini.
+      path: the file; "" means the one in PLUMARCH_SETTINGS, or plumarch.ini.
     Raises:
       SettingsError: with all problems.
     """
--- a/plumarch/cli/stories.py
+++ b/plumarch/cli/stories.py
@@ -1,7 +1,7 @@
-"""One request's story, out of the logs of several nodes.
+"""Extracts the lines of one request from the logs of several nodes.
 
-The logs are JSON lines as plumarch.gateway.decision_log writes them; text before the JSON,
-such as a collector's time stamp, is passed over.
+Reads the JSON lines of plumarch.gateway.decision_log; skips text before the JSON, such as a
+collector's time stamp.
 """
 
 import dataclasses
@@ -11,10 +11,10 @@
 import msgspec
 
 STATE_BEFORE_MS = 3_000
-"""How long before the request's first line a node's beliefs are part of its story."""
+"""How long before the request's first line the node's own lines are included."""
 
 REQUEST_FIELDS = ("key", "fingerprint")
-"""Fields by which a line names its request, besides its id."""
+"""Fields other than the id that identify a line's request."""
 
 COMMON_FIELDS = frozenset({"at", "node", "kind", "request"})
 STATE_KINDS = frozenset(
@@ -40,7 +40,7 @@
     """One line of a log.
 
     Attributes:
-      at_ms: time of day at its node.
+      at_ms: wall-clock time of its node.
     """
 
     at_ms: int
@@ -50,13 +50,13 @@
     fields: dict[str, Any]
 
     def text(self, since_ms: int) -> str:
-        """Return the line for a reader, with its time relative to another."""
+        """Return the line as text, with its time relative to since_ms."""
         shown = " ".join(f"{name}={value}" for name, value in self.fields.items() if value != "")
         return f"{self.at_ms - since_ms:+7d} ms  {self.node}  {self.kind}  {shown}"
 
 
 def parse(lines: Iterable[str]) -> list[Line]:
-    """Read the lines that are JSON objects of a log; others are passed over."""
+    """Parse a log's lines; skip those that are not JSON objects of a log."""
     found = []
     for line in lines:
         start = line.find("{")
@@ -83,11 +83,10 @@
 
 
 def story(lines: Iterable[Line], request: str) -> list[Line]:
-    """Return a request's lines and what its nodes learned meanwhile, in the order of time.
+    """Return a request's lines and the state changes of its nodes meanwhile, ordered by time.
 
     Args:
-      request: its id, the key that its caller knows it by, or the fingerprint that all tries of
-        the same request share.
+      request: its id, its key, or the fingerprint that all attempts of a request share.
     """
     lines = list(lines)
     ids = {line.request for line in lines if _is_known_as(line, request)} - {""}
@@ -113,6 +112,6 @@
 
 
 def render(lines: list[Line]) -> str:
-    """Return a story as text; times are relative to the request's first line."""
+    """Return lines as text; times are relative to the request's first line."""
     first = next((line.at_ms for line in lines if line.request or "key" in line.fields), 0)
     return "\n".join(line.text(first) for line in lines)
--- a/plumarch/cli/stories_test.py
+++ b/plumarch/cli/stories_test.py
@@ -1,4 +1,4 @@
-"""A request's story out of logs."""
+"""Tests of extracting a request's lines from logs."""
 
 import pathlib
 
@@ -19,7 +19,7 @@
 """
 
 
-def test_a_story_holds_the_requests_lines_and_what_its_node_learned():
+def test_a_story_has_the_requests_lines_and_state_changes_of_its_node():
     found = stories.story(stories.parse(LOGS.splitlines()), "r1")
     assert [line.kind for line in found] == ["configuration", "sent", "endpoint", "answered"]
     text = stories.render(found)
@@ -27,11 +27,11 @@
     assert "+100 ms  n1  answered  status=502 reason=broken" in text
 
 
-def test_an_unknown_request_has_no_story():
+def test_an_unknown_request_has_no_lines():
     assert stories.story(stories.parse(LOGS.splitlines()), "r9") == []
 
 
-TRIES = """
+ATTEMPTS = """
 {"at":1000,"node":"n1","kind":"sent","request":"r1","endpoint":"e1"}
 {"at":1200,"node":"n1","kind":"broken","request":"r1","fingerprint":"00f1","endpoint":"e1"}
 {"at":1300,"node":"n2","kind":"sent","request":"r2","endpoint":"e2"}
@@ -40,17 +40,17 @@
 """
 
 
-def test_a_fingerprint_tells_the_story_of_all_tries_of_a_request():
-    found = stories.story(stories.parse(TRIES.splitlines()), "00f1")
+def test_a_fingerprint_selects_all_attempts_of_a_request():
+    found = stories.story(stories.parse(ATTEMPTS.splitlines()), "00f1")
     assert [line.request for line in found] == ["r1", "r1", "r2", "r2"]
 
 
 SAMPLES = sorted((pathlib.Path(__file__).parent / "samples").glob("*.log"))
-"""One repeated request in the log of each build that nodes beside this one may run."""
+"""A repeated request in the log of each build that a mixed fleet may run."""
 
 
 @pytest.mark.parametrize("path", SAMPLES, ids=lambda path: path.stem)
-def test_the_log_of_each_build_tells_a_repeated_request(path: pathlib.Path):
+def test_a_repeated_request_is_found_in_the_log_of_each_build(path: pathlib.Path):
     lines = stories.parse(path.read_text(encoding="utf-8").splitlines())
     found = stories.story(lines, "q1")
     own = [line for line in found if line.request]
@@ -60,7 +60,7 @@
     assert "endpoint" in {line.kind for line in found if not line.request}
 
 
-def test_a_request_that_came_again_at_a_node_of_another_build_is_one_story():
+def test_a_request_repeated_at_a_node_of_another_build_is_one_story():
     lines = [line for path in SAMPLES for line in path.read_text(encoding="utf-8").splitlines()]
     parsed = stories.parse(lines)
     [fingerprint, *_] = [line.fields["fingerprint"] for line in parsed if line.kind == "answered"]
--- a/plumarch/load/__init__.py
+++ b/plumarch/load/__init__.py
@@ -1,1 +1,1 @@
-"""A load tool: callers that behave as callers should, and what they found."""
+"""Load generator: callers that retry and reconnect, and a report of their results."""
--- a/plumarch/load/callers.py
+++ b/plumarch/load/callers.py
@@ -1,4 +1,4 @@
-"""One caller over HTTP: it streams, reconnects by its key, and notes what it was told."""
+"""An HTTP caller that streams answers, reconnects by its key and records the results."""
 
 import asyncio
 import dataclasses
@@ -14,21 +14,19 @@
 from plumarch.proof import invariants
 from plumarch.standins import model
 
-MAX_ATTEMPTS_S = 90.0
-"""How long a caller tries before it gives up: by time and not by tries, since on a busy machine
-all tries of some seconds may fail to connect while the nodes stand still. Longer than any
-promise takes to be kept; a judgement."""
+RETRY_TIMEOUT_S = 90.0
+"""How long a caller retries before it gives up. Not a number of attempts, since on a busy machine
+all attempts of some seconds may fail to connect."""
 
 RETRY_S = 0.2
 TIMEOUT_S = 30.0
 CONNECT_S = 3.0
-"""A connection to a node of a data centre that is gone is refused at once; one that is slow to
-come up belongs to a busy machine."""
+"""Only a busy machine is slow to connect: connections to a lost node are refused at once."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """A workspace as its callers know it."""
+    """A workspace, with what its callers need for a request."""
 
     workspace: str
     token: str
@@ -39,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """One try of a caller: when it ended, and what came of it."""
+    """The end time and the result of a caller's attempt."""
 
     at_ms: int
     result: str
@@ -47,7 +45,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """What became of one request, besides what its CallerView holds."""
+    """The result of a request, in addition to its CallerView."""
 
     view: invariants.CallerView
     target: Target
@@ -58,12 +56,12 @@
     attempts: list[Attempt] = dataclasses.field(default_factory=list)
 
     def note(self, result: str) -> None:
-        """Keep what came of a try."""
+        """Record the result of an attempt."""
         self.attempts.append(Attempt(time.monotonic_ns() // 1_000_000, result))
 
 
 class Balancer:
-    """The entry nodes as callers see them: any that answers, the last good one first."""
+    """Picks an entry node at random for each call."""
 
     def __init__(self, urls: list[str], seed: int) -> None:
         self.urls = list(urls)
@@ -120,7 +118,7 @@
         }
 
     async def chat(self, key: str, seed: int, tokens: int) -> Outcome:
-        """Stream a chat answer; reconnect by the key if the connection breaks."""
+        """Stream a chat answer; reconnect by its key if the connection breaks."""
         outcome = self._outcome(key, data.RequestClass.CHAT, seed, tokens)
         body = {**self._body(seed, tokens, f"Explain {key}."), "stream": True}
         start = time.monotonic()
@@ -129,7 +127,7 @@
         return outcome
 
     async def _stream(self, outcome: Outcome, key: str, body: dict[str, Any], start: float) -> bool:
-        """Read one connection's part of a stream. Returns whether the answer is final."""
+        """Read a stream until its connection ends. Returns whether the answer is final."""
         view = outcome.view
         url = self.balancer.pick() + "/v1/chat/completions"
         headers = self._headers(key, **{"Last-Event-ID": str(len(view.tokens))})
@@ -144,7 +142,7 @@
         return False
 
     def _event(self, outcome: Outcome, line: str, start: float) -> bool:
-        """Take in one event. Returns whether the answer is final."""
+        """Record one event. Returns whether the answer is final."""
         view = outcome.view
         if line == "data: [DONE]":
             view.ends.append(data.Outcome.DONE)
@@ -160,7 +158,7 @@
         return False
 
     def _problem(self, outcome: Outcome, status: int, text: bytes) -> bool:
-        """Take in an error. Returns whether it is a final answer."""
+        """Record an error. Returns whether it is a final answer."""
         try:
             problem = json.loads(text)
         except ValueError:
@@ -175,7 +173,7 @@
     async def submit(
         self, key: str, request_class: data.RequestClass, seed: int, tokens: int
     ) -> Outcome:
-        """Submit a request that waits, then fetch its result by whichever node answers."""
+        """Submit a request of a waiting class, then fetch its result from any node."""
         outcome = self._outcome(key, request_class, seed, tokens)
         body = self._body(seed, tokens, f"Work on {key}.")
         start = time.monotonic()
@@ -196,7 +194,7 @@
         return outcome
 
     async def _fetch_result(self, outcome: Outcome, key: str) -> bool:
-        """Ask for a result once. Returns whether the answer is final."""
+        """Request a result once. Returns whether the answer is final."""
         url = f"{self.balancer.pick()}/v1/requests/{key}/result"
         answer = await self.http.get(url, headers=self._headers())
         if answer.status_code != httpx.codes.OK:
@@ -207,11 +205,11 @@
         return True
 
     async def lookup(self, key: str) -> Outcome:
-        """Ask a plain service for a status; the call may be repeated."""
+        """Make a repeatable call of a plain service."""
         return await self._call(key, "GET", "/status", keyed=False)
 
     async def ticket(self, key: str) -> Outcome:
-        """Make a call that must not run twice; ask again by the same key if unsure."""
+        """Make a call that must not run twice; repeat it by its key if the outcome is unknown."""
         return await self._call(key, "POST", self.target.ticket_path, keyed=True)
 
     async def _call(self, key: str, method: str, path: str, keyed: bool) -> Outcome:
@@ -233,12 +231,12 @@
 
 
 async def _retry_until_final(outcome: Outcome, attempt: Callable[[], Awaitable[bool]]) -> bool:
-    """Make attempts until one is final or patience ends; broken connections are counted.
+    """Retry until an attempt is final or RETRY_TIMEOUT_S have passed; count broken connections.
 
     Returns:
       Whether one was final.
     """
-    until = time.monotonic() + MAX_ATTEMPTS_S
+    until = time.monotonic() + RETRY_TIMEOUT_S
     while time.monotonic() < until:
         try:
             if await attempt():
--- a/plumarch/load/report.py
+++ b/plumarch/load/report.py
@@ -1,4 +1,4 @@
-"""What a load found, as a table per workspace and class."""
+"""Table of the load generator's results per workspace and class."""
 
 import dataclasses
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Line:
-    """The figures of one workspace and class."""
+    """The results of one workspace and class."""
 
     done: int = 0
     not_run: int = 0
@@ -21,7 +21,7 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return the value that a share of the values do not exceed (nearest rank); -1 for none."""
+    """Return a percentile by nearest rank, or -1 without values; share is from 0 to 1."""
     if not values:
         return -1.0
     ranked = sorted(values)
@@ -35,8 +35,8 @@
     """Return the table's lines.
 
     Args:
-      outcomes: what became of each request.
-      extra: more columns by workspace, shown on the workspace's first line.
+      outcomes: the result of each request.
+      extra: further columns by workspace, in the workspace's first line.
     """
     lines: dict[tuple[str, data.RequestClass], Line] = {}
     for outcome in outcomes:
