--- a/plumarch/cli/nodes.py
+++ b/plumarch/cli/nodes.py
@@ -39,8 +39,8 @@
     found: Found = {}
     missing: Missing = {}
     async with _client(token) as http:
-        asked = [_ask(http, address, "/status", {}) for address in addresses.values()]
-        for name, (status, why) in zip(addresses, await asyncio.gather(*asked), strict=True):
+        requests = [_ask(http, address, "/status", {}) for address in addresses.values()]
+        for name, (status, why) in zip(addresses, await asyncio.gather(*requests), strict=True):
             if status is None:
                 missing[name] = why
             else:
--- a/plumarch/config/fields.py
+++ b/plumarch/config/fields.py
@@ -17,7 +17,7 @@
 MAX_PORT = 65_535
 
 
-def words(text: str) -> tuple[str, ...]:
+def split_list(text: str) -> tuple[str, ...]:
     """Split a comma-separated value."""
     return tuple(part.strip() for part in text.split(",") if part.strip())
 
@@ -43,7 +43,7 @@
     return msgspec.Meta(extra={PARSER_KEY: reader})
 
 
-CommaSeparated = Annotated[tuple[str, ...], parsed_by(words)]
+CommaSeparated = Annotated[tuple[str, ...], parsed_by(split_list)]
 Address = Annotated[str, parsed_by(address)]
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 NotNegative = Annotated[float, msgspec.Meta(ge=0)]
--- a/plumarch/config/rendering.py
+++ b/plumarch/config/rendering.py
@@ -29,7 +29,7 @@
 
 
 def _patterns(text: str) -> tuple[str, ...]:
-    found = fields.words(text)
+    found = fields.split_list(text)
     for pattern in found:
         method, _, path = pattern.partition(" ")
         if method not in METHODS or not path.startswith("/"):
--- a/plumarch/daemon/gateway_settings.py
+++ b/plumarch/daemon/gateway_settings.py
@@ -13,11 +13,11 @@
 
 
 def _duties(text: str) -> tuple[str, ...]:
-    words = fields.words(text)
-    unknown = sorted(set(words) - {USAGE, SCALING})
+    duties = fields.split_list(text)
+    unknown = sorted(set(duties) - {USAGE, SCALING})
     if unknown:
         raise ValueError(f"unknown duties {', '.join(unknown)}; known are {USAGE}, {SCALING}")
-    return words
+    return duties
 
 
 Duties = Annotated[tuple[str, ...], fields.parsed_by(_duties)]
@@ -25,10 +25,10 @@
 
 def _regions(text: str) -> dict[str, str]:
     found: dict[str, str] = {}
-    for word in fields.words(text):
-        data_centre, _, region = word.partition(":")
+    for item in fields.split_list(text):
+        data_centre, _, region = item.partition(":")
         if not data_centre.strip() or not region.strip():
-            raise ValueError(f"{word!r} is not DATA CENTRE:REGION")
+            raise ValueError(f"{item!r} is not DATA CENTRE:REGION")
         if data_centre.strip() in found:
             raise ValueError(f"data centre {data_centre.strip()} is named twice")
         found[data_centre.strip()] = region.strip()
--- a/plumarch/daemon/gateway_settings_test.py
+++ b/plumarch/daemon/gateway_settings_test.py
@@ -39,8 +39,8 @@
     wrong = VALID.replace("127.0.0.1:2", "nowhere").replace("usage, scaling", "usage, dancing")
     found, problems = gateway_settings.read("g.ini", wrong + "[bounds]\nstop_s = -1\nodd = 2\n")
     assert found is None
-    places = {(one.section, one.key) for one in problems}
-    assert places == {
+    locations = {(one.section, one.key) for one in problems}
+    assert locations == {
         ("listen", "readiness"),
         ("cloud", "duties"),
         ("bounds", "stop_s"),
--- a/plumarch/daemon/operators.py
+++ b/plumarch/daemon/operators.py
@@ -82,21 +82,21 @@
         MemberStatus(m.node, m.data_centre, m.state, m.revision)
         for m in sorted(node.membership.members.values(), key=lambda m: m.node)
     ]
-    places = node.placement
+    placement = node.placement
     endpoints = [
         EndpointStatus(
             e.name,
             e.data_centre,
             e.kind,
             list(e.targets),
-            "leaving" if e.name in places.leaving else e.state,
-            places.load(e.name),
+            "leaving" if e.name in placement.leaving else e.state,
+            placement.load(e.name),
             e.capacity,
             e.vm_class,
             e.price,
             e.reclaimable,
         )
-        for e in sorted(places.endpoints.values(), key=lambda e: e.name)
+        for e in sorted(placement.endpoints.values(), key=lambda e: e.name)
     ]
     seen = owner.platform_seen_ms
     return Status(
--- a/plumarch/daemon/settings.py
+++ b/plumarch/daemon/settings.py
@@ -13,10 +13,10 @@
 
 def _peers(text: str) -> dict[str, str]:
     peers = {}
-    for word in fields.words(text):
-        name, _, address = word.partition("=")
+    for item in fields.split_list(text):
+        name, _, address = item.partition("=")
         if not name or not address:
-            raise ValueError(f"{word!r} is not NAME=IP:port")
+            raise ValueError(f"{item!r} is not NAME=IP:port")
         peers[name.strip()] = fields.address(address.strip())
     return peers
 
