--- a/plumarch/config/fields.py
+++ b/plumarch/config/fields.py
@@ -1,8 +1,6 @@
-"""Types of the keys of INI sections, and how a key's text becomes a value of its type.
+"""Types of the keys of INI sections, and the conversion of a key's text to its type.
 
-Reading and checking is msgspec's: importing the gateway's settings takes 8 ms with it, and took 109
-with a validation library that compiles schemas (python -X importtime). Every start of every node
-pays for that.
+Uses msgspec for validation, since its import is fast and every start of a node waits for it.
 """
 
 import configparser
@@ -12,14 +10,14 @@
 
 import msgspec
 
-READER = "reader"
-"""Names the function, among the extras of a type, that makes a value of a key's text."""
+PARSER_KEY = "reader"
+"""The entry in a type's msgspec.Meta extra that holds the parser of a key's text."""
 
 ADDRESS = re.compile(r"^(?P<host>[0-9a-fA-F.:\[\]]+):(?P<port>\d{1,5})$")
-PORT_LIMIT = 65_535
+MAX_PORT = 65_535
 
 
-def words(text: str) -> tuple[str, ...]:
+def split_list(text: str) -> tuple[str, ...]:
     """Split a comma-separated value."""
     return tuple(part.strip() for part in text.split(",") if part.strip())
 
@@ -31,34 +29,34 @@
       ValueError: it is not IP:port.
     """
     found = ADDRESS.match(text)
-    if not found or int(found["port"]) > PORT_LIMIT:
+    if not found or int(found["port"]) > MAX_PORT:
         raise ValueError(f"{text!r} is not IP:port")
     return text
 
 
-def read_by(reader: Callable[[str], Any]) -> msgspec.Meta:
-    """Return the mark of a type whose values a function makes of a key's text.
+def parsed_by(reader: Callable[[str], Any]) -> msgspec.Meta:
+    """Return the annotation of a type whose values a function parses.
 
     Args:
-      reader: raises ValueError, with what is wrong, for a text that it does not take.
+      reader: parses a key's text; raises ValueError for an invalid one.
     """
-    return msgspec.Meta(extra={READER: reader})
+    return msgspec.Meta(extra={PARSER_KEY: reader})
 
 
-Words = Annotated[tuple[str, ...], read_by(words)]
-Address = Annotated[str, read_by(address)]
+CommaSeparated = Annotated[tuple[str, ...], parsed_by(split_list)]
+Address = Annotated[str, parsed_by(address)]
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 NotNegative = Annotated[float, msgspec.Meta(ge=0)]
 NonEmpty = Annotated[str, msgspec.Meta(min_length=1)]
 
 
 def read(wanted: Any, text: str) -> Any:
-    """Return the value that a key's text stands for.
+    """Parse a key's text.
 
     Args:
       wanted: the key's type.
     Raises:
-      ValueError: the text is not of the type (msgspec.ValidationError is one).
+      ValueError: the text is invalid for the type; may be a msgspec.ValidationError.
     """
     given: Any = text
     for reader in _readers(wanted):
@@ -72,4 +70,4 @@
     if get_origin(wanted) is not Annotated:
         return []
     extras = [mark.extra or {} for mark in get_args(wanted)[1:] if isinstance(mark, msgspec.Meta)]
-    return [extra[READER] for extra in extras if READER in extra]
+    return [extra[PARSER_KEY] for extra in extras if PARSER_KEY in extra]
--- a/plumarch/config/rendering.py
+++ b/plumarch/config/rendering.py
@@ -1,8 +1,6 @@
-"""Templates and workspace parameters: INI documents rendered to data.Workspace.
+"""Renders template and workspace documents to data.Workspace.
 
-A template says what a kind of workspace offers; a workspace names its template
-and fills the parameters in. A section [class.NAME] or [service.NAME] of the
-workspace replaces the template's of that name.
+A section [class.NAME] or [service.NAME] of a workspace replaces that of its template.
 """
 
 import re
@@ -31,7 +29,7 @@
 
 
 def _patterns(text: str) -> tuple[str, ...]:
-    found = fields.words(text)
+    found = fields.split_list(text)
     for pattern in found:
         method, _, path = pattern.partition(" ")
         if method not in METHODS or not path.startswith("/"):
@@ -39,7 +37,7 @@
     return found
 
 
-Name = Annotated[str, fields.read_by(_name)]
+Name = Annotated[str, fields.parsed_by(_name)]
 
 
 class TemplateHead(ini.Section, frozen=True):
@@ -54,12 +52,12 @@
 
     name: Name
     template: Name
-    token_sha256: Annotated[str, fields.read_by(_digest)]
+    token_sha256: Annotated[str, fields.parsed_by(_digest)]
     model: str
     adapter: str = ""
     weight: Annotated[float, msgspec.Meta(gt=0, le=1000)] = 1.0
-    data_centres: fields.Words = ()
-    vm_classes: fields.Words = ()
+    data_centres: fields.CommaSeparated = ()
+    vm_classes: fields.CommaSeparated = ()
 
 
 class ClassSection(ini.Section, frozen=True):
@@ -74,11 +72,11 @@
     """A section [service.NAME]."""
 
     request_class: data.RequestClass = msgspec.field(default=data.RequestClass.LOOKUP, name="class")
-    not_repeatable: Annotated[tuple[str, ...], fields.read_by(_patterns)] = ()
+    not_repeatable: Annotated[tuple[str, ...], fields.parsed_by(_patterns)] = ()
 
 
 def template_name(workspace_text: str) -> str:
-    """Return the template that a workspace document names, or ""."""
+    """Return the name of a workspace document's template, or ""."""
     document = ini.parse("", workspace_text)
     return document.sections.get("workspace", {}).get("template", "")
 
--- a/plumarch/daemon/settings.py
+++ b/plumarch/daemon/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings: an INI file, validated whole before anything starts."""
+"""The daemon's settings: an INI file, validated before anything starts."""
 
 import dataclasses
 from typing import Annotated
@@ -8,15 +8,15 @@
 from plumarch.config import fields, ini
 from plumarch.core import file_problems
 
-KEY_LEAST = 16
+MIN_KEY_LENGTH = 16
 
 
 def _peers(text: str) -> dict[str, str]:
     peers = {}
-    for word in fields.words(text):
-        name, _, address = word.partition("=")
+    for item in fields.split_list(text):
+        name, _, address = item.partition("=")
         if not name or not address:
-            raise ValueError(f"{word!r} is not NAME=IP:port")
+            raise ValueError(f"{item!r} is not NAME=IP:port")
         peers[name.strip()] = fields.address(address.strip())
     return peers
 
@@ -27,19 +27,19 @@
     return value.rstrip("/")
 
 
-PeerAddresses = Annotated[dict[str, str], fields.read_by(_peers)]
-Url = Annotated[str, fields.read_by(_url)]
+PeerAddresses = Annotated[dict[str, str], fields.parsed_by(_peers)]
+Url = Annotated[str, fields.parsed_by(_url)]
 
 
 class NodeSection(ini.Section, frozen=True):
-    """[node]: who this node is."""
+    """[node]: the node's name and data centre."""
 
     name: Annotated[str, msgspec.Meta(pattern=r"^[a-z0-9][a-z0-9-]*$")]
     data_centre: str
 
 
 class ListenSection(ini.Section, frozen=True):
-    """[listen]: where it listens. Port 0 takes any free port."""
+    """[listen]: addresses of the listeners; port 0 means any free port."""
 
     callers: fields.Address
     operators: fields.Address
@@ -54,20 +54,20 @@
 
 
 class PeersSection(ini.Section, frozen=True):
-    """[peers]: the other entry nodes, and the key that all share."""
+    """[peers]: the other entry nodes, and the shared key."""
 
-    key: Annotated[str, msgspec.Meta(min_length=KEY_LEAST)]
+    key: Annotated[str, msgspec.Meta(min_length=MIN_KEY_LENGTH)]
     nodes: PeerAddresses = {}
 
 
 class OperatorsSection(ini.Section, frozen=True):
     """[operators]: the token of operators' calls."""
 
-    token: Annotated[str, msgspec.Meta(min_length=KEY_LEAST)]
+    token: Annotated[str, msgspec.Meta(min_length=MIN_KEY_LENGTH)]
 
 
 class LimitsSection(ini.Section, frozen=True):
-    """[limits]: sizes and times of the callers' side."""
+    """[limits]: sizes and times for callers."""
 
     body_bytes: Annotated[int, msgspec.Meta(gt=0, le=64 * 1024 * 1024)] = 1024 * 1024
     coalesce_ms: Annotated[int, msgspec.Meta(ge=0, le=1000)] = 0
@@ -75,7 +75,7 @@
 
 
 class LogSection(ini.Section, frozen=True):
-    """[log]: what is logged, and how."""
+    """[log]: level and format of the log."""
 
     level: Annotated[str, msgspec.Meta(pattern="^(DEBUG|INFO|WARNING|ERROR)$")] = "INFO"
     json_lines: bool = False
@@ -98,7 +98,7 @@
     """Read and validate a settings file.
 
     Raises:
-      SettingsError: with all problems, each at its file, section and key, and a remedy.
+      SettingsError: lists all problems, each with file, section, key and remedy.
     """
     return ini.load(path, read)
 
--- a/plumarch/daemon/shell.py
+++ b/plumarch/daemon/shell.py
@@ -1,4 +1,4 @@
-"""The shell of a node: turns sockets into events, and the node's actions into calls."""
+"""The shell of a node: turns input into events, and carries out the node's actions."""
 
 import asyncio
 import collections
@@ -19,12 +19,13 @@
 from plumarch.object_api import protocol
 from plumarch.peers import wire
 
-DECISIONS_LIMIT = 4_000
-"""Decisions kept for those who ask later."""
+MAX_DECISIONS = 4_000
+"""Decisions retained for operators."""
 
 VM_POLL_S = 2.0
 LOAD_POLL_S = 0.5
-"""Time between two engines' load reports: a bounded cost, however many engines there are."""
+"""Time between two load requests; one engine at a time, so that the cost does not grow with the
+number of engines."""
 
 OFFER_POLL_S = 30.0
 CONFIG_WAIT_MS = 5_000
@@ -34,7 +35,7 @@
 
 
 class Shell:
-    """One node with its sockets."""
+    """A node with its listeners and clients."""
 
     def __init__(self, given: settings.Settings) -> None:
         self.settings = given
@@ -60,7 +61,7 @@
         self.callers: dict[str, streams.CallerStream] = {}
         self.calls: dict[tuple[str, int], asyncio.Task[None]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.decisions: collections.deque[data.Decision] = collections.deque(maxlen=DECISIONS_LIMIT)
+        self.decisions: collections.deque[data.Decision] = collections.deque(maxlen=MAX_DECISIONS)
         self.listeners: set[asyncio.Queue[data.Decision]] = set()
         self.sequence = 0
         self.platform_seen_ms = -1
@@ -68,13 +69,13 @@
     # Starting and stopping.
 
     async def start(self) -> None:
-        """Open the peer listener, greet the peers, begin to keep time."""
+        """Open the peer listener, add the peers and start the periodic tasks."""
         host, port = addresses.split(self.settings.listen.peers)
         port = await self.transport.listen(host, port)
         self.node.address = f"{host}:{port}"
         for name, address in self.settings.peers.nodes.items():
             self.transport.add_peer(name, address)
-        for loop in (self._keep_time(), self._poll_vms(), self._poll_loads()):
+        for loop in (self._run_ticks(), self._poll_vms(), self._poll_loads()):
             self.spawn(loop)
         self.spawn(self._watch_config())
         self.spawn(self._poll_notices())
@@ -82,7 +83,7 @@
         log.info("Node {} listens for peers on {}:{}.", self.identity, host, port)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a coroutine until it ends or the shell closes."""
+        """Run a coroutine as a task that close() cancels."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self._ended)
@@ -94,16 +95,16 @@
             log.opt(exception=task.exception()).error("A task failed.")
 
     async def stop(self) -> None:
-        """End as planned: hand over what is left, then wait for those who still read."""
+        """Hand the remaining requests to other nodes, then wait for callers that still read."""
         self.handle(events.StopAsked())
         limit = self.clock.now() + self.settings.limits.stop_s * 1000
         while not (self.node.drained() and not self.callers) and self.clock.now() < limit:
             await asyncio.sleep(node.TICK_MS / 1000)
         left = len(self.node.table.active)
-        log.info("Node {} stops with {} requests left.", self.identity, left)
+        log.info("Node {} stops with {} requests in progress.", self.identity, left)
 
     async def close(self) -> None:
-        """Close all sockets."""
+        """Cancel all tasks and close all sockets."""
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -114,7 +115,7 @@
     # Events and actions.
 
     def handle(self, event: events.Event) -> None:
-        """Hand an event to the node and carry its actions out."""
+        """Let the node handle an event and carry out the resulting actions."""
         for action in self.node.handle(event):
             self._perform(action)
 
@@ -123,11 +124,11 @@
             case events.TellTokens():
                 stream = self.callers.get(action.watcher_id)
                 if stream is not None:
-                    stream.tell_tokens(action)
+                    stream.handle_tokens(action)
             case events.Send():
                 self.transport.send(action.node, action.message)
             case events.HandOver():
-                self._hand_over(action)
+                self._dispatch(action)
             case events.Abort():
                 call = self.calls.pop((action.request_id, action.attempt), None)
                 if call is not None:
@@ -141,11 +142,11 @@
             case events.TellAccepted():
                 stream = self.callers.get(action.watcher_id)
                 if stream is not None:
-                    stream.tell_accepted(action)
+                    stream.handle_accepted(action)
             case events.TellEnd():
                 stream = self.callers.get(action.watcher_id)
                 if stream is not None:
-                    stream.tell_end(action)
+                    stream.handle_end(action)
             case events.Note():
                 self._note(action.decision)
             case events.Count():
@@ -161,10 +162,10 @@
 
     def _received(self, sender: str, message: messages.AnyMessage) -> None:
         if isinstance(message, messages.Heartbeat) and message.address:
-            self._know_peer(context.name_of(sender), message.address)
+            self._add_peer(context.name_of(sender), message.address)
         self.handle(events.PeerMessage(sender, message))
 
-    def _know_peer(self, name: str, address: str) -> None:
+    def _add_peer(self, name: str, address: str) -> None:
         if name == self.settings.node.name:
             return
         self.transport.add_peer(name, address)
@@ -178,43 +179,43 @@
     # Callers.
 
     def new_stream(self) -> streams.CallerStream:
-        """Return a stream for a caller that is about to ask something."""
+        """Return a stream for a caller's next request."""
         self.sequence += 1
         stream = streams.CallerStream(f"{self.identity}/c{self.sequence}")
         self.callers[stream.watcher_id] = stream
         return stream
 
     def new_request_id(self) -> str:
-        """Return an identity for a request that came in here."""
+        """Return an ID for a request that arrived at this node."""
         self.sequence += 1
         return f"{self.identity}/{self.sequence}"
 
     def release(self, stream: streams.CallerStream) -> None:
-        """Forget a caller's stream; the node hears that the caller is gone."""
+        """Remove a caller's stream; notify the node if it had not ended."""
         if self.callers.pop(stream.watcher_id, None) is not None and stream.end is None:
             self.handle(events.CallerGone(stream.watcher_id))
 
     # Endpoints.
 
-    def _hand_over(self, order: events.HandOver) -> None:
+    def _dispatch(self, order: events.HandOver) -> None:
         name = (order.request.id, order.attempt)
         task = self.spawn(self.endpoints.run(order, self.handle))
         self.calls[name] = task
         task.add_done_callback(lambda _: self.calls.pop(name, None))
 
     async def _poll_loads(self) -> None:
-        """Ask the engines of this data centre in turn."""
+        """Request load reports from the engines of this data centre in turn."""
         turn = 0
         while True:
-            here = [
+            local = [
                 e
                 for e in self.node.placement.endpoints.values()
                 if e.kind is data.EndpointKind.ENGINE
                 and e.data_centre == self.settings.node.data_centre
             ]
-            if here:
+            if local:
                 turn += 1
-                await self._poll_load(here[turn % len(here)])
+                await self._poll_load(local[turn % len(local)])
             await asyncio.sleep(LOAD_POLL_S)
 
     async def _poll_load(self, endpoint: data.Endpoint) -> None:
@@ -266,15 +267,17 @@
             action.fencing_token,
         )
         try:
-            told = await self.platform.order(order)
-            answer = events.CloudAnswer(action.call_id, events.CloudStatus(told.status), told.name)
+            order_answer = await self.platform.order(order)
+            answer = events.CloudAnswer(
+                action.call_id, events.CloudStatus(order_answer.status), order_answer.name
+            )
         except errors.PlatformError as error:
             self._platform_failed(error)
             answer = events.CloudAnswer(action.call_id, events.CloudStatus.UNKNOWN)
         self.handle(answer)
 
     async def _poll_offers(self) -> None:
-        """Read the cloud's offers, if this node may have to decide by them."""
+        """Read the cloud's offers while this node is a watcher."""
         while True:
             if self.node.is_watcher():
                 try:
@@ -286,7 +289,7 @@
     def _platform_failed(self, error: errors.PlatformError) -> None:
         self.metrics.count(events.Count("platform_errors", label=type(error).__name__))
 
-    async def _keep_time(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             self._note_suspension()
             self.handle(events.Tick())
@@ -302,13 +305,13 @@
 
     async def _poll_vms(self) -> None:
         while True:
-            asked_ms = self.clock.now()
+            request_ms = self.clock.now()
             try:
                 listed = await self.platform.vms()
             except errors.PlatformError as error:
                 self._platform_failed(error)
             else:
-                self.platform_seen_ms = asked_ms
+                self.platform_seen_ms = request_ms
                 if listed is not None:
                     self._use_vms(listed)
             await asyncio.sleep(VM_POLL_S)
@@ -316,13 +319,13 @@
     def _use_vms(self, listed: protocol.VmList) -> None:
         for vm in listed.vms:
             if vm.role == "entry" and vm.address:
-                self._know_peer(vm.name, vm.address)
+                self._add_peer(vm.name, vm.address)
         self.handle(events.EndpointsSeen(protocol.endpoints_of(listed)))
         if listed.gone:
             self.handle(events.NodesGone(tuple(listed.gone)))
 
     async def _poll_notices(self) -> None:
-        """Read reclaim notices, if this node watches; others hear them from peers."""
+        """Read reclaim notices while this node is a watcher; other nodes get them from peers."""
         since = 0
         while True:
             if self.node.is_watcher():
@@ -330,7 +333,7 @@
             await asyncio.sleep(IDLE_S)
 
     async def _read_notices(self, since: int) -> int:
-        """Act on the notices after a number. Returns the number of the last one."""
+        """Handle the notices after a number. Returns the number of the last one."""
         try:
             for notice in await self.platform.notices(since):
                 since = max(since, notice.number)
@@ -342,7 +345,7 @@
     # Configuration.
 
     async def _watch_config(self) -> None:
-        """Follow the configuration's head on the platform."""
+        """Watch the configuration's head on the platform."""
         since = -1
         while True:
             try:
--- a/plumarch/node/node.py
+++ b/plumarch/node/node.py
@@ -223,7 +223,7 @@
             case messages.ConfigAsk():
                 self._send_config(sender, m.revision)
             case messages.ConfigGive():
-                if self.config.take(m):
+                if self.config.apply_message(m):
                     self._send_heartbeat()
 
     def _apply_heartbeat(self, sender: str, heartbeat: messages.Heartbeat) -> None:
@@ -240,7 +240,7 @@
 
     def _send_config(self, sender: str, revision: int) -> None:
         if self.config.revision > revision:
-            self.ctx.send(sender, self.config.give(revision))
+            self.ctx.send(sender, self.config.to_message(revision))
 
     def _cancel(self, event: events.CancelAsked) -> None:
         for run in list(self.table.active.values()):
