--- a/bench/large_fleets.py
+++ b/bench/large_fleets.py
@@ -73,7 +73,7 @@
         for node in fleet.live():
             for name in ("datagram_received", "tick", "announce_prompt"):
                 setattr(node.gossip, name, self.timed(node.name, getattr(node.gossip, name)))
-            node.tell_round = self.timed(node.name, node.tell_round)
+            node.gossip_round = self.timed(node.name, node.gossip_round)
 
 
 def serve(fleet: gossip_fleet.GossipFleet, load: Load, rng: random.Random, for_ms: int) -> None:
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -149,7 +149,7 @@
         for host in world.hosts.values():
             # The node is built with its own placement; the baselines take its place.
             host.node.placement.__class__ = baselines.POLICIES[policy]
-        world.tell_list()
+        world.publish_endpoints()
         world.interfere = self._observe
 
     def _observe(self, host: virtual.Host, action: events.Action) -> bool:
--- a/plumarch/fleet/engine_replay_test.py
+++ b/plumarch/fleet/engine_replay_test.py
@@ -42,7 +42,7 @@
       started: engines started.
     """
 
-    paid: float
+    cost: float
     firm: float
     missing: float
     remote: float
@@ -92,7 +92,7 @@
         )
         remote += sum(max(0.0, many - run[region]) for region, many in now.items()) * step_s
         cloud.advance(STEP_MS)
-    return Outcome(cloud.paid, cloud.paid_firm, missing, remote, asked, cloud.started)
+    return Outcome(cloud.cost, cloud.firm_cost, missing, remote, asked, cloud.started)
 
 
 def waves(total: float, swing: float) -> Demand:
@@ -152,7 +152,7 @@
 @pytest.mark.parametrize("day", DAYS)
 def test_regional_plans_cost_less_than_even_spreading(day: str):
     evenly, by_region = both(day)
-    assert by_region.paid < evenly.paid, (evenly, by_region)
+    assert by_region.cost < evenly.cost, (evenly, by_region)
 
 
 @pytest.mark.parametrize("day", DAYS)
--- a/plumarch/gateway/gossip/known_centres_test.py
+++ b/plumarch/gateway/gossip/known_centres_test.py
@@ -86,7 +86,7 @@
         """Return the fleet before the start of its processes."""
         size = gossip_fleet.Size(len(self.counts), 0, counts=self.counts, regions=self.regions)
         fleet = gossip_fleet.GossipFleet(size, self.number, False, self._starts())
-        fleet.lose = LOSE
+        fleet.loss_fraction = LOSE
         return fleet
 
     def _starts(self) -> gossip_fleet.Starts:
--- a/plumarch/gateway/gossip/large_fleet_quota_test.py
+++ b/plumarch/gateway/gossip/large_fleet_quota_test.py
@@ -220,10 +220,10 @@
     elif kind == "freeze":
         node.frozen = True
     elif kind == "lose":
-        fleet.lose, fleet.late_ms = 0.1, 100
+        fleet.loss_fraction, fleet.late_ms = 0.1, 100
     else:
         fleet.cut = lambda one, other: False
-        fleet.lose, fleet.late_ms = 0.0, 0
+        fleet.loss_fraction, fleet.late_ms = 0.0, 0
         for other in nodes:
             if other.frozen:
                 fleet.thaw(other)
--- a/plumarch/gateway/gossip/large_fleet_test.py
+++ b/plumarch/gateway/gossip/large_fleet_test.py
@@ -237,7 +237,7 @@
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_lost_duplicate_and_late_datagrams_change_no_role_and_hardly_any_quota(seed: int):
     fleet = settled(seed=seed)
-    fleet.lose, fleet.double, fleet.late_ms = 0.1, 0.1, 150
+    fleet.loss_fraction, fleet.duplicate_fraction, fleet.late_ms = 0.1, 0.1, 150
     for _ in range(40):
         fleet.run(100)
         assert all(node.state.quota.fraction > 0.9 for node in fleet.live())
--- a/plumarch/gateway/gossip/permit_exchange_test.py
+++ b/plumarch/gateway/gossip/permit_exchange_test.py
@@ -129,7 +129,7 @@
 
     def heal(self) -> None:
         self.fleet.cut = lambda one, other: False
-        self.fleet.lose, self.fleet.late_ms = 0.0, 0
+        self.fleet.loss_fraction, self.fleet.late_ms = 0.0, 0
         for node in self.fleet.live():
             if node.frozen:
                 self.mark_faulty([node])
@@ -270,7 +270,7 @@
     elif kind == "freeze":
         node.frozen = True
     elif kind == "lose":
-        fleet.lose, fleet.late_ms = 0.1, 100
+        fleet.loss_fraction, fleet.late_ms = 0.1, 100
     elif kind == "announce":
         session.announced = ["", "0", "1", "3", "20"][pick % 5]
     elif kind == "heal":
--- a/plumarch/gateway/gossip/region_gossip_test.py
+++ b/plumarch/gateway/gossip/region_gossip_test.py
@@ -79,7 +79,7 @@
 def test_the_first_coordinators_of_a_region_freeze_and_thaw():
     """Second coordinators also receive summaries directly, often enough that one may be lost."""
     fleet = settled()
-    fleet.lose = 0.03
+    fleet.loss_fraction = 0.03
     coordinators = fleet.with_role(tiers.Role.COORDINATOR)
     region = coordinators_of(fleet, REGION)
     frozen = [one for one in region if one.view.seniors()[0].seniority.name == one.name]
@@ -91,7 +91,7 @@
     assert longest_below(fleet, 3_000, awake, others / len(fleet.live())) <= STANDBY_MS
     for node in frozen:
         fleet.thaw(node)
-    fleet.lose = 0.0
+    fleet.loss_fraction = 0.0
     fleet.run(3_000)
     assert min_reachable(fleet, 1_000) == 1.0
 
@@ -118,7 +118,7 @@
 
 def test_duplicate_and_stale_summaries_are_ignored():
     fleet = settled()
-    fleet.double, fleet.late_ms = 0.2, 150
+    fleet.duplicate_fraction, fleet.late_ms = 0.2, 150
     assert min_reachable(fleet, 3_000) == 1.0
     node = coordinators_of(fleet, REGION)[0]
     other = next(one for one in fleet.live() if one.data_centre == "dc-b")
--- a/plumarch/gateway/gossip/suspect_updates_test.py
+++ b/plumarch/gateway/gossip/suspect_updates_test.py
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_all_nodes_learn_despite_lost_late_and_duplicate_datagrams(size, seed):
     fleet = settled(size, seed)
-    fleet.lose, fleet.double, fleet.late_ms = 0.2, 0.1, 100
+    fleet.loss_fraction, fleet.duplicate_fraction, fleet.late_ms = 0.2, 0.1, 100
     observe_crashes(fleet.rng.choice(fleet.live()))
     fleet.run(WITH_LOSSES_MS)
     assert without_quarantine(fleet) == []
--- a/plumarch/gateway/store/store_calls_test.py
+++ b/plumarch/gateway/store/store_calls_test.py
@@ -95,7 +95,7 @@
 
 
 def silence(replay: store_replay.StoreReplay, node: gossip_fleet.Node) -> None:
-    replay.store.silent.add(node.name)
+    replay.store.unresponsive.add(node.name)
 
 
 FAULTS = [freeze, kill, refuse, silence]
--- a/plumarch/routing/locality_choice_test.py
+++ b/plumarch/routing/locality_choice_test.py
@@ -243,9 +243,9 @@
 def test_other_regions_serve_a_region_without_plain_endpoints_until_they_return(seed):
     replay = region_replay.RegionReplay(seed, plain_work(), plain_endpoints())
     replay.run_until(5_000)
-    replay.lose("north")
+    replay.fail_region("north")
     replay.run_until(15_000)
-    replay.regain()
+    replay.restore_regions()
     replay.run_until(25_000)
     moved = of(replay, "north", 5_000, 15_000)
     assert all(one.to_region != "north" for one in moved)
@@ -330,9 +330,9 @@
 def test_other_regions_serve_a_region_without_engines_until_they_return(seed):
     replay = region_replay.RegionReplay(seed, engine_work(), engines(3))
     replay.run_until(5_000)
-    replay.lose("north")
+    replay.fail_region("north")
     replay.run_until(15_000)
-    replay.regain()
+    replay.restore_regions()
     replay.run_until(25_000)
     moved = of(replay, "north", 5_000, 15_000)
     assert all(one.to_region != "north" for one in moved)
--- a/plumarch/standins/engine_cloud.py
+++ b/plumarch/standins/engine_cloud.py
@@ -31,7 +31,7 @@
       none_until_ms: until when a data centre has no reclaimable ones.
       notice_ms: how long a reclaimed engine still runs; it takes no new work.
       paid: prices of all seconds so far, a firm engine at price 1 counting 1.
-      paid_firm: the part of it for firm ones.
+      firm_cost: the part of it for firm ones.
       refusals: orders for which there were none.
     """
 
@@ -41,8 +41,8 @@
     notice_ms: int = 2_000
     engines: list[Engine] = dataclasses.field(default_factory=list)
     none_until_ms: dict[str, int] = dataclasses.field(default_factory=dict)
-    paid: float = 0.0
-    paid_firm: float = 0.0
+    cost: float = 0.0
+    firm_cost: float = 0.0
     refusals: int = 0
     started: int = 0
 
@@ -88,8 +88,8 @@
         """Let time pass and be paid for."""
         for one in self.engines:
             price = self.scaling.prices[one.place.data_centre] * by_ms / 1_000.0
-            self.paid += price * (self.scaling.spot_price if one.place.spot else 1.0)
-            self.paid_firm += 0.0 if one.place.spot else price
+            self.cost += price * (self.scaling.spot_price if one.place.spot else 1.0)
+            self.firm_cost += 0.0 if one.place.spot else price
         self.clock.advance_to(self.clock.now() + by_ms)
         now = self.clock.now()
         self.engines = [one for one in self.engines if one.ends_ms is None or one.ends_ms > now]
--- a/plumarch/standins/gossip_fleet.py
+++ b/plumarch/standins/gossip_fleet.py
@@ -127,7 +127,7 @@
         cast(Any, self.gossip.snapshots).fetch_from = self.fetched.append
         cast(Any, self.gossip).send_heartbeat_soon = lambda: fleet.send_heartbeat_soon(self)
         self.asked_to_beat = False
-        self.tell_round: Callable[[], None] = self.gossip.rounds.step
+        self.gossip_round: Callable[[], None] = self.gossip.rounds.step
         state.adopt_table(fleet.table, "store")
 
 
@@ -156,8 +156,8 @@
         self.time = clock.ManualClock(START_MS)
         self.rng = random.Random(seed)
         self.table = table_of(size)
-        self.lose = 0.0
-        self.double = 0.0
+        self.loss_fraction = 0.0
+        self.duplicate_fraction = 0.0
         self.late_ms = 0
         self.cut: Callable[[Node, Node], bool] = lambda one, other: False
         self.queue: list[tuple[float, int, Callable[[], object]]] = []
@@ -229,7 +229,7 @@
         if not node.alive:
             return
         if not node.frozen:
-            node.tell_round()
+            node.gossip_round()
         self.schedule(rounds.ROUND_INTERVAL_MS, lambda: self._round(node))
 
     def carry(self, sender: Node, datagram: bytes, address: str) -> None:
@@ -242,10 +242,10 @@
             return
         between = self.region_of(found) != self.region_of(sender)
         self.region_bytes += len(datagram) * between
-        if self.cut(sender, found) or self.rng.random() < self.lose:
+        if self.cut(sender, found) or self.rng.random() < self.loss_fraction:
             return
         network_ms = REGION_MS if between else FAR_MS if far else NEAR_MS
-        for _ in range(1 + (self.rng.random() < self.double)):
+        for _ in range(1 + (self.rng.random() < self.duplicate_fraction)):
             self.schedule(
                 network_ms + self.rng.uniform(0, self.late_ms),
                 lambda: self._arrive(found, datagram, sender.address),
--- a/plumarch/standins/region_replay.py
+++ b/plumarch/standins/region_replay.py
@@ -135,7 +135,7 @@
             self.time.advance_to(round(at_ms))
             act()
 
-    def lose(self, region: str) -> None:
+    def fail_region(self, region: str) -> None:
         """Take a region's endpoints away."""
         self.gone |= {
             name
@@ -143,7 +143,7 @@
             if DATA_CENTRES[one.endpoint.data_centre] == region
         }
 
-    def regain(self) -> None:
+    def restore_regions(self) -> None:
         """Give all endpoints back."""
         self.gone.clear()
 
--- a/plumarch/standins/store_replay.py
+++ b/plumarch/standins/store_replay.py
@@ -46,7 +46,7 @@
     kept: dict[tuple[str, str], records.Record] = dataclasses.field(default_factory=dict)
     removed: dict[tuple[str, str], int] = dataclasses.field(default_factory=dict)
     refused: set[str] = dataclasses.field(default_factory=set)
-    silent: set[str] = dataclasses.field(default_factory=set)
+    unresponsive: set[str] = dataclasses.field(default_factory=set)
     down: bool = False
     reads: collections.Counter[int] = dataclasses.field(default_factory=collections.Counter)
     writes: collections.Counter[int] = dataclasses.field(default_factory=collections.Counter)
@@ -95,7 +95,7 @@
         (store.writes if writes else store.reads)[second] += 1
         store.by_call[name] += 1
         await asyncio.sleep(CALL_MS / 1000.0)
-        if self.node.name in store.silent:
+        if self.node.name in store.unresponsive:
             await asyncio.sleep(limit_ms / 1000.0)
             raise errors.PlatformAnswerLost("silence")
         if store.down or self.node.name in store.refused:
@@ -112,7 +112,7 @@
                 await asyncio.wait_for(self.store.changed.wait(), end_s - loop.time())
             except TimeoutError:
                 break
-        if self.node.name in self.store.silent:
+        if self.node.name in self.store.unresponsive:
             await asyncio.sleep(end_s - loop.time() + WATCH_MARGIN_MS / 1000.0)
             raise errors.PlatformAnswerLost("silence")
         if self.store.down or self.node.name in self.store.refused:
--- a/plumarch/standins/virtual.py
+++ b/plumarch/standins/virtual.py
@@ -92,7 +92,7 @@
     Attributes:
       fencing: highest token seen for each slot.
       break_at: where the next call is interrupted: "", "connect", "sent" or "ran".
-      sheds_ms: the rest that it asks for as it refuses each call, or None if it takes them.
+      backoff_ms: the rest that it asks for as it refuses each call, or None if it takes them.
       refused: how many calls it refused.
       announces: the request rate that its answers announce, or None.
     """
@@ -102,9 +102,9 @@
     slow: float = 1.0
     fencing: dict[int, int] = dataclasses.field(default_factory=dict)
     break_at: str = ""
-    sheds_ms: int | None = None
+    backoff_ms: int | None = None
     refused: int = 0
-    announces: float | None = None
+    announced_rate: float | None = None
     calls: dict[tuple[str, int], Call] = dataclasses.field(default_factory=dict)
     cached: dict[int, None] = dataclasses.field(default_factory=dict)
     model: EngineModel = EngineModel()
@@ -164,7 +164,7 @@
         self.incarnations: collections.Counter[str] = collections.Counter()
         self.attempts: dict[tuple[str, int], FakeEndpoint] = {}
         self.told: list[str] = []
-        self.poison: set[str] = set()
+        self.crashing_keys: set[str] = set()
         """Keys of requests that end each endpoint that begins to run them."""
         self.interfere: Callable[[Host, events.Action], bool] | None = None
         self.bytes_sent: collections.Counter[str] = collections.Counter()
@@ -428,14 +428,14 @@
                 reclaimable=offer.reclaimable,
             )
         )
-        self.tell_list()
+        self.publish_endpoints()
 
     def _release_vm(self, name: str) -> None:
         if name in self.endpoints:
             self.kill_endpoint(name)
-            self.tell_list()
+            self.publish_endpoints()
 
-    def tell_offers(self, offers: tuple[data.Offer, ...]) -> None:
+    def publish_offers(self, offers: tuple[data.Offer, ...]) -> None:
         """Tell all nodes what the cloud sells."""
         self.offers = offers
         for host in self.hosts.values():
@@ -444,7 +444,7 @@
     # Endpoints.
 
     def add_endpoint(self, info: data.Endpoint) -> FakeEndpoint:
-        """Add an endpoint; nodes hear of it by tell_list."""
+        """Add an endpoint; nodes hear of it by publish_endpoints."""
         endpoint = FakeEndpoint(info)
         self.endpoints[info.name] = endpoint
         return endpoint
@@ -453,7 +453,7 @@
         """Return the platform's list of endpoints."""
         return tuple(e.info for e in self.endpoints.values() if e.alive)
 
-    def tell_list(self) -> None:
+    def publish_endpoints(self) -> None:
         """Give all nodes the platform's list."""
         for host in self.hosts.values():
             self.deliver(host, events.EndpointsSeen(self.listed()))
@@ -489,16 +489,16 @@
 
     def _execute(self, endpoint: FakeEndpoint, call: Call) -> None:
         request = call.action.request
-        if endpoint.sheds_ms is not None:
+        if endpoint.backoff_ms is not None:
             endpoint.refused += 1
-            self._fail(call, False, "endpoint refused the call", rest_ms=endpoint.sheds_ms)
+            self._fail(call, False, "endpoint refused the call", rest_ms=endpoint.backoff_ms)
             return
         if endpoint.break_at == "sent":
             # The endpoint never acts on what it got, but the caller can't know.
             endpoint.break_at = ""
             self._fail(call, True, "connection reset while sending")
             return
-        rate = events.EndpointRate(request.id, call.action.attempt, endpoint.announces)
+        rate = events.EndpointRate(request.id, call.action.attempt, endpoint.announced_rate)
         self._to_node(call, rate)
         self.journal.executions.append(
             invariants.Execution(
@@ -510,7 +510,7 @@
                 request.repeatable,
             )
         )
-        if request.key in self.poison:
+        if request.key in self.crashing_keys:
             endpoint.calls[(request.id, call.action.attempt)] = call
             self.at(PREFILL_MS, lambda: self.kill_endpoint(endpoint.info.name))
             return
@@ -628,7 +628,7 @@
                 self.kill_endpoint(name)
             elif name in self.hosts:
                 self.kill(name)
-        self.tell_list()
+        self.publish_endpoints()
 
     # Callers.
 
--- a/tests/announced_rate_work_test.py
+++ b/tests/announced_rate_work_test.py
@@ -40,7 +40,7 @@
     world = virtual.build(NODES, engines_each=2)
     limited = engines(world)[:2]
     for engine in limited:
-        engine.announces = 1.0
+        engine.announced_rate = 1.0
     known_ms = world.clock.now() + KNOWN_AFTER_MS
     for number in range(160):
         ask(world, number)
@@ -52,14 +52,14 @@
 def test_a_limit_that_is_over_ends():
     world = virtual.build({"a1": "a"}, engines_each=1)
     [engine] = engines(world)
-    engine.announces = 1.0
+    engine.announced_rate = 1.0
     world.call("a1", virtual.request(world, "a1", data.RequestClass.CHAT, "first"))
     world.run(500)
     for number in range(8):
         world.call("a1", virtual.request(world, "a1", data.RequestClass.CHAT, f"chat-{number}"))
     world.run(2_500)
     assert 2 <= len(starts(world, engine, 0)) <= 5
-    engine.announces = None
+    engine.announced_rate = None
     world.call("a1", virtual.request(world, "a1", data.RequestClass.CHAT, "last under the limit"))
     world.run(1_500)
     over_ms = world.clock.now()
@@ -72,7 +72,7 @@
 def test_work_waits_for_the_rate_and_is_done():
     world = virtual.build({"a1": "a"}, engines_each=1)
     [engine] = engines(world)
-    engine.announces = 4.0
+    engine.announced_rate = 4.0
     callers = [
         world.call("a1", virtual.request(world, "a1", data.RequestClass.CHAT, f"chat-{number}"))
         for number in range(12)
--- a/tests/asked_rest_work_test.py
+++ b/tests/asked_rest_work_test.py
@@ -32,7 +32,7 @@
     world = virtual.build(NODES, engines_each=2)
     shedding = engines(world, "a")
     for engine in shedding:
-        engine.sheds_ms = REST_MS
+        engine.backoff_ms = REST_MS
     callers = []
     for number in range(CHATS):
         callers.append(ask(world, f"chat-{number}"))
@@ -45,11 +45,11 @@
 def test_work_waits_while_all_rest_and_is_done_when_they_have_rested():
     world = virtual.build({"a1": "a"}, engines_each=2)
     for engine in engines(world, "a"):
-        engine.sheds_ms = 1_500
+        engine.backoff_ms = 1_500
     caller = ask(world, "chat")
     world.run(500)
     for engine in engines(world, "a"):
-        engine.sheds_ms = None
+        engine.backoff_ms = None
     world.run(900)
     assert caller.ends == []
     world.run(3_000)
--- a/tests/fleet_test.py
+++ b/tests/fleet_test.py
@@ -101,7 +101,7 @@
     }
     for host in world.hosts.values():
         world.deliver(host, config_test.seen(1, texts))
-    world.tell_offers(OFFERS)
+    world.publish_offers(OFFERS)
     for _ in range(60):
         asked = virtual.request(world, "c1", data.RequestClass.DRAFT, max_tokens=1_500)
         world.call("c1", dataclasses.replace(asked, timeout_ms=600_000))
--- a/tests/handover_test.py
+++ b/tests/handover_test.py
@@ -161,7 +161,7 @@
     world = virtual.build(NODES, engines_each=0)
     for endpoint in world.endpoints.values():
         endpoint.info = dataclasses.replace(endpoint.info, checks_fencing=checks_fencing)
-    world.tell_list()
+    world.publish_endpoints()
     for number in range(1_000):
         key = f"ticket-{number}"
         slot = keys.slot_of("okefenokee", key)
--- a/tests/poison_work_test.py
+++ b/tests/poison_work_test.py
@@ -38,7 +38,7 @@
                 self.ended.add(info.name)
                 name = f"{info.data_centre}-later-{len(self.ended)}"
                 self.world.add_endpoint(dataclasses.replace(info, name=name))
-        self.world.tell_list()
+        self.world.publish_endpoints()
 
     def draft(self, entry: str, key: str, timeout_ms: int, tokens: int = 20) -> data.Request:
         return virtual.request(
@@ -54,7 +54,7 @@
 def poisoned(timeout_ms: int) -> tuple[Fleet, data.Request]:
     fleet = Fleet()
     draft = fleet.draft("a1", "poison", timeout_ms)
-    fleet.world.poison.add(draft.key)
+    fleet.world.crashing_keys.add(draft.key)
     return fleet, draft
 
 
--- a/tests/promises_test.py
+++ b/tests/promises_test.py
@@ -45,7 +45,7 @@
                 # Small and slow, so that refusals happen.
                 endpoint.info = dataclasses.replace(endpoint.info, capacity=1)
                 endpoint.slow = 8.0
-        self.world.tell_list()
+        self.world.publish_endpoints()
 
     @stateful.rule(
         names=st.lists(nodes, min_size=1, max_size=4),
--- a/tests/refusal_test.py
+++ b/tests/refusal_test.py
@@ -20,7 +20,7 @@
     service = world.endpoints["a-tickets-0"]
     service.info = dataclasses.replace(service.info, capacity=1)
     service.slow = LONG_MS / virtual.SERVICE_MS
-    world.tell_list()
+    world.publish_endpoints()
     world.run(100)
     return world
 
