--- a/plumarch/gateway/gossip/region_gossip_test.py
+++ b/plumarch/gateway/gossip/region_gossip_test.py
@@ -66,7 +66,7 @@
         for centre in node.view.centres.values():
             assert (
                 two_regions.time.now() - centre.received_ms
-                <= 2 * rounds.ROUND_INTERVAL_MS + gossip_fleet.REGION_MS
+                <= 2 * rounds.ROUND_INTERVAL_MS + gossip_fleet.REGION_LATENCY_MS
             )
 
 
--- a/plumarch/gateway/store/store_calls_test.py
+++ b/plumarch/gateway/store/store_calls_test.py
@@ -55,7 +55,7 @@
     async def test(replay: store_replay.StoreReplay, store: store_replay.CountedStore) -> None:
         for _ in range(2):
             await replay.run(START_MS)
-            assert replay.behind() == []
+            assert replay.stale_nodes() == []
             replay.restart_all()
 
     store = play(LARGEST, test)
@@ -76,7 +76,7 @@
         store.down = False
         store.configure()
         await replay.run(REACHED_MS)
-        assert replay.behind() == []
+        assert replay.stale_nodes() == []
         assert len(replay.followers()) <= 2 * store_followers.MAX_PER_CENTRE * LARGEST.data_centres
 
     assert_within_limits(play(LARGEST, test))
@@ -108,7 +108,7 @@
     replay.store.put(endpoint(traffic.EndpointState.DRAINING))
     await replay.run(REACHED_MS)
     frozen = {node.name for node in replay.fleet.live() if node.frozen}
-    assert set(replay.behind()) <= frozen
+    assert set(replay.stale_nodes()) <= frozen
 
 
 def test_one_node_of_each_of_many_data_centres_follows_the_store():
@@ -156,7 +156,7 @@
         store.refused |= alone
         store.put(endpoint())
         await replay.run(SETTLE_MS)
-        assert replay.behind() == []
+        assert replay.stale_nodes() == []
         for name in alone:
             assert replay.fleet.nodes[name].state.table_source != follower.STORE
         await change_all(replay)
--- a/plumarch/standins/gossip_fleet.py
+++ b/plumarch/standins/gossip_fleet.py
@@ -15,9 +15,9 @@
 
 START_MS = 1_700_000_000_000
 PORT = 7600
-NEAR_MS = 1
-FAR_MS = 2
-REGION_MS = 30
+CENTRE_LATENCY_MS = 1
+CROSS_CENTRE_LATENCY_MS = 2
+REGION_LATENCY_MS = 30
 """One way between regions that are some hundred kilometres apart, as operators state it."""
 
 
@@ -244,7 +244,9 @@
         self.region_bytes += len(datagram) * between
         if self.cut(sender, found) or self.rng.random() < self.loss_fraction:
             return
-        network_ms = REGION_MS if between else FAR_MS if far else NEAR_MS
+        network_ms = (
+            REGION_LATENCY_MS if between else CROSS_CENTRE_LATENCY_MS if far else CENTRE_LATENCY_MS
+        )
         for _ in range(1 + (self.rng.random() < self.duplicate_fraction)):
             self.schedule(
                 network_ms + self.rng.uniform(0, self.late_ms),
--- a/plumarch/standins/store_replay.py
+++ b/plumarch/standins/store_replay.py
@@ -281,7 +281,7 @@
         live = self.fleet.live()
         return [node for node in live if node.view.watches_store(node.data_centre)]
 
-    def behind(self) -> list[str]:
+    def stale_nodes(self) -> list[str]:
         """Return the live nodes that don't know all that the store holds."""
         newest = {name: endpoint for name, (_, endpoint) in self.store.endpoints.items()}
         return [
