--- a/plumarch/demo/__main__.py
+++ b/plumarch/demo/__main__.py
@@ -75,37 +75,41 @@
         """
         balancer = callers.Balancer(list(self.deployment.urls().values()), self.seed)
         async with callers.client() as http:
-            lanes = [callers.Caller(http, balancer, target) for target in self.targets()]
+            callers_by_workspace = [
+                callers.Caller(http, balancer, target) for target in self.targets()
+            ]
             for number in range(ROUNDS):
-                for lane in lanes:
-                    self._send_round(lane, number)
+                for caller in callers_by_workspace:
+                    self._send_round(caller, number)
                 if number == RECLAIM_ROUND:
-                    self.tasks_of_reclaim = asyncio.ensure_future(self._reclaim(balancer))
+                    self.reclaim_task = asyncio.ensure_future(self._reclaim(balancer))
                 await asyncio.sleep(ROUND_S)
-            waiting = asyncio.ensure_future(self._tell_what_is_missing())
+            waiting = asyncio.ensure_future(self._print_progress())
             outcomes = await asyncio.gather(*self.tasks)
-            await self.tasks_of_reclaim
+            await self.reclaim_task
             waiting.cancel()
         return outcomes
 
-    async def _tell_what_is_missing(self) -> None:
+    async def _print_progress(self) -> None:
         """Say from time to time how many answers are waited for."""
         while True:
             left = sum(not task.done() for task in self.tasks)
-            say(f"{self.plan.name}: {len(self.tasks) - left} of {len(self.tasks)} answers are here")
+            print_line(
+                f"{self.plan.name}: {len(self.tasks) - left} of {len(self.tasks)} answers are here"
+            )
             await asyncio.sleep(PROGRESS_S)
 
-    def _send_round(self, lane: callers.Caller, number: int) -> None:
-        name = lane.target.workspace
+    def _send_round(self, caller: callers.Caller, number: int) -> None:
+        name = caller.target.workspace
         seed = self.seed * 1000 + number
         waiting = WAITING[self.plan.name]
-        self._start(lane.chat(f"{name}-chat-{number}", seed, CHAT_TOKENS))
-        self._start(lane.ticket(f"{name}-once-{number}"))
+        self._start(caller.chat(f"{name}-chat-{number}", seed, CHAT_TOKENS))
+        self._start(caller.ticket(f"{name}-once-{number}"))
         for part in range(3):
-            self._start(lane.lookup(f"{name}-status-{number}-{part}"))
+            self._start(caller.lookup(f"{name}-status-{number}-{part}"))
         if number % 2 == 1:
             key = f"{name}-{waiting}-{number}"
-            self._start(lane.submit(key, waiting, seed, WAITING_TOKENS))
+            self._start(caller.submit(key, waiting, seed, WAITING_TOKENS))
 
     def _start(self, work: Awaitable[callers.Outcome]) -> None:
         """Send a request at some moment of the round."""
@@ -119,7 +123,7 @@
 
     async def _reclaim(self, balancer: callers.Balancer) -> None:
         centre = self.plan.centres[0]
-        say(f"--- {centre} will be reclaimed in {NOTICE_MS} ms: nodes, engines and services")
+        print_line(f"--- {centre} will be reclaimed in {NOTICE_MS} ms: nodes, engines and services")
         self.deployment.announce(centre, NOTICE_MS)
         leaving = [
             url
@@ -131,8 +135,8 @@
         for url in leaving:
             balancer.remove(url)
         await asyncio.sleep(NOTICE_MS / 1000 - 1.0)
-        await self.deployment.take_away(centre)
-        say(f"--- {centre} is gone")
+        await self.deployment.remove_centre(centre)
+        print_line(f"--- {centre} is gone")
 
     def journal(self, outcomes: list[callers.Outcome]) -> invariants.Journal:
         """Return what was observed, for the checks of the promises."""
@@ -146,14 +150,14 @@
         return journal
 
 
-def tell_stories(
-    kept: evidence.Evidence, outcomes: list[callers.Outcome], broken: list[str]
+def print_stories(
+    log_file: evidence.Evidence, outcomes: list[callers.Outcome], broken: list[str]
 ) -> None:
     """Print the story of each request with a broken promise."""
     for outcome in outcomes:
         if any(outcome.view.name in text for text in broken):
-            say(f"\n--- the story of {outcome.view.name}")
-            say(kept.story(outcome.view.key))
+            print_line(f"\n--- the story of {outcome.view.name}")
+            print_line(log_file.story(outcome.view.key))
 
 
 async def show_decisions(name: str, queue: asyncio.Queue[data.Decision]) -> None:
@@ -169,14 +173,14 @@
             continue
         others = ", ".join(f"{c.endpoint} {c.note or round(c.score)}" for c in decision.considered)
         node = decision.node.partition("#")[0]
-        say(
+        print_line(
             f"{node:11} {decision.workspace or name:20} {decision.kind:7}"
             f" {decision.choice.partition('#')[0]}: {decision.why}"
             + (f" [{others}]" if others else "")
         )
 
 
-def say(text: str) -> None:
+def print_line(text: str) -> None:
     """Print a line at once."""
     print(text, flush=True)
 
@@ -192,25 +196,25 @@
     folder = pathlib.Path(tempfile.mkdtemp(prefix="plumarch-demo-"))
     demos = [Demo(plan, number + 1) for number, plan in enumerate(PLANS)]
     await asyncio.gather(*(demo.deployment.start() for demo in demos))
-    say(f"Two deployments are ready after {time.monotonic() - start:.1f} s.")
+    print_line(f"Two deployments are ready after {time.monotonic() - start:.1f} s.")
     watchers = [
         asyncio.ensure_future(show_decisions(demo.plan.name, demo.deployment.listen()))
         for demo in demos
     ]
     logged = [evidence.Evidence(folder, demo.plan.name, demo.deployment.listen()) for demo in demos]
-    watchers += [asyncio.ensure_future(kept.record()) for kept in logged]
+    watchers += [asyncio.ensure_future(log_file.record()) for log_file in logged]
     results = await asyncio.gather(*(demo.run() for demo in demos))
     broken: list[str] = []
     table = []
     hours = (time.monotonic() - start) / 3600
-    for demo, outcomes, kept in zip(demos, results, logged, strict=True):
+    for demo, outcomes, log_file in zip(demos, results, logged, strict=True):
         journal = demo.journal(outcomes)
         found = invariants.violations(journal)
         found += invariants.accepted_and_unfinished(journal)
         found += [f"{o.view.name} got no answer" for o in outcomes if not o.view.ends]
         broken += found
-        kept.close(outcomes)
-        tell_stories(kept, outcomes, found)
+        log_file.close(outcomes)
+        print_stories(log_file, outcomes, found)
         more = {
             f"{demo.plan.name}-{WORKSPACES[demo.plan.name][0]}": {
                 "recomputed tokens (all)": demo.deployment.recomputed(),
@@ -221,12 +225,14 @@
     for watcher in watchers:
         watcher.cancel()
     await asyncio.gather(*(demo.deployment.stop() for demo in demos))
-    say("\n" + tabulate.tabulate(table, headers="keys"))
+    print_line("\n" + tabulate.tabulate(table, headers="keys"))
     for text in broken:
-        say(f"PROMISE BROKEN: {text}")
+        print_line(f"PROMISE BROKEN: {text}")
     took = time.monotonic() - start
-    say(f"\n{'Every promise held' if not broken else 'Promises were broken'}, in {took:.0f} s.")
-    say(f"Logs for `plumarch story KEY LOGS`: {folder}")
+    print_line(
+        f"\n{'Every promise held' if not broken else 'Promises were broken'}, in {took:.0f} s."
+    )
+    print_line(f"Logs for `plumarch story KEY LOGS`: {folder}")
     return 1 if broken else 0
 
 
--- a/plumarch/demo/deployment.py
+++ b/plumarch/demo/deployment.py
@@ -65,7 +65,7 @@
         for centre in self.plan.centres:
             for number in range(1, NODES_PER_CENTRE + 1):
                 await self._start_node(f"{centre}-{number}", centre)
-        await self._wait_until_acquainted()
+        await self._wait_until_joined()
 
     async def _start_endpoints(self, centre: str) -> None:
         for number in range(1, ENGINES_PER_CENTRE + 1):
@@ -136,11 +136,11 @@
         self.daemons[name] = daemon
         await daemon.start()
 
-    async def _wait_until_acquainted(self) -> None:
-        while not self._acquainted():
+    async def _wait_until_joined(self) -> None:
+        while not self._nodes_joined():
             await asyncio.sleep(0.05)
 
-    def _acquainted(self) -> bool:
+    def _nodes_joined(self) -> bool:
         nodes = [daemon.shell.node for daemon in self.daemons.values()]
         slots = sum(len(node.ledger.owned) for node in nodes)
         everyone = len(nodes)
@@ -176,7 +176,7 @@
         names = self.names_in(centre)
         self.platform.announce(platform_app.NoticeOrder(names, left_ms))
 
-    async def take_away(self, centre: str) -> list[str]:
+    async def remove_centre(self, centre: str) -> list[str]:
         """End every VM of a data centre at once.
 
         Returns:
@@ -190,7 +190,7 @@
             if daemon is not None:
                 gone.append(urls[name])
                 del self.daemons[name]
-                await _vanish(daemon)
+                await _abort_node(daemon)
             else:
                 await self.vms.pop(name).listener.abort()
         self.platform.change_vms(platform_app.VmChange(remove=names))
@@ -214,14 +214,14 @@
     async def stop(self) -> None:
         """End everything."""
         for daemon in self.daemons.values():
-            await _vanish(daemon)
+            await _abort_node(daemon)
         for vm in self.vms.values():
             await vm.listener.abort()
         if self.platform_listener is not None:
             await self.platform_listener.abort()
 
 
-async def _vanish(daemon: daemon_main.Daemon) -> None:
+async def _abort_node(daemon: daemon_main.Daemon) -> None:
     """End a node as its VM's end would."""
     await daemon.callers.abort()
     await daemon.operators.abort()
--- a/plumarch/proof/invariants.py
+++ b/plumarch/proof/invariants.py
@@ -37,7 +37,7 @@
     lost: bool = False
     faults: list[str] = dataclasses.field(default_factory=list)
 
-    def told_tokens(self, position: int, tokens: tuple[str, ...]) -> None:
+    def receive_tokens(self, position: int, tokens: tuple[str, ...]) -> None:
         """Take in tokens, and note one that is missing or doubled."""
         if position != len(self.tokens):
             self.faults.append(f"tokens at {position}, wanted {len(self.tokens)}")
@@ -85,7 +85,7 @@
     found = []
     found += at_most_once(journal)
     found += not_run_is_true(journal)
-    found += answers_are_whole(journal)
+    found += answers_are_complete(journal)
     found += one_final_answer(journal)
     found += leaving_gets_no_work(journal)
     found += configuration_goes_forward(journal)
@@ -118,7 +118,7 @@
     return found
 
 
-def answers_are_whole(journal: Journal) -> list[str]:
+def answers_are_complete(journal: Journal) -> list[str]:
     """Check that each answer told as done is whole, in order, and the caller's own."""
     found = []
     for caller in journal.callers:
--- a/plumarch/proof/processes.py
+++ b/plumarch/proof/processes.py
@@ -100,7 +100,7 @@
             self.start_node(node.name)
         for node in self.nodes.values():
             self.wait_ready(node.name)
-        self._wait_for(self._acquainted)
+        self._wait_for(self._nodes_joined)
 
     def _start_endpoints(self, centre: str, token_ms: float) -> None:
         port = free_port()
@@ -198,12 +198,12 @@
         found: dict[str, Any] = httpx.get(url, headers=headers, timeout=2).json()
         return found
 
-    def _acquainted(self) -> bool:
+    def _nodes_joined(self) -> bool:
         """Return whether all slots have owners and every node knows all others."""
         found = [self.status(name) for name in self.nodes]
         slots = sum(int(status["slots"]) for status in found)
-        heard = all(len(status["members"]) == len(self.nodes) - 1 for status in found)
-        return slots == 32 and heard
+        all_joined = all(len(status["members"]) == len(self.nodes) - 1 for status in found)
+        return slots == 32 and all_joined
 
     def _wait_for(self, done: Callable[[], bool]) -> None:
         end = time.monotonic() + START_S
--- a/plumarch/proof/sessions.py
+++ b/plumarch/proof/sessions.py
@@ -39,7 +39,7 @@
 
     def transcript(self) -> list[str]:
         """Return what callers were told, and the decisions, in order of time."""
-        lines = list(self.world.told)
+        lines = list(self.world.caller_events)
         for decision in self.world.decisions:
             text = f"{decision.kind} {decision.choice}: {decision.why}"
             lines.append(f"{decision.at_ms:7} {decision.node:9} [{decision.request_id}] {text}")
@@ -55,26 +55,26 @@
     Returns:
       The session, played to its end.
     """
-    steps = [_words(line) for line in text.splitlines()]
-    steps = [words for words in steps if words]
+    steps = [_fields(line) for line in text.splitlines()]
+    steps = [fields for fields in steps if fields]
     if not steps or steps[0][0] != "nodes":
         raise ValueError("a session begins with: nodes NAME=CENTRE ...")
     nodes = dict(word.split("=", 1) for word in steps[0][1:])
     session = Session(virtual.build(nodes, seed=seed))
     start = session.world.clock.now()
-    for words in steps[1:]:
-        _step(session, words, start)
+    for fields in steps[1:]:
+        _step(session, fields, start)
     for broken in invariants.violations(session.world.journal):
         session.failures.append(f"promise broken: {broken}")
     return session
 
 
-def _words(line: str) -> list[str]:
+def _fields(line: str) -> list[str]:
     return line.partition("#")[0].split()
 
 
-def _step(session: Session, words: list[str], start: int) -> None:
-    match words:
+def _step(session: Session, fields: list[str], start: int) -> None:
+    match fields:
         case ["at", time, *rest]:
             world = session.world
             world.run(start + int(time) - world.clock.now())
@@ -86,10 +86,10 @@
             if found:
                 session.failures.append(f"expect {' '.join(rest)}: {found}")
         case _:
-            raise ValueError(f"unknown step: {' '.join(words)}")
+            raise ValueError(f"unknown step: {' '.join(fields)}")
 
 
-def _act(world: virtual.World, words: list[str]) -> None:
+def _act(world: virtual.World, fields: list[str]) -> None:
     faults = world.store.faults
     simple: dict[str, Callable[[str], object]] = {
         "kill": world.kill,
@@ -99,7 +99,7 @@
         "kill-endpoint": world.kill_endpoint,
         "cut-platform": world.network.platform_cuts.add,
     }
-    match words:
+    match fields:
         case ["call", node, request_class, *rest]:
             _call(world, node, request_class, rest)
         case ["reattach", node, caller]:
@@ -125,13 +125,13 @@
             world.deliver(world.hosts[node], events.CancelAsked(found.workspace, found.key))
         case ["stop", node]:
             world.deliver(world.hosts[node], events.StopAsked())
-        case ["reclaim", left, told, *names]:
-            nodes = told.removeprefix("told=").split(",")
+        case ["reclaim", left, notified, *names]:
+            nodes = notified.removeprefix("told=").split(",")
             world.reclaim(tuple(names), int(left), tuple(nodes))
         case [verb, name] if verb in simple:
             simple[verb](name)
         case _:
-            raise ValueError(f"unknown action: {' '.join(words)}")
+            raise ValueError(f"unknown action: {' '.join(fields)}")
 
 
 def _call(world: virtual.World, node: str, request_class: str, rest: list[str]) -> None:
@@ -149,9 +149,9 @@
     world.call(node, request)
 
 
-def _check(world: virtual.World, words: list[str]) -> str:
+def _check(world: virtual.World, fields: list[str]) -> str:
     """Return what is the case instead of an expectation, or "" if it holds."""
-    match words:
+    match fields:
         case ["reason", caller, reason]:
             found = world.callers[caller].reasons
             return "" if found == [reason] else f"is {found}"
@@ -173,4 +173,4 @@
             wanted = [] if outcome == "pending" else [outcome]
             return "" if ends == wanted else f"is {ends} {world.callers[caller].reasons}"
         case _:
-            raise ValueError(f"unknown expectation: {' '.join(words)}")
+            raise ValueError(f"unknown expectation: {' '.join(fields)}")
--- a/plumarch/standins/engine_app.py
+++ b/plumarch/standins/engine_app.py
@@ -90,14 +90,14 @@
     def prefill_tokens(self, body: EngineBody) -> int:
         """Return the prompt tokens to compute, after the cached prefix."""
         text = msgspec.json.encode(body.messages)
-        whole = max(1, len(text) // 4)
+        prompt_tokens = max(1, len(text) // 4)
         prefix = str(body.messages[0].get("content", ""))
         hit = prefix in self.cached
         self.cached.pop(prefix, None)
         self.cached[prefix] = None
         if len(self.cached) > CACHE_PREFIXES:
             del self.cached[next(iter(self.cached))]
-        return max(1, whole - len(prefix) // 4) if hit else whole
+        return max(1, prompt_tokens - len(prefix) // 4) if hit else prompt_tokens
 
     async def generate(self, body: EngineBody) -> AsyncIterator[bytes]:
         """Yield the events of one generation."""
@@ -121,8 +121,8 @@
         if wanted.import_from and await _import(wanted):
             return 0
         computed = self.prefill_tokens(body) + len(wanted.tokens)
-        again = wanted.attempt.rpartition("/")[2]
-        first = again.isdigit() and int(again) % 1_000 <= 1 and not wanted.tokens
+        retry_number = wanted.attempt.rpartition("/")[2]
+        first = retry_number.isdigit() and int(retry_number) % 1_000 <= 1 and not wanted.tokens
         await asyncio.sleep((computed * PREFILL_MS_PER_TOKEN + self.delay_ms) / 1000)
         return 0 if first else computed
 
@@ -181,8 +181,8 @@
 
     @post("/kv/export", status_code=200)
     async def export(request: AnyRequest) -> Response[Any]:
-        asked = msgspec.json.decode(await request.body(), type=dict[str, str])
-        tokens = engine.export(asked.get("attempt", ""))
+        export_request = msgspec.json.decode(await request.body(), type=dict[str, str])
+        tokens = engine.export(export_request.get("attempt", ""))
         if tokens is None:
             return Response("no such generation", status_code=404)
         return Response(Exported(tokens))
--- a/plumarch/standins/engine_cloud.py
+++ b/plumarch/standins/engine_cloud.py
@@ -17,7 +17,7 @@
     """
 
     id: str
-    place: engine_pools.Pool
+    pool: engine_pools.Pool
     ready_ms: int
     ends_ms: int | None = None
 
@@ -28,7 +28,7 @@
 
     Attributes:
       engines: those that boot or run.
-      none_until_ms: until when a data centre has no reclaimable ones.
+      unavailable_until_ms: until when a data centre has no reclaimable ones.
       notice_ms: how long a reclaimed engine still runs; it takes no new work.
       paid: prices of all seconds so far, a firm engine at price 1 counting 1.
       firm_cost: the part of it for firm ones.
@@ -40,7 +40,7 @@
     scaling: traffic.Scaling
     notice_ms: int = 2_000
     engines: list[Engine] = dataclasses.field(default_factory=list)
-    none_until_ms: dict[str, int] = dataclasses.field(default_factory=dict)
+    unavailable_until_ms: dict[str, int] = dataclasses.field(default_factory=dict)
     cost: float = 0.0
     firm_cost: float = 0.0
     refusals: int = 0
@@ -58,38 +58,38 @@
         Returns:
           Whether it was refused, since there are no reclaimable ones.
         """
-        place = engine_pools.Pool(order.data_centre, order.spot)
-        kept = [one for one in self.engines if one.place == place and one.ends_ms is None]
+        pool = engine_pools.Pool(order.data_centre, order.spot)
+        kept = [one for one in self.engines if one.pool == pool and one.ends_ms is None]
         now = self.clock.now()
         for one in sorted(kept, key=lambda one: one.ready_ms)[order.count :]:
             one.ends_ms = now
         more = order.count - len(kept)
         if more <= 0:
             return False
-        if order.spot and self.none_until_ms.get(order.data_centre, 0) > now:
+        if order.spot and self.unavailable_until_ms.get(order.data_centre, 0) > now:
             self.refusals += 1
             return True
-        here = [one for one in self.engines if one.place.data_centre == order.data_centre]
+        here = [one for one in self.engines if one.pool.data_centre == order.data_centre]
         # What is beyond the limit is held back without a word.
         for _ in range(min(more, self.scaling.maximum - len(here))):
-            self._start(place, round(self.scaling.boot_ms))
+            self._start(pool, round(self.scaling.boot_ms))
         return False
 
     def reclaim(self, data_centre: str, none_for_ms: int) -> None:
         """Take all reclaimable engines of a data centre away, after the notice."""
         now = self.clock.now()
-        self.none_until_ms[data_centre] = now + self.notice_ms + none_for_ms
+        self.unavailable_until_ms[data_centre] = now + self.notice_ms + none_for_ms
         for one in self.engines:
-            if one.place == engine_pools.Pool(data_centre, True):
+            if one.pool == engine_pools.Pool(data_centre, True):
                 booting = one.ready_ms > now
                 one.ends_ms = now if booting else min(one.ends_ms or now, now) + self.notice_ms
 
     def advance(self, by_ms: int) -> None:
         """Let time pass and be paid for."""
         for one in self.engines:
-            price = self.scaling.prices[one.place.data_centre] * by_ms / 1_000.0
-            self.cost += price * (self.scaling.spot_price if one.place.spot else 1.0)
-            self.firm_cost += 0.0 if one.place.spot else price
+            price = self.scaling.prices[one.pool.data_centre] * by_ms / 1_000.0
+            self.cost += price * (self.scaling.spot_price if one.pool.spot else 1.0)
+            self.firm_cost += 0.0 if one.pool.spot else price
         self.clock.advance_to(self.clock.now() + by_ms)
         now = self.clock.now()
         self.engines = [one for one in self.engines if one.ends_ms is None or one.ends_ms > now]
@@ -102,18 +102,18 @@
                 one.id,
                 self.service,
                 "1:1",
-                one.place.data_centre,
+                one.pool.data_centre,
                 8,
                 traffic.EndpointState.READY
                 if one.ends_ms is None
                 else traffic.EndpointState.DRAINING,
-                one.place.spot,
+                one.pool.spot,
             )
             for one in self.engines
             if one.ready_ms <= now
         ]
 
-    def _start(self, place: engine_pools.Pool, boot_ms: int) -> None:
+    def _start(self, pool: engine_pools.Pool, boot_ms: int) -> None:
         self.started += 1
-        engine = Engine(f"e{self.started}", place, self.clock.now() + boot_ms)
+        engine = Engine(f"e{self.started}", pool, self.clock.now() + boot_ms)
         self.engines.append(engine)
--- a/plumarch/standins/gossip_fleet.py
+++ b/plumarch/standins/gossip_fleet.py
@@ -38,7 +38,7 @@
     counts: tuple[int, ...] = ()
     regions: int = 1
 
-    def places(self) -> list[tuple[int, str]]:
+    def node_locations(self) -> list[tuple[int, str]]:
         """Return the number and the data centre of each node."""
         counts = self.counts or (self.nodes_each,) * self.data_centres
         return [
@@ -72,7 +72,7 @@
     late: Mapping[str, int] = dataclasses.field(default_factory=dict)
 
 
-AT_ONCE = Starts()
+SIMULTANEOUS = Starts()
 
 
 class Transport:
@@ -110,7 +110,7 @@
         self.number = number
         self.alive = True
         self.frozen = False
-        self.held: list[tuple[bytes, str]] = []
+        self.undelivered: list[tuple[bytes, str]] = []
         state = gateway_parts.new_state(fleet.time, self.name)
         state.data_centre = data_centre
         state.chooser.data_centre = data_centre
@@ -126,7 +126,7 @@
         self.fetched: list[str] = []
         cast(Any, self.gossip.snapshots).fetch_from = self.fetched.append
         cast(Any, self.gossip).send_heartbeat_soon = lambda: fleet.send_heartbeat_soon(self)
-        self.asked_to_beat = False
+        self.heartbeat_scheduled = False
         self.gossip_round: Callable[[], None] = self.gossip.rounds.step
         state.adopt_table(fleet.table, "store")
 
@@ -145,7 +145,7 @@
     """
 
     def __init__(
-        self, size: Size, seed: int = 1, knows_all: bool = True, starts: Starts = AT_ONCE
+        self, size: Size, seed: int = 1, knows_all: bool = True, starts: Starts = SIMULTANEOUS
     ) -> None:
         """Start all nodes, at once or as is said.
 
@@ -170,7 +170,7 @@
         self.by_address: dict[str, Node] = {}
         self.starts = starts
         self.seeds = starts.seeds or (address_of(0, "dc-a"), address_of(1, "dc-a"))
-        for number, data_centre in size.places():
+        for number, data_centre in size.node_locations():
             after_ms = starts.late.get(f"{data_centre}-{number}", 0)
             if starts.within_ms:
                 after_ms += self.rng.randrange(starts.within_ms)
@@ -197,7 +197,7 @@
                 node.view.learn(other.name, other.address, other.data_centre)
         self.nodes[node.name] = node
         self.by_address[node.address] = node
-        self.schedule(self.rng.uniform(0, 50), lambda: self._beat(node))
+        self.schedule(self.rng.uniform(0, 50), lambda: self._tick(node))
         self.schedule(self.rng.uniform(0, 50), lambda: self._round(node))
         return node
 
@@ -206,22 +206,22 @@
         self.count += 1
         heapq.heappush(self.queue, (self.time.now() + after_ms, self.count, act))
 
-    def _beat(self, node: Node) -> None:
+    def _tick(self, node: Node) -> None:
         if not node.alive:
             return
         if not node.frozen:
             node.gossip.tick()
-        self.schedule(node.gossip.interval_ms(), lambda: self._beat(node))
+        self.schedule(node.gossip.interval_ms(), lambda: self._tick(node))
 
     def send_heartbeat_soon(self, node: Node) -> None:
         """Let a node send its next heartbeat at once."""
-        if node.asked_to_beat:
+        if node.heartbeat_scheduled:
             return
-        node.asked_to_beat = True
-        self.schedule(0, lambda: self._beat_now(node))
+        node.heartbeat_scheduled = True
+        self.schedule(0, lambda: self._send_heartbeat(node))
 
-    def _beat_now(self, node: Node) -> None:
-        node.asked_to_beat = False
+    def _send_heartbeat(self, node: Node) -> None:
+        node.heartbeat_scheduled = False
         if node.alive and not node.frozen:
             node.gossip.tick()
 
@@ -261,16 +261,16 @@
         if not node.alive:
             return
         if node.frozen:
-            node.held.append((datagram, sender))
+            node.undelivered.append((datagram, sender))
             return
         node.gossip.datagram_received(datagram, addresses.split(sender))
 
     def thaw(self, node: Node) -> None:
         """Let a frozen process go on; what arrived meanwhile is taken in first."""
         node.frozen = False
-        for datagram, sender in node.held:
+        for datagram, sender in node.undelivered:
             node.gossip.datagram_received(datagram, addresses.split(sender))
-        node.held.clear()
+        node.undelivered.clear()
 
     def run(self, for_ms: float) -> None:
         """Let time pass."""
--- a/plumarch/standins/main.py
+++ b/plumarch/standins/main.py
@@ -14,10 +14,10 @@
     listener = serving.Listener(app, listening.bind(address))
     await listener.start()
     print(f"listening on port {listener.port()}", flush=True)
-    asked = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, asked.set)
-    await asked.wait()
+        asyncio.get_running_loop().add_signal_handler(number, stop_requested.set)
+    await stop_requested.wait()
     await listener.stop()
 
 
--- a/plumarch/standins/objects.py
+++ b/plumarch/standins/objects.py
@@ -3,7 +3,7 @@
 import dataclasses
 import random
 
-HISTORY = 200
+MAX_HISTORY = 200
 """Changes kept for watches; one that asks for older ones is told "too old"."""
 
 
@@ -80,7 +80,7 @@
         self.revision += 1
         self.objects[name] = Stored(self.revision, value)
         self.history.append((self.revision, name))
-        del self.history[:-HISTORY]
+        del self.history[:-MAX_HISTORY]
         return self.revision
 
     def changes_since(self, revision: int, prefix: str) -> list[str]:
--- a/plumarch/standins/platform_app.py
+++ b/plumarch/standins/platform_app.py
@@ -16,8 +16,8 @@
 
 AnyRequest = Request[Any, Any, Any]
 WEIGHT_LOADS_PER_S = 2.0
-NOTICES_KEPT = 100
-GONE_KEPT = 500
+MAX_NOTICES = 100
+MAX_GONE = 500
 
 
 class FaultChange(msgspec.Struct, frozen=True):
@@ -66,7 +66,7 @@
         self.changed = asyncio.Event()
         self.weights_free_at = 0.0
 
-    def poke(self) -> None:
+    def notify_watchers(self) -> None:
         """Wake all watches."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -87,13 +87,13 @@
         for name in change.remove:
             self.vms.pop(name, None)
             self.leaving.pop(name, None)
-        self.gone = (self.gone + change.gone)[-GONE_KEPT:]
+        self.gone = (self.gone + change.gone)[-MAX_GONE:]
 
     def announce(self, order: NoticeOrder) -> protocol.Notice:
         """Give notice that VMs will be reclaimed."""
         number = self.notices[-1].number + 1 if self.notices else 1
         notice = protocol.Notice(number, order.names, order.left_ms)
-        self.notices = [*self.notices, notice][-NOTICES_KEPT:]
+        self.notices = [*self.notices, notice][-MAX_NOTICES:]
         at = time.monotonic() + order.left_ms / 1000
         for name in order.names:
             self.leaving[name] = min(at, self.leaving.get(name, at))
@@ -141,7 +141,7 @@
             vms.append(vm)
         return protocol.VmList(vms, self.gone)
 
-    def take_weights(self) -> bool:
+    def try_load_weights(self) -> bool:
         """Return whether a load of weights fits the store's rate now."""
         now = time.monotonic()
         if now < self.weights_free_at:
@@ -192,7 +192,7 @@
             version = state.store.put(name.lstrip("/"), value, expected)
         except objects.Conflict:
             return Response("conflict", status_code=412)
-        state.poke()
+        state.notify_watchers()
         if state.store.rng.random() < state.store.faults.lose_answers:
             return Response("lost", status_code=500)
         return Response("ok", headers={"ETag": str(version)})
@@ -246,7 +246,7 @@
 
     @get("/weights/{name:str}")
     async def weights(name: str) -> Response[Any]:
-        if not state.take_weights():
+        if not state.try_load_weights():
             return Response("too many loads", status_code=429, headers={"Retry-After": "1"})
         return Response(f"weights of {name}")
 
--- a/plumarch/standins/region_replay.py
+++ b/plumarch/standins/region_replay.py
@@ -14,19 +14,19 @@
 from plumarch.core import clock, traffic
 from plumarch.routing import distance, endpoint_choice, endpoint_limits, locality_choice
 
-NEWS_EVERY_MS = 200
-NEWS_AGE_MS = 100
+LOAD_REPORT_INTERVAL_MS = 200
+LOAD_REPORT_DELAY_MS = 100
 """How often nodes hear of one another's sends, and how old they are then."""
 
-ROUND_TRIP_MS = 60.0
-NEAR_ROUND_TRIP_MS = 1.0
+REMOTE_ROUND_TRIP_MS = 60.0
+LOCAL_ROUND_TRIP_MS = 1.0
 
 DATA_CENTRES = {"n1": "north", "n2": "north", "e1": "east", "e2": "east", "s1": "south"} | {
     "s2": "south"
 }
 """Two data centres in each of three regions."""
 
-NODES = 3
+NODES_PER_CENTRE = 3
 """In each data centre."""
 
 
@@ -72,14 +72,14 @@
 
     Attributes:
       free_at_ms: when each of its slots is free.
-      reads_until_ms: when it has read all prompts that it was given.
+      prefill_ends_ms: when it has read all prompts that it was given.
       holds: keys of the prompt parts that it has read.
     """
 
     endpoint: traffic.Endpoint
     free_at_ms: list[float]
-    reads_until_ms: float = 0.0
-    holds: set[int] = dataclasses.field(default_factory=set)
+    prefill_ends_ms: float = 0.0
+    cached_parts: set[int] = dataclasses.field(default_factory=set)
 
     def serve(self, arrives_ms: float, work_ms: float) -> tuple[float, float]:
         """Return when a plain request begins and ends."""
@@ -91,10 +91,10 @@
         self, arrives_ms: float, unread: float, ms_per_token: float, work_ms: float
     ) -> tuple[float, float]:
         """Return when a prompt's first token comes, and when the request ends."""
-        begins_ms = max(arrives_ms, heapq.heappop(self.free_at_ms), self.reads_until_ms)
-        self.reads_until_ms = begins_ms + unread * ms_per_token
-        heapq.heappush(self.free_at_ms, self.reads_until_ms + work_ms)
-        return self.reads_until_ms, self.reads_until_ms + work_ms
+        begins_ms = max(arrives_ms, heapq.heappop(self.free_at_ms), self.prefill_ends_ms)
+        self.prefill_ends_ms = begins_ms + unread * ms_per_token
+        heapq.heappush(self.free_at_ms, self.prefill_ends_ms + work_ms)
+        return self.prefill_ends_ms, self.prefill_ends_ms + work_ms
 
 
 class SimulatedNode:
@@ -118,12 +118,14 @@
         self.endpoints = {one.id: SimulatedEndpoint(one, [0.0] * one.slots) for one in endpoints}
         self.service = endpoints[0].service
         self.gone: set[str] = set()
-        self.nodes = [SimulatedNode(name, self.time) for name in DATA_CENTRES for _ in range(NODES)]
+        self.nodes = [
+            SimulatedNode(name, self.time) for name in DATA_CENTRES for _ in range(NODES_PER_CENTRE)
+        ]
         self.sent: list[Sent] = []
         self.refused: list[tuple[float, str]] = []
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.numbers = itertools.count()
-        self._at(0.0, self._tell)
+        self._at(0.0, self._report_loads)
         for node in self.nodes:
             if self._rate(node) > 0:
                 self._at(self.rng.expovariate(self._rate(node)) * 1_000, self._arrivals(node))
@@ -171,16 +173,18 @@
             return
         target = self.endpoints[choice.endpoint.id]
         to_region = DATA_CENTRES[choice.endpoint.data_centre]
-        round_trip_ms = ROUND_TRIP_MS if to_region != node.region else NEAR_ROUND_TRIP_MS
+        round_trip_ms = REMOTE_ROUND_TRIP_MS if to_region != node.region else LOCAL_ROUND_TRIP_MS
         node.distances.connected(choice.endpoint.data_centre, round_trip_ms)
         node.chooser.begin(choice, parts)
         arrives_ms = now + 1.5 * round_trip_ms
         work_ms = self.rng.lognormvariate(0.0, 0.3) * self.work.work_ms
         if self.work.prompt_tokens:
             keys = endpoint_choice.part_keys(parts)
-            held = sum(p.tokens for p, k in zip(parts, keys, strict=True) if k in target.holds)
-            unread = self.work.prompt_tokens - held
-            target.holds.update(keys)
+            cached_tokens = sum(
+                p.tokens for p, k in zip(parts, keys, strict=True) if k in target.cached_parts
+            )
+            unread = self.work.prompt_tokens - cached_tokens
+            target.cached_parts.update(keys)
             first, ends = target.read(arrives_ms, unread, self.work.ms_per_token, work_ms)
         else:
             _, ends = target.serve(arrives_ms, work_ms)
@@ -214,7 +218,7 @@
         else:
             node.chooser.answered(choice, took_ms)
 
-    def _tell(self) -> None:
+    def _report_loads(self) -> None:
         """Tell each node what all others have under way, some time later."""
         now = float(self.time.now())
         loads = [
@@ -222,19 +226,21 @@
             for node in self.nodes
         ]
         for at, node in enumerate(self.nodes):
-            others = [told for number, told in enumerate(loads) if number != at]
-            self._at(now + NEWS_AGE_MS, _hearing(node, others))
-        self._at(now + NEWS_EVERY_MS, self._tell)
+            others = [reported for number, reported in enumerate(loads) if number != at]
+            self._at(now + LOAD_REPORT_DELAY_MS, _load_report(node, others))
+        self._at(now + LOAD_REPORT_INTERVAL_MS, self._report_loads)
 
 
-def _hearing(node: SimulatedNode, others: list[dict[str, tuple[int, float]]]) -> Callable[[], None]:
-    def hear() -> None:
+def _load_report(
+    node: SimulatedNode, others: list[dict[str, tuple[int, float]]]
+) -> Callable[[], None]:
+    def apply() -> None:
         total: dict[str, endpoint_choice.Load] = {}
-        for told in others:
-            for name, (running, tokens) in told.items():
+        for reported in others:
+            for name, (running, tokens) in reported.items():
                 load = total.setdefault(name, endpoint_choice.Load())
                 load.running += running
                 load.prompt_tokens += tokens
         node.chooser.report_loads("fleet", total)
 
-    return hear
+    return apply
--- a/plumarch/standins/store_replay.py
+++ b/plumarch/standins/store_replay.py
@@ -58,22 +58,22 @@
         self.version += 1
         self.revision += 1
         self.configured_at = self.revision
-        self.wake()
+        self.notify_watchers()
 
     def put(self, endpoint: traffic.Endpoint) -> None:
         """Write an endpoint's entry."""
         self.revision += 1
         self.endpoints[endpoint.id] = (self.revision, endpoint)
-        self.wake()
+        self.notify_watchers()
 
     def remove(self, kind: str, name: str) -> None:
         """Remove a record, as an operator does."""
         del self.kept[(kind, name)]
         self.revision += 1
         self.removed[(kind, name)] = self.revision
-        self.wake()
+        self.notify_watchers()
 
-    def wake(self) -> None:
+    def notify_watchers(self) -> None:
         """Let those that wait look again."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -83,7 +83,7 @@
         return self.reads.total() + self.writes.total()
 
 
-class NodesStore:
+class NodeStore:
     """The store as one node reaches it."""
 
     def __init__(self, store: CountedStore, node: gossip_fleet.Node) -> None:
@@ -193,7 +193,7 @@
         self.store.revision += 1
         written = dataclasses.replace(record, revision=self.store.revision)
         self.store.kept[(kind, record.name)] = written
-        self.store.wake()
+        self.store.notify_watchers()
         return written
 
 
@@ -217,7 +217,7 @@
     def _begin(self, node: gossip_fleet.Node) -> None:
         node.state.table = None
         node.state.rng.seed(node.name)
-        reached = cast(Any, NodesStore(self.store, node))
+        reached = cast(Any, NodeStore(self.store, node))
         cast(Any, node.gossip.snapshots).fetch_from = lambda address: self._fetch(node, address)
         following = follower.Follower(
             node.state,
@@ -241,9 +241,9 @@
 
     def _fetch(self, node: gossip_fleet.Node, address: str) -> None:
         pause_s = 0.0 if node.state.table is None else snapshots.FETCH_PAUSE_MS / 1000.0
-        asyncio.get_running_loop().call_later(pause_s, self._hand_over, node, address)
+        asyncio.get_running_loop().call_later(pause_s, self._copy_snapshot, node, address)
 
-    def _hand_over(self, node: gossip_fleet.Node, address: str) -> None:
+    def _copy_snapshot(self, node: gossip_fleet.Node, address: str) -> None:
         other = self.fleet.by_address[address]
         if not other.alive or other.frozen or not node.alive or node.frozen:
             return
@@ -268,7 +268,7 @@
         """Let all nodes lose their power, and start at once."""
         for node in self.fleet.live():
             self.kill(node)
-        for number, data_centre in self.size.places():
+        for number, data_centre in self.size.node_locations():
             self._begin(self.fleet.start(number, data_centre, knows_all=False))
 
     def stop(self) -> None:
--- a/plumarch/standins/suspended.py
+++ b/plumarch/standins/suspended.py
@@ -65,16 +65,16 @@
 
     def __await__(self) -> Generator[Any, Any, Any]:
         """Pass on what the coroutine waits for, and what it is told."""
-        go_on = self.work.send
-        told: Any = None
+        resume = self.work.send
+        sent: Any = None
         while True:
             self.suspender.step()
             try:
-                awaited = go_on(told)
+                awaited = resume(sent)
             except StopIteration as end:
                 return end.value
             try:
-                told = yield awaited
-                go_on = self.work.send
+                sent = yield awaited
+                resume = self.work.send
             except BaseException as error:
-                told, go_on = error, self.work.throw
+                sent, resume = error, self.work.throw
--- a/plumarch/standins/virtual.py
+++ b/plumarch/standins/virtual.py
@@ -163,7 +163,7 @@
         self.observed: list[events.Observe] = []
         self.incarnations: collections.Counter[str] = collections.Counter()
         self.attempts: dict[tuple[str, int], FakeEndpoint] = {}
-        self.told: list[str] = []
+        self.caller_events: list[str] = []
         self.crashing_keys: set[str] = set()
         """Keys of requests that end each endpoint that begins to run them."""
         self.interfere: Callable[[Host, events.Action], bool] | None = None
@@ -171,18 +171,18 @@
 
     # Time.
 
-    def at(self, delay_ms: int, do: Callable[[], None]) -> None:
+    def at(self, delay_ms: int, callback: Callable[[], None]) -> None:
         """Do something after a delay."""
         due = self.clock.now() + max(0, delay_ms)
-        heapq.heappush(self.queue, (due, next(self.sequence), do))
+        heapq.heappush(self.queue, (due, next(self.sequence), callback))
 
     def run(self, for_ms: int) -> None:
         """Let virtual time pass."""
         end = self.clock.now() + for_ms
         while self.queue and self.queue[0][0] <= end:
-            due, _, do = heapq.heappop(self.queue)
+            due, _, callback = heapq.heappop(self.queue)
             self.clock.advance_to(due)
-            do()
+            callback()
         self.clock.advance_to(end)
 
     # Nodes.
@@ -203,15 +203,15 @@
         """End a node at once; its callers lose their connections."""
         host = self.hosts[name]
         host.alive = False
-        self.at(VM_LIST_LAG_MS, lambda: self._list_gone(host.node.ctx.node))
+        self.at(VM_LIST_LAG_MS, lambda: self._report_gone(host.node.ctx.node))
         for caller, entry in self.entry.items():
             if entry == self.hosts[name].node.ctx.node:
                 self.callers[caller].lost = True
 
-    def _list_gone(self, identity: str) -> None:
+    def _report_gone(self, identity: str) -> None:
         """Let the platform's list say that a node is gone, to those whom it reaches."""
         if self.store.faults.down:
-            self.at(VM_LIST_LAG_MS, lambda: self._list_gone(identity))
+            self.at(VM_LIST_LAG_MS, lambda: self._report_gone(identity))
             return
         for host in self.hosts.values():
             if not {host.name, host.data_centre} & self.network.platform_cuts:
@@ -262,7 +262,7 @@
             case events.Send():
                 self._send(host, action)
             case events.HandOver():
-                self._hand_over(host, action)
+                self._dispatch(host, action)
             case events.Abort():
                 self._abort(action)
             case events.PlatformGet() | events.PlatformPut():
@@ -270,13 +270,13 @@
             case events.CloudOrder():
                 self._order(host, action)
             case events.TellAccepted():
-                self._told_accepted(action)
+                self._record_accepted(action)
             case events.TellTokens():
-                self.callers[action.watcher_id].told_tokens(action.position, action.tokens)
+                self.callers[action.watcher_id].receive_tokens(action.position, action.tokens)
                 upto = action.position + len(action.tokens)
-                self._tell(action.watcher_id, f"tokens {action.position} to {upto}")
+                self._record(action.watcher_id, f"tokens {action.position} to {upto}")
             case events.TellEnd():
-                self._told_end(action)
+                self._record_end(action)
             case events.Note():
                 self.decisions.append(action.decision)
             case events.Count():
@@ -384,13 +384,13 @@
             answer = events.CloudAnswer(order.call_id, status.UNKNOWN)
             self.at(5, lambda: self.deliver(host, answer))
             return
-        told, name = self._carry_out(order)
+        reported, name = self._execute_order(order)
         if self.rng.random() < self.cloud.lose_answers:
-            told = status.UNKNOWN
-        answer = events.CloudAnswer(order.call_id, told, name)
+            reported = status.UNKNOWN
+        answer = events.CloudAnswer(order.call_id, reported, name)
         self.at(10, lambda: self.deliver(host, answer))
 
-    def _carry_out(self, order: events.CloudOrder) -> tuple[events.CloudStatus, str]:
+    def _execute_order(self, order: events.CloudOrder) -> tuple[events.CloudStatus, str]:
         cloud = self.cloud
         if order.token in cloud.answers:
             return cloud.answers[order.token]
@@ -466,7 +466,7 @@
             self._fail(call, True, "connection reset", broken=True)
         endpoint.calls.clear()
 
-    def _hand_over(self, host: Host, action: events.HandOver) -> None:
+    def _dispatch(self, host: Host, action: events.HandOver) -> None:
         endpoint = self.endpoints[action.endpoint.name]
         call = Call(host.name, host.node.ctx.node, action, len(action.tokens))
         self.attempts[(action.request.id, action.attempt)] = endpoint
@@ -526,7 +526,9 @@
         else:
             self._prefill(endpoint, call)
 
-    def _leave_batch(self, endpoint: FakeEndpoint, request_id: str, attempt: int) -> Call | None:
+    def _remove_from_batch(
+        self, endpoint: FakeEndpoint, request_id: str, attempt: int
+    ) -> Call | None:
         """Take a call out of an engine; the next that waits there starts."""
         call = endpoint.calls.pop((request_id, attempt), None)
         if call is None:
@@ -556,7 +558,7 @@
         source = self.attempts.get((action.request.id, action.import_attempt))
         if source is None or not source.alive or not self.exports_kv:
             return False
-        old = self._leave_batch(source, action.request.id, action.import_attempt)
+        old = self._remove_from_batch(source, action.request.id, action.import_attempt)
         return old is not None
 
     def _make_token(self, endpoint: FakeEndpoint, call: Call) -> None:
@@ -581,7 +583,7 @@
 
     def _finish(self, endpoint: FakeEndpoint, call: Call) -> None:
         request = call.action.request
-        if self._leave_batch(endpoint, request.id, call.action.attempt) is None:
+        if self._remove_from_batch(endpoint, request.id, call.action.attempt) is None:
             return
         body = b"" if request.kind is data.EndpointKind.ENGINE else request.id.encode()
         reply = data.Reply(200, "text/plain", body)
@@ -609,20 +611,20 @@
     def _abort(self, action: events.Abort) -> None:
         endpoint = self.attempts.get((action.request_id, action.attempt))
         if endpoint is not None:
-            self._leave_batch(endpoint, action.request_id, action.attempt)
+            self._remove_from_batch(endpoint, action.request_id, action.attempt)
 
     # Reclaims.
 
-    def reclaim(self, names: tuple[str, ...], left_ms: int, told: tuple[str, ...]) -> None:
+    def reclaim(self, names: tuple[str, ...], left_ms: int, notified: tuple[str, ...]) -> None:
         """Give notice for VMs to some nodes, and take the VMs away in time."""
         for name in names:
             if name in self.endpoints:
                 self.journal.leaving(name, self.clock.now())
-        for name in told:
+        for name in notified:
             self.deliver(self.hosts[name], events.ReclaimNotice(names, left_ms))
-        self.at(left_ms, lambda: self._take_away(names))
+        self.at(left_ms, lambda: self._remove_vms(names))
 
-    def _take_away(self, names: tuple[str, ...]) -> None:
+    def _remove_vms(self, names: tuple[str, ...]) -> None:
         for name in names:
             if name in self.endpoints:
                 self.kill_endpoint(name)
@@ -681,21 +683,21 @@
         self.entry[caller.name] = self.hosts[name].node.ctx.node
         return caller
 
-    def _tell(self, caller: str, what: str) -> None:
-        self.told.append(f"{self.clock.now():7} {caller:9} {what}")
+    def _record(self, caller: str, what: str) -> None:
+        self.caller_events.append(f"{self.clock.now():7} {caller:9} {what}")
 
-    def _told_accepted(self, action: events.TellAccepted) -> None:
+    def _record_accepted(self, action: events.TellAccepted) -> None:
         weakened = f", weakened: {action.weakened}" if action.weakened else ""
-        self._tell(action.watcher_id, f"accepted as {action.key}{weakened}")
+        self._record(action.watcher_id, f"accepted as {action.key}{weakened}")
         caller = self.callers[action.watcher_id]
         caller.accepted = True
         caller.key = action.key
         caller.request_id = action.request_id
         caller.weakened = action.weakened
 
-    def _told_end(self, action: events.TellEnd) -> None:
+    def _record_end(self, action: events.TellEnd) -> None:
         reason = f" ({action.reason})" if action.reason else ""
-        self._tell(action.watcher_id, f"{action.outcome}{reason}")
+        self._record(action.watcher_id, f"{action.outcome}{reason}")
         caller = self.callers[action.watcher_id]
         caller.ends.append(action.outcome)
         caller.reasons.append(action.reason)
