--- a/plumarch/standins/__init__.py
+++ b/plumarch/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and for endpoints, for tests and the demo."""
+"""In-process and HTTP stand-ins for the platform and endpoints, for tests and the demo."""
--- a/plumarch/standins/engine_app.py
+++ b/plumarch/standins/engine_app.py
@@ -1,4 +1,4 @@
-"""The stand-in model engine over HTTP: batches, streams, resumes, exports KV, reports load."""
+"""HTTP stand-in for a model engine: batching, streaming, resumption, KV export, load reports."""
 
 import asyncio
 import dataclasses
@@ -21,7 +21,7 @@
 
 
 class EngineBody(msgspec.Struct, frozen=True):
-    """What the engine reads of a request."""
+    """The fields of a request that the engine uses."""
 
     model: str
     messages: list[dict[str, Any]]
@@ -32,7 +32,7 @@
 
 
 class Exported(msgspec.Struct, frozen=True):
-    """The answer to an export: how many tokens the KV cache covers."""
+    """Answer to a KV export; `tokens` is the number that the KV cache covers."""
 
     tokens: int
 
@@ -48,12 +48,12 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineStandin:
-    """One engine.
+    """State and speed of one engine.
 
     Attributes:
-      token_ms: time between tokens with an uncrowded batch.
-      tokens_per_event: tokens put into one streamed event.
-      delay_ms: extra time before the first token, to make it slow but alive.
+      token_ms: time between tokens.
+      tokens_per_event: tokens in one streamed event.
+      delay_ms: added time to first token, which simulates a slow engine.
     """
 
     models: tuple[str, ...]
@@ -70,16 +70,16 @@
     slots: asyncio.Semaphore | None = None
 
     def semaphore(self) -> asyncio.Semaphore:
-        """Return the batch's places."""
+        """Return the semaphore that bounds the batch."""
         if self.slots is None:
             self.slots = asyncio.Semaphore(self.capacity)
         return self.slots
 
     def export(self, attempt: str) -> int | None:
-        """Stop a generation and give its KV cache away.
+        """Stop a generation and export its KV cache.
 
         Returns:
-          How many tokens it covers, or None if there is no such generation.
+          The number of tokens covered, or None for an unknown generation.
         """
         generation = self.running.get(attempt)
         if generation is None:
@@ -88,7 +88,7 @@
         return generation.position
 
     def prefill_tokens(self, body: EngineBody) -> int:
-        """Return the prompt tokens to compute, after the cached prefix."""
+        """Return the number of prompt tokens that the prefix cache does not cover."""
         text = msgspec.json.encode(body.messages)
         prompt_tokens = max(1, len(text) // 4)
         prefix = str(body.messages[0].get("content", ""))
@@ -100,7 +100,7 @@
         return max(1, prompt_tokens - len(prefix) // 4) if hit else prompt_tokens
 
     async def generate(self, body: EngineBody) -> AsyncIterator[bytes]:
-        """Yield the events of one generation."""
+        """Stream the events of one generation."""
         wanted = body.continuation or client.Continuation("", [], "", "")
         generation = Generation(wanted.attempt, len(wanted.tokens))
         self.started.append(wanted.attempt)
@@ -117,7 +117,7 @@
                 self.running.pop(wanted.attempt, None)
 
     async def _prefill(self, body: EngineBody, wanted: client.Continuation) -> int:
-        """Compute the context. Returns how much of it was computed before, elsewhere."""
+        """Prefill the context and return the number of tokens recomputed after a retry."""
         if wanted.import_from and await _import(wanted):
             return 0
         computed = self.prefill_tokens(body) + len(wanted.tokens)
@@ -152,10 +152,10 @@
 
 
 async def _import(wanted: client.Continuation) -> bool:
-    """Fetch a KV cache from another engine.
+    """Import a KV cache from another engine.
 
     Returns:
-      Whether it covers all that is needed.
+      Whether it covers all tokens of the continuation.
     """
     url = f"{wanted.import_from}/kv/export"
     try:
@@ -170,7 +170,7 @@
 
 
 def handlers(engine: EngineStandin) -> list[HTTPRouteHandler]:
-    """Return the route handlers."""
+    """Return the route handlers of an engine."""
 
     @post("/v1/chat/completions", status_code=200)
     async def completions(request: AnyRequest) -> Response[Any]:
@@ -195,5 +195,5 @@
 
 
 def build(engine: EngineStandin) -> Litestar:
-    """Return the stand-in's application."""
+    """Build the engine's application."""
     return Litestar(handlers(engine), openapi_config=None, logging_config=None)
--- a/plumarch/standins/engine_cloud.py
+++ b/plumarch/standins/engine_cloud.py
@@ -1,4 +1,4 @@
-"""A platform that boots and reclaims engines on virtual time, for replays of plans."""
+"""Cloud that boots and reclaims engines on virtual time, for replays of engine plans."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -9,11 +9,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Engine:
-    """One engine.
+    """An engine that is booting, running or draining.
 
     Attributes:
-      ready_ms: when it has booted.
-      ends_ms: when it is gone, or None while nothing ends it.
+      ready_ms: when booting completes.
+      ends_ms: when it stops, or None if that is not scheduled.
     """
 
     id: str
@@ -27,12 +27,12 @@
     """The engines of one service.
 
     Attributes:
-      engines: those that boot or run.
-      unavailable_until_ms: until when a data centre has no reclaimable ones.
-      notice_ms: how long a reclaimed engine still runs; it takes no new work.
+      engines: booting and running engines.
+      unavailable_until_ms: until when a data centre offers no spot engines.
+      notice_ms: how long a reclaimed engine keeps running, without new requests.
       paid: prices of all seconds so far, a firm engine at price 1 counting 1.
-      firm_cost: the part of it for firm ones.
-      refusals: orders for which there were none.
+      firm_cost: the part of `cost` due to firm engines.
+      refusals: spot orders refused for lack of supply.
     """
 
     clock: clock.ManualClock
@@ -47,16 +47,16 @@
     started: int = 0
 
     def begin(self, firm: Mapping[str, int]) -> None:
-        """Let firm engines run by data centre, as operators started them."""
+        """Start firm engines, without boot time, by data centre."""
         for name, count in firm.items():
             for _ in range(count):
                 self._start(engine_pools.Pool(name, False), 0)
 
     def order(self, order: records.EngineOrder) -> bool:
-        """Take an order in.
+        """Start or stop engines to match an order.
 
         Returns:
-          Whether it was refused, since there are no reclaimable ones.
+          Whether the order was refused for lack of spot engines.
         """
         pool = engine_pools.Pool(order.data_centre, order.spot)
         kept = [one for one in self.engines if one.pool == pool and one.ends_ms is None]
@@ -70,13 +70,13 @@
             self.refusals += 1
             return True
         here = [one for one in self.engines if one.pool.data_centre == order.data_centre]
-        # What is beyond the limit is held back without a word.
+        # Engines above the limit are not started, and the order still succeeds.
         for _ in range(min(more, self.scaling.maximum - len(here))):
             self._start(pool, round(self.scaling.boot_ms))
         return False
 
     def reclaim(self, data_centre: str, none_for_ms: int) -> None:
-        """Take all reclaimable engines of a data centre away, after the notice."""
+        """Reclaim all spot engines of a data centre after the notice period."""
         now = self.clock.now()
         self.unavailable_until_ms[data_centre] = now + self.notice_ms + none_for_ms
         for one in self.engines:
@@ -85,7 +85,7 @@
                 one.ends_ms = now if booting else min(one.ends_ms or now, now) + self.notice_ms
 
     def advance(self, by_ms: int) -> None:
-        """Let time pass and be paid for."""
+        """Advance time and add the cost of all engines."""
         for one in self.engines:
             price = self.scaling.prices[one.pool.data_centre] * by_ms / 1_000.0
             self.cost += price * (self.scaling.spot_price if one.pool.spot else 1.0)
@@ -95,7 +95,7 @@
         self.engines = [one for one in self.engines if one.ends_ms is None or one.ends_ms > now]
 
     def endpoints(self) -> list[traffic.Endpoint]:
-        """Return the engines that have booted, as a registry tells of them."""
+        """Return booted engines as registry entries."""
         now = self.clock.now()
         return [
             traffic.Endpoint(
--- a/plumarch/standins/gateway_parts.py
+++ b/plumarch/standins/gateway_parts.py
@@ -1,4 +1,4 @@
-"""A gateway's state without a process around it, for tests."""
+"""Gateway state without a process, for tests."""
 
 import random
 
@@ -31,10 +31,10 @@
 def new_state(
     steady: clock.Clock, node: str = "n", wall: clock.Clock | None = None
 ) -> fleet_state.FleetState:
-    """Return the state of a node that has run for long, with budgets that suffice.
+    """Build the state of a node that started long ago and has ample budgets.
 
     Args:
-      wall: the time of day; the steady clock if not given.
+      wall: the wall clock; defaults to the steady clock.
     """
     distances = distance.Distances(steady, "a")
     suspensions = suspension.Suspensions(steady)
--- a/plumarch/standins/main.py
+++ b/plumarch/standins/main.py
@@ -1,4 +1,4 @@
-"""python -m plumarch.standins.main KIND ADDRESS [options]: one stand-in as a process."""
+"""Runs one stand-in: python -m plumarch.standins.main KIND ADDRESS [options]."""
 
 import asyncio
 import signal
@@ -29,7 +29,7 @@
 def engine(
     address: str, models: str, token_ms: float = 30.0, tokens_per_event: int = 1, capacity: int = 8
 ) -> None:
-    """Serve a stand-in engine; models are separated by commas."""
+    """Serve a stand-in engine for a comma-separated list of models."""
     names = tuple(models) if isinstance(models, list | tuple) else tuple(models.split(","))
     state = engine_app.EngineStandin(
         names, capacity=capacity, token_ms=token_ms, tokens_per_event=tokens_per_event
@@ -38,7 +38,7 @@
 
 
 def service(address: str, checks_fencing: bool = False, delay_ms: float = 5.0) -> None:
-    """Serve a stand-in plain service."""
+    """Serve a stand-in service."""
     state = service_app.ServiceStandin(delay_ms, checks_fencing)
     asyncio.run(_serve(service_app.build(state), address))
 
--- a/plumarch/standins/model.py
+++ b/plumarch/standins/model.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine says: a fixed text for each seed, so that answers can be checked."""
+"""Deterministic text for each seed, so that answers of stand-in engines can be checked."""
 
 from plumarch.core import hashing
 
@@ -12,5 +12,5 @@
 
 
 def answer(seed: int, count: int) -> list[str]:
-    """Return the whole answer for a seed."""
+    """Return all tokens of the answer for a seed."""
     return [token(seed, position) for position in range(count)]
--- a/plumarch/standins/objects.py
+++ b/plumarch/standins/objects.py
@@ -1,15 +1,15 @@
-"""The object API's behaviour in memory: versions, conditional updates, and faults by name."""
+"""In-memory object store with versions, conditional writes and injected faults."""
 
 import dataclasses
 import random
 
 MAX_HISTORY = 200
-"""Changes kept for watches; one that asks for older ones is told "too old"."""
+"""Retained changes; a watch from an earlier revision raises TooOld."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stored:
-    """An object; its version is the store's revision at its last write."""
+    """An object with the store revision of its last write."""
 
     version: int
     value: bytes
@@ -17,14 +17,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What goes wrong, switched on by name.
+    """Faults to inject.
 
     Attributes:
-      down: no call gets through.
-      lose_answers: share of writes that take effect but whose answer is lost.
-      refuse: share of calls that never arrive.
-      slow_ms: time added to each call.
-      forget_history: watches are told "too old".
+      down: all calls fail.
+      lose_answers: fraction of writes that succeed but whose response is lost.
+      refuse: fraction of calls that fail before taking effect.
+      slow_ms: latency added to each call.
+      forget_history: watches raise TooOld.
     """
 
     down: bool = False
@@ -35,15 +35,15 @@
 
 
 class Conflict(Exception):
-    """The version was not the expected one."""
+    """The object's version is not the expected one."""
 
 
 class TooOld(Exception):
-    """The history no longer reaches back that far."""
+    """The retained history starts after the requested revision."""
 
 
 class ObjectStore:
-    """Named objects, one revision counter, and a short history of changed names."""
+    """Named objects with a common revision counter and a bounded change history."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -65,12 +65,12 @@
         return {n: o for n, o in sorted(self.objects.items()) if n.startswith(prefix)}
 
     def put(self, name: str, value: bytes, expected_version: int) -> int:
-        """Write an object if its version is the expected one (0: absent).
+        """Write an object if its version matches; 0 stands for an absent object.
 
         Returns:
           The new version.
         Raises:
-          Conflict: the version is another one.
+          Conflict: the version does not match.
         """
         self.writes += 1
         current = self.objects.get(name)
@@ -87,7 +87,7 @@
         """Return the names with a prefix that changed after a revision.
 
         Raises:
-          TooOld: the history does not reach back that far.
+          TooOld: the revision precedes the retained history.
         """
         self.reads += 1
         reaches = not self.history or self.history[0][0] <= revision + 1
