--- a/plumarch/standins/engine_cloud.py
+++ b/plumarch/standins/engine_cloud.py
@@ -30,7 +30,7 @@
       engines: booting and running engines.
       unavailable_until_ms: until when a data centre offers no spot engines.
       notice_ms: how long a reclaimed engine keeps running, without new requests.
-      paid: prices of all seconds so far, a firm engine at price 1 counting 1.
+      cost: accumulated cost; a firm engine at price 1 costs 1 per second.
       firm_cost: the part of `cost` due to firm engines.
       refusals: spot orders refused for lack of supply.
     """
--- a/plumarch/standins/gossip_fleet.py
+++ b/plumarch/standins/gossip_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of gossipers on virtual time, joined by a network that loses, delays and cuts."""
+"""Simulated fleet of gossiping nodes on virtual time, over a network with injected faults."""
 
 import dataclasses
 import heapq
@@ -18,7 +18,7 @@
 CENTRE_LATENCY_MS = 1
 CROSS_CENTRE_LATENCY_MS = 2
 REGION_LATENCY_MS = 30
-"""One way between regions that are some hundred kilometres apart, as operators state it."""
+"""One-way latency between regions."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -26,8 +26,8 @@
     """A fleet to build.
 
     Attributes:
-      counts: how many nodes each data centre has, where they differ; else nodes_each.
-      regions: data centres are dealt out over this many regions in turn; 1 names none.
+      counts: nodes of each data centre; if empty, each has nodes_each.
+      regions: data centres are assigned to this many regions in turn; with 1, none is named.
     """
 
     data_centres: int
@@ -48,7 +48,7 @@
         ]
 
     def region_names(self) -> dict[str, str]:
-        """Return the region of each data centre, or nothing where there is only one."""
+        """Return the region of each data centre, or an empty dict for a single region."""
         if self.regions == 1:
             return {}
         count = len(self.counts) or self.data_centres
@@ -57,13 +57,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Starts:
-    """How the processes of a fleet start.
+    """Seeds and start times of the nodes.
 
     Attributes:
-      seeds: addresses that all nodes are given; by default the first two of the first data centre.
-      seeds_of: those of some data centres, in place of them.
-      within_ms: the time over which starts are spread.
-      late: names of nodes that start after all others, by how many ms later.
+      seeds: seed addresses; by default the first two nodes of the first data centre.
+      seeds_of: seed addresses that replace `seeds` in some data centres.
+      within_ms: interval over which starts are spread at random.
+      late: additional start delay in ms, by node name.
     """
 
     seeds: tuple[str, ...] = ()
@@ -76,14 +76,14 @@
 
 
 class Transport:
-    """Where one node's datagrams go."""
+    """Datagram transport of one node into the simulated network."""
 
     def __init__(self, fleet: "GossipFleet", node: "Node") -> None:
         self.fleet = fleet
         self.node = node
 
     def sendto(self, datagram: bytes, to: tuple[str, int]) -> None:
-        """Send a datagram."""
+        """Send a datagram to an address."""
         self.fleet.carry(self.node, datagram, f"{to[0]}:{to[1]}")
 
     def close(self) -> None:
@@ -91,17 +91,17 @@
 
 
 def name_of(centre: int) -> str:
-    """Return the name of a data centre by its number."""
+    """Return the name of the data centre with a number."""
     return f"dc-{chr(ord('a') + centre)}"
 
 
 def address_of(number: int, data_centre: str) -> str:
-    """Return where a node listens."""
+    """Return the peer address of a node."""
     return f"10.{ord(data_centre[-1])}.{number}.1:{PORT}"
 
 
 class Node:
-    """One process; a restart makes a new one under the same name."""
+    """One process of a node; a restart creates another under the same name."""
 
     def __init__(self, fleet: "GossipFleet", number: int, data_centre: str, seeds: Any) -> None:
         self.name = f"{data_centre}-{number}"
@@ -132,26 +132,26 @@
 
 
 class GossipFleet:
-    """Nodes, the network between them, and what may go wrong.
+    """Nodes, the network between them, and injected faults.
 
     Attributes:
-      lose: part of all datagrams that is lost.
-      double: part of them that arrives twice.
-      late_ms: the longest further delay of a datagram.
-      cut: says whether datagrams between two nodes are lost now.
-      datagrams: those sent, by whether they left the data centre.
-      bytes: of datagrams sent, by whether they left the data centre.
-      region_bytes: of datagrams that left their region.
+      loss_fraction: fraction of datagrams lost.
+      duplicate_fraction: fraction of datagrams delivered twice.
+      late_ms: maximum additional delay of a datagram.
+      cut: predicate that tells whether two nodes are partitioned.
+      datagrams: number sent, by whether they left the data centre.
+      bytes: bytes sent, by whether they left the data centre.
+      region_bytes: bytes sent to other regions.
     """
 
     def __init__(
         self, size: Size, seed: int = 1, knows_all: bool = True, starts: Starts = SIMULTANEOUS
     ) -> None:
-        """Start all nodes, at once or as is said.
+        """Start all nodes.
 
         Args:
-          knows_all: whether the store tells each node who started before it; otherwise all that
-            they know are the seeds.
+          knows_all: whether a node starts with the members that started before it; otherwise it
+            knows the seeds only.
         """
         self.time = clock.ManualClock(START_MS)
         self.rng = random.Random(seed)
@@ -183,10 +183,10 @@
         self.schedule(after_ms, lambda: self.start(number, data_centre, knows_all))
 
     def start(self, number: int, data_centre: str, knows_all: bool = True) -> Node:
-        """Start a process, in place of one that bore the name before.
+        """Start a node, replacing a former process of the same name.
 
         Args:
-          knows_all: whether the store tells it who there is.
+          knows_all: whether it starts with all members known.
         """
         node = Node(self, number, data_centre, self.starts.seeds_of.get(data_centre, self.seeds))
         before = self.nodes.get(node.name)
@@ -202,7 +202,7 @@
         return node
 
     def schedule(self, after_ms: float, act: Callable[[], object]) -> None:
-        """Do something when some time has passed."""
+        """Schedule a callback after a delay."""
         self.count += 1
         heapq.heappush(self.queue, (self.time.now() + after_ms, self.count, act))
 
@@ -214,7 +214,7 @@
         self.schedule(node.gossip.interval_ms(), lambda: self._tick(node))
 
     def send_heartbeat_soon(self, node: Node) -> None:
-        """Let a node send its next heartbeat at once."""
+        """Schedule a heartbeat of a node without delay."""
         if node.heartbeat_scheduled:
             return
         node.heartbeat_scheduled = True
@@ -233,7 +233,7 @@
         self.schedule(rounds.ROUND_INTERVAL_MS, lambda: self._round(node))
 
     def carry(self, sender: Node, datagram: bytes, address: str) -> None:
-        """Carry a datagram to where it is sent, unless something is in its way."""
+        """Deliver a datagram after the network latency, subject to injected faults."""
         found = self.by_address.get(address)
         far = found is None or found.data_centre != sender.data_centre
         self.datagrams[far] += 1
@@ -254,7 +254,7 @@
             )
 
     def region_of(self, node: Node) -> str:
-        """Return the region of a node, or "" where there is only one."""
+        """Return the region of a node, or "" in a fleet of one region."""
         return self.regions.get(node.data_centre, "")
 
     def _arrive(self, node: Node, datagram: bytes, sender: str) -> None:
@@ -266,14 +266,14 @@
         node.gossip.datagram_received(datagram, addresses.split(sender))
 
     def thaw(self, node: Node) -> None:
-        """Let a frozen process go on; what arrived meanwhile is taken in first."""
+        """Resume a frozen process and deliver the datagrams received meanwhile."""
         node.frozen = False
         for datagram, sender in node.undelivered:
             node.gossip.datagram_received(datagram, addresses.split(sender))
         node.undelivered.clear()
 
     def run(self, for_ms: float) -> None:
-        """Let time pass."""
+        """Advance virtual time and run what is due."""
         end = self.time.now() + for_ms
         while self.queue and self.queue[0][0] <= end:
             at, _, act = heapq.heappop(self.queue)
@@ -282,16 +282,16 @@
         self.time.advance_to(round(end))
 
     def live(self) -> list[Node]:
-        """Return the processes that run."""
+        """Return the running nodes."""
         return [node for node in self.nodes.values() if node.alive]
 
     def with_role(self, role: tiers.Role) -> list[Node]:
-        """Return the live nodes that believe to have a role."""
+        """Return the live nodes that hold a role in their own view."""
         return [node for node in self.live() if node.view.role is role]
 
 
 def table_of(size: Size) -> routing_table.RoutingTable:
-    """Return a configuration with workspaces of a rate each."""
+    """Build a routing table with the workspaces and rates of a size."""
     spaces = tuple(
         traffic.Workspace(f"w{number}", (f"k{number}",), rate=size.rate, burst=size.burst)
         for number in range(size.workspaces)
--- a/plumarch/standins/store_replay.py
+++ b/plumarch/standins/store_replay.py
@@ -1,7 +1,6 @@
-"""Fleets on virtual time that follow a store, each call of which is counted.
+"""Simulated fleets on virtual time that follow a store with counted calls.
 
-The nodes' gossip, followers and registration are the product's; the store, the network and the
-transfer of snapshots are stand-ins.
+The store, the network and the transfer of snapshots are simulated; the rest is product code.
 """
 
 import asyncio
@@ -26,17 +25,17 @@
 
 @dataclasses.dataclass(slots=True)
 class CountedStore:
-    """The store's contents, whom it answers, and how often it was called.
+    """Store contents, injected faults and call counters.
 
     Attributes:
-      refused: names of nodes that are turned away at once.
-      silent: names of nodes whose calls, also those that wait, are not answered.
-      down: whether all are turned away.
+      refused: nodes whose calls fail at once.
+      unresponsive: nodes whose calls, watches included, time out.
+      down: whether all calls fail at once.
       kept: records, by kind and name.
-      removed: the revisions at which records were removed.
-      reads: reading calls, refused ones too, by second.
-      writes: the same of writing calls.
-      by_call: calls by what they are.
+      removed: revisions at which records were removed.
+      reads: read calls per second, failed ones included.
+      writes: write calls per second, failed ones included.
+      by_call: calls by operation.
     """
 
     version: int = 1
@@ -54,37 +53,37 @@
     changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
     def configure(self) -> None:
-        """Put the next version of the configuration in force."""
+        """Publish the next configuration version."""
         self.version += 1
         self.revision += 1
         self.configured_at = self.revision
         self.notify_watchers()
 
     def put(self, endpoint: traffic.Endpoint) -> None:
-        """Write an endpoint's entry."""
+        """Add or replace an endpoint."""
         self.revision += 1
         self.endpoints[endpoint.id] = (self.revision, endpoint)
         self.notify_watchers()
 
     def remove(self, kind: str, name: str) -> None:
-        """Remove a record, as an operator does."""
+        """Remove a record."""
         del self.kept[(kind, name)]
         self.revision += 1
         self.removed[(kind, name)] = self.revision
         self.notify_watchers()
 
     def notify_watchers(self) -> None:
-        """Let those that wait look again."""
+        """Wake all watches."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def calls(self) -> int:
-        """Return how many calls were made."""
+        """Return the number of calls."""
         return self.reads.total() + self.writes.total()
 
 
 class NodeStore:
-    """The store as one node reaches it."""
+    """Store client of one node, subject to the injected faults."""
 
     def __init__(self, store: CountedStore, node: gossip_fleet.Node) -> None:
         self.store = store
@@ -99,12 +98,12 @@
             await asyncio.sleep(limit_ms / 1000.0)
             raise errors.PlatformAnswerLost("silence")
         if store.down or self.node.name in store.refused:
-            raise errors.PlatformUnavailable("turned away")
+            raise errors.PlatformUnavailable("store refused the call")
         while self.node.frozen:
             await asyncio.sleep(STEP_MS / 1000.0)
 
     async def _wait(self, reached: Callable[[], int], revision: int, wait_ms: int) -> None:
-        """Wait until something is newer, or for so long; forever where no answer comes."""
+        """Wait for a newer revision or the timeout, then apply injected faults."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + wait_ms / 1000.0
         while reached() <= revision and loop.time() < end_s:
@@ -116,7 +115,7 @@
             await asyncio.sleep(end_s - loop.time() + WATCH_MARGIN_MS / 1000.0)
             raise errors.PlatformAnswerLost("silence")
         if self.store.down or self.node.name in self.store.refused:
-            raise errors.PlatformUnavailable("cut")
+            raise errors.PlatformUnavailable("store closed the watch")
         while self.node.frozen:
             await asyncio.sleep(STEP_MS / 1000.0)
 
@@ -133,7 +132,7 @@
         return self._configuration(-1)
 
     async def watch_configuration(self, revision: int, wait_ms: int) -> ports.ConfigurationUpdate:
-        """Wait for a newer configuration."""
+        """Watch for a newer configuration."""
         await self._call("watch configuration", wait_ms + WATCH_MARGIN_MS)
         await self._wait(lambda: self.store.configured_at, revision, wait_ms)
         return self._configuration(revision)
@@ -145,7 +144,7 @@
         return ports.EndpointList(found, self.store.revision)
 
     async def watch_endpoints(self, revision: int, wait_ms: int) -> ports.EndpointUpdate:
-        """Wait for changes of endpoints."""
+        """Watch for changes of endpoints."""
         await self._call("watch endpoints", wait_ms + WATCH_MARGIN_MS)
         entries = self.store.endpoints
         newest = lambda: max((at for at, _ in entries.values()), default=0)  # noqa: E731
@@ -163,7 +162,7 @@
         return ports.RecordList(self._records(kind, 0), self.store.revision)
 
     async def watch_records(self, kind: str, revision: int, wait_ms: int) -> ports.RecordUpdate:
-        """Wait for changes of records of a kind."""
+        """Watch for changes of records of a kind."""
         await self._call("watch records", wait_ms + WATCH_MARGIN_MS)
         await self._wait(lambda: self._records_changed(kind), revision, wait_ms)
         removed = self.store.removed.items()
@@ -185,11 +184,11 @@
         return self.store.kept.get((kind, name))
 
     async def write_record(self, kind: str, record: records.Record) -> records.Record:
-        """Write a record under its revision."""
+        """Write a record if its revision is current."""
         await self._call("write record", LIST_LIMIT_MS, writes=True)
         known = self.store.kept.get((kind, record.name))
         if record.revision != (known.revision if known else 0):
-            raise errors.PlatformConflict("changed")
+            raise errors.PlatformConflict("record revision is stale")
         self.store.revision += 1
         written = dataclasses.replace(record, revision=self.store.revision)
         self.store.kept[(kind, record.name)] = written
@@ -198,11 +197,11 @@
 
 
 class StoreReplay:
-    """A fleet whose nodes follow a store.
+    """A simulated fleet whose nodes follow a store.
 
     Attributes:
-      tasks: what each live process runs, by its node's name.
-      quarantines: each process's side of the record of suspect requests.
+      tasks: tasks of live nodes, by node name.
+      quarantines: quarantine records, by node name.
     """
 
     def __init__(self, size: gossip_fleet.Size, store: CountedStore, seed: int = 1) -> None:
@@ -253,36 +252,36 @@
         node.state.registry.replace(known.endpoints.values(), known.revision, other.name)
 
     async def run(self, for_ms: int) -> None:
-        """Let time pass."""
+        """Advance virtual time in steps."""
         for _ in range(for_ms // STEP_MS):
             await asyncio.sleep(STEP_MS / 1000.0)
             self.fleet.run(STEP_MS)
 
     def kill(self, node: gossip_fleet.Node) -> None:
-        """Let a node lose its power."""
+        """Kill a node and cancel its tasks."""
         node.alive = False
         for task in self.tasks.pop(node.name):
             task.cancel()
 
     def restart_all(self) -> None:
-        """Let all nodes lose their power, and start at once."""
+        """Kill all nodes, then start a full fleet again."""
         for node in self.fleet.live():
             self.kill(node)
         for number, data_centre in self.size.node_locations():
             self._begin(self.fleet.start(number, data_centre, knows_all=False))
 
     def stop(self) -> None:
-        """End all processes."""
+        """Kill all live nodes."""
         for node in self.fleet.live():
             self.kill(node)
 
     def followers(self) -> list[gossip_fleet.Node]:
-        """Return the live nodes that believe to follow the store for others."""
+        """Return the live nodes that watch the store for their data centre."""
         live = self.fleet.live()
         return [node for node in live if node.view.watches_store(node.data_centre)]
 
     def stale_nodes(self) -> list[str]:
-        """Return the live nodes that don't know all that the store holds."""
+        """Return names of live nodes whose configuration or endpoints differ from the store's."""
         newest = {name: endpoint for name, (_, endpoint) in self.store.endpoints.items()}
         return [
             node.name
--- a/plumarch/standins/suspended.py
+++ b/plumarch/standins/suspended.py
@@ -1,7 +1,6 @@
-"""Suspensions of a machine, for tests: its time goes on, and nothing in it runs.
+"""Simulates suspensions of a VM: time advances while no code runs.
 
-A suspension strikes where a coroutine goes on after it waited: what it was told before has aged by
-then, and no timer has fired yet.
+A suspension occurs just before a coroutine resumes, when its data is stale and no timer has fired.
 """
 
 import asyncio
@@ -14,24 +13,24 @@
 
 @dataclasses.dataclass(slots=True)
 class ShiftedClock:
-    """A clock that also counts the time for which the machine was suspended."""
+    """A clock that includes simulated suspensions."""
 
     running: clock.Clock
     suspended_ms: int = 0
 
     def now(self) -> int:
-        """Return milliseconds, with those of suspensions."""
+        """Return the time in milliseconds, including suspensions."""
         return self.running.now() + self.suspended_ms
 
 
 @dataclasses.dataclass(slots=True)
 class Suspender:
-    """Suspends the machine once, at a step of all coroutines together.
+    """Simulates one suspension at a given coroutine step.
 
     Attributes:
-      at_step: the step before which that happens; 0 for never.
-      for_ms: for how long.
-      steps: how many were taken.
+      at_step: step, counted over all coroutines, before which it occurs; 0 for never.
+      for_ms: duration of the suspension.
+      steps: steps counted so far.
     """
 
     time: ShiftedClock
@@ -40,7 +39,7 @@
     steps: int = 0
 
     def step(self) -> None:
-        """Count a step that a coroutine is about to take."""
+        """Count a coroutine step and suspend if it is the chosen one."""
         self.steps += 1
         if self.steps == self.at_step:
             self.time.suspended_ms += self.for_ms
@@ -48,7 +47,7 @@
     def new_task(
         self, loop: asyncio.AbstractEventLoop, work: Coroutine[Any, Any, Any], **options: Any
     ) -> asyncio.Task[Any]:
-        """Return a task whose steps are counted; a task factory of the event loop."""
+        """Create a task whose steps are counted; usable as the task factory of an event loop."""
         return asyncio.Task(_counted(self, work), loop=loop, **options)
 
 
@@ -64,7 +63,7 @@
     work: Coroutine[Any, Any, Any]
 
     def __await__(self) -> Generator[Any, Any, Any]:
-        """Pass on what the coroutine waits for, and what it is told."""
+        """Drive the wrapped coroutine, counting each step."""
         resume = self.work.send
         sent: Any = None
         while True:
--- a/plumarch/standins/virtual_time.py
+++ b/plumarch/standins/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop on virtual time: pauses cost nothing, and each run takes the same course."""
+"""Event loop on virtual time: sleeps take no real time and runs are deterministic."""
 
 import asyncio
 import selectors
@@ -7,10 +7,10 @@
 
 
 class VirtualSelector(selectors.DefaultSelector):
-    """Lets time pass where a real one would wait.
+    """Selector that advances virtual time instead of blocking.
 
     Attributes:
-      now_s: seconds of virtual time that have passed.
+      now_s: elapsed virtual time in seconds.
     """
 
     def __init__(self) -> None:
@@ -18,19 +18,19 @@
         self.now_s = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return what is ready, after the time for which a real one would wait.
+        """Advance virtual time by the timeout and return the ready events.
 
         Raises:
-          RuntimeError: nothing is left that could ever happen.
+          RuntimeError: no timer is pending, so all tasks are deadlocked.
         """
         if timeout is None:
-            raise RuntimeError("All tasks wait for each other.")
+            raise RuntimeError("deadlock: all tasks are waiting and no timer is pending")
         self.now_s += max(0.0, timeout)
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time is that of its selector."""
+    """Event loop that reads the time of its selector."""
 
     def __init__(self) -> None:
         self.virtual = VirtualSelector()
@@ -42,6 +42,6 @@
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    """Run a coroutine to its end on virtual time."""
+    """Run a coroutine to completion on virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(main)
