--- a/plumarch/standins/platform_app.py
+++ b/plumarch/standins/platform_app.py
@@ -1,4 +1,4 @@
-"""The stand-in platform over HTTP: objects, watches, VM list, cloud, weight store, faults."""
+"""HTTP stand-in for the platform: objects, watches, VM list, cloud, weight store, faults."""
 
 import asyncio
 import dataclasses
@@ -21,14 +21,14 @@
 
 
 class FaultChange(msgspec.Struct, frozen=True):
-    """Faults to switch, by the names of objects.Faults; refused_starts counts down."""
+    """Faults to set, by field of objects.Faults, and the number of VM starts to refuse."""
 
     faults: dict[str, bool | float | int] = {}
     refused_starts: int | None = None
 
 
 class VmChange(msgspec.Struct, frozen=True):
-    """VMs that start or end; for whoever sets the stand-in up."""
+    """VMs to add to and remove from the VM list."""
 
     add: list[protocol.Vm] = []
     remove: list[str] = []
@@ -36,21 +36,21 @@
 
 
 class CloudChange(msgspec.Struct, frozen=True):
-    """What the cloud sells, and the VMs that it starts when asked for their class."""
+    """VM offers, and spare VMs that orders of their class start."""
 
     offers: list[data.Offer] = []
     spares: list[protocol.Vm] = []
 
 
 class NoticeOrder(msgspec.Struct, frozen=True):
-    """A reclaim to announce."""
+    """VMs to reclaim and the notice period in milliseconds."""
 
     names: list[str]
     left_ms: int
 
 
 class PlatformStandin:
-    """The platform's state."""
+    """State of the platform."""
 
     def __init__(self, seed: int = 1) -> None:
         self.store = objects.ObjectStore(random.Random(seed))
@@ -72,7 +72,7 @@
         self.changed = asyncio.Event()
 
     async def fault(self) -> Response[Any] | None:
-        """Wait as long as the platform is slow; return an answer if it is down."""
+        """Apply the injected latency; return an error response if the call is to fail."""
         faults = self.store.faults
         if faults.slow_ms:
             await asyncio.sleep(faults.slow_ms / 1000)
@@ -81,7 +81,7 @@
         return None
 
     def change_vms(self, change: VmChange) -> None:
-        """Start and end VMs."""
+        """Add and remove VMs."""
         for vm in change.add:
             self.vms[vm.name] = vm
         for name in change.remove:
@@ -90,7 +90,7 @@
         self.gone = (self.gone + change.gone)[-MAX_GONE:]
 
     def announce(self, order: NoticeOrder) -> protocol.Notice:
-        """Give notice that VMs will be reclaimed."""
+        """Record a reclaim notice for VMs."""
         number = self.notices[-1].number + 1 if self.notices else 1
         notice = protocol.Notice(number, order.names, order.left_ms)
         self.notices = [*self.notices, notice][-MAX_NOTICES:]
@@ -100,7 +100,7 @@
         return notice
 
     def order(self, order: protocol.Order) -> protocol.OrderAnswer:
-        """Carry an order out, once for each token."""
+        """Execute an order; idempotent per order token."""
         known = self.orders.get(order.token)
         if known is not None:
             return known
@@ -130,7 +130,7 @@
         return protocol.OrderAnswer("done", order.name)
 
     def listing(self) -> protocol.VmList:
-        """Return the VM list."""
+        """Return the VM list with the time left of VMs under notice."""
         now = time.monotonic()
         vms = []
         for vm in self.vms.values():
@@ -142,7 +142,7 @@
         return protocol.VmList(vms, self.gone)
 
     def try_load_weights(self) -> bool:
-        """Return whether a load of weights fits the store's rate now."""
+        """Reserve a load of weights if the rate limit allows one."""
         now = time.monotonic()
         if now < self.weights_free_at:
             return False
@@ -150,7 +150,11 @@
         return True
 
     async def watch(self, prefix: str, since: int, wait_s: float) -> protocol.Change:
-        """Wait for changes after a revision. Raises objects.TooOld."""
+        """Wait for changes after a revision.
+
+        Raises:
+          objects.TooOld: the revision precedes the retained history.
+        """
         end = time.monotonic() + wait_s
         while True:
             names = self.store.changes_since(since, prefix)
@@ -165,7 +169,7 @@
 
 
 def handlers(state: PlatformStandin) -> list[HTTPRouteHandler]:
-    """Return the route handlers."""
+    """Return the platform's route handlers."""
 
     @get("/objects/{name:path}")
     async def get_object(name: str) -> Response[Any]:
@@ -254,7 +258,7 @@
 
 
 def controls(state: PlatformStandin) -> list[HTTPRouteHandler]:
-    """Return the handlers by which a test or the demo steers the stand-in."""
+    """Return the control handlers for tests and the demo."""
 
     @post("/control/faults", status_code=200)
     async def faults(request: AnyRequest) -> Response[Any]:
@@ -290,5 +294,5 @@
 
 
 def build(state: PlatformStandin) -> Litestar:
-    """Return the stand-in's application."""
+    """Build the platform's application."""
     return Litestar([*handlers(state), *controls(state)], openapi_config=None, logging_config=None)
--- a/plumarch/standins/region_replay.py
+++ b/plumarch/standins/region_replay.py
@@ -1,8 +1,6 @@
-"""Load patterns of a fleet over several regions, replayed on virtual time.
+"""Replays load on a multi-region fleet on virtual time.
 
-Nodes choose endpoints by what they know; news of each other's sends is old by as much as it takes
-on the way. Endpoints work on as many requests as they have slots, and the others wait in line. So
-it shows what many nodes do together that follow the same old figures.
+Nodes choose endpoints by delayed load reports, so oscillation due to stale data becomes visible.
 """
 
 import dataclasses
@@ -16,7 +14,7 @@
 
 LOAD_REPORT_INTERVAL_MS = 200
 LOAD_REPORT_DELAY_MS = 100
-"""How often nodes hear of one another's sends, and how old they are then."""
+"""Delay after which a node receives the load reports of the others."""
 
 REMOTE_ROUND_TRIP_MS = 60.0
 LOCAL_ROUND_TRIP_MS = 1.0
@@ -24,21 +22,20 @@
 DATA_CENTRES = {"n1": "north", "n2": "north", "e1": "east", "e2": "east", "s1": "south"} | {
     "s2": "south"
 }
-"""Two data centres in each of three regions."""
+"""Region of each data centre."""
 
 NODES_PER_CENTRE = 3
-"""In each data centre."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Work:
-    """What callers ask for.
+    """Workload of the callers.
 
     Attributes:
-      requests_per_s: by the region in which callers enter.
-      work_ms: how long an endpoint works on a request on average; for a prompt, after reading.
-      parts: of prompts that many share; none for plain requests.
-      prompt_tokens: of a prompt, with its own part; 0 for plain requests.
+      requests_per_s: request rate by the callers' region.
+      work_ms: mean service time; for a prompt, the decode time after prefill.
+      parts: alternative shared prompt parts; empty for plain requests.
+      prompt_tokens: prompt length, shared parts included; 0 for plain requests.
     """
 
     requests_per_s: dict[str, float]
@@ -51,12 +48,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sent:
-    """A request that was sent.
+    """A dispatched request.
 
     Attributes:
-      sent_ms: when.
-      region: where its caller entered.
-      took_ms: until its answer, or its first token.
+      sent_ms: time of dispatch.
+      region: region of its caller.
+      took_ms: time to the answer or the first token.
     """
 
     sent_ms: float
@@ -68,12 +65,12 @@
 
 @dataclasses.dataclass(slots=True)
 class SimulatedEndpoint:
-    """An endpoint that works on as many requests as it has slots.
+    """An endpoint that runs one request per slot and queues the rest.
 
     Attributes:
-      free_at_ms: when each of its slots is free.
-      prefill_ends_ms: when it has read all prompts that it was given.
-      holds: keys of the prompt parts that it has read.
+      free_at_ms: heap of the times at which its slots become free.
+      prefill_ends_ms: when the prefill of all accepted prompts ends.
+      holds: keys of the prompt parts in its prefix cache.
     """
 
     endpoint: traffic.Endpoint
@@ -82,7 +79,7 @@
     cached_parts: set[int] = dataclasses.field(default_factory=set)
 
     def serve(self, arrives_ms: float, work_ms: float) -> tuple[float, float]:
-        """Return when a plain request begins and ends."""
+        """Run a plain request and return its begin and end times."""
         begins_ms = max(arrives_ms, heapq.heappop(self.free_at_ms))
         heapq.heappush(self.free_at_ms, begins_ms + work_ms)
         return begins_ms, begins_ms + work_ms
@@ -90,7 +87,7 @@
     def read(
         self, arrives_ms: float, unread: float, ms_per_token: float, work_ms: float
     ) -> tuple[float, float]:
-        """Return when a prompt's first token comes, and when the request ends."""
+        """Run a prompt and return the times of its first token and its end."""
         begins_ms = max(arrives_ms, heapq.heappop(self.free_at_ms), self.prefill_ends_ms)
         self.prefill_ends_ms = begins_ms + unread * ms_per_token
         heapq.heappush(self.free_at_ms, self.prefill_ends_ms + work_ms)
@@ -98,7 +95,7 @@
 
 
 class SimulatedNode:
-    """A node: what it knows, and where it is."""
+    """A node with its own distances and endpoint chooser."""
 
     def __init__(self, data_centre: str, time: clock.ManualClock) -> None:
         self.data_centre = data_centre
@@ -108,7 +105,7 @@
 
 
 class RegionReplay:
-    """A fleet, its callers, and all that was sent."""
+    """A simulated fleet, its callers, and the log of dispatched requests."""
 
     def __init__(self, seed: int, work: Work, endpoints: Sequence[traffic.Endpoint]) -> None:
         self.time = clock.ManualClock()
@@ -131,14 +128,14 @@
                 self._at(self.rng.expovariate(self._rate(node)) * 1_000, self._arrivals(node))
 
     def run_until(self, end_ms: float) -> None:
-        """Play until a time."""
+        """Run the simulation until a time."""
         while self.events and self.events[0][0] <= end_ms:
             at_ms, _, act = heapq.heappop(self.events)
             self.time.advance_to(round(at_ms))
             act()
 
     def fail_region(self, region: str) -> None:
-        """Take a region's endpoints away."""
+        """Make the endpoints of a region unavailable."""
         self.gone |= {
             name
             for name, one in self.endpoints.items()
@@ -146,7 +143,7 @@
         }
 
     def restore_regions(self) -> None:
-        """Give all endpoints back."""
+        """Make all endpoints available again."""
         self.gone.clear()
 
     def _at(self, at_ms: float, act: Callable[[], None]) -> None:
@@ -219,7 +216,7 @@
             node.chooser.answered(choice, took_ms)
 
     def _report_loads(self) -> None:
-        """Tell each node what all others have under way, some time later."""
+        """Send each node the running load of all others, with the report delay."""
         now = float(self.time.now())
         loads = [
             {name: (load.running, load.prompt_tokens) for name, load in node.chooser.own.items()}
--- a/plumarch/standins/scripted_endpoint.py
+++ b/plumarch/standins/scripted_endpoint.py
@@ -1,6 +1,6 @@
-"""An endpoint that answers with exactly the bytes that a test tells it to.
+"""Endpoint that sends raw bytes chosen by a test.
 
-It is for answers that no sound library would send: broken, late, surplus, or another's.
+Used for truncated, late, surplus or misdirected answers that an HTTP library would not send.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """A request as it came over the wire; header names are in lower case."""
+    """A parsed request; header names are in lower case."""
 
     line: str
     headers: dict[str, str]
@@ -23,7 +23,7 @@
 
 
 class ScriptedEndpoint:
-    """Listens on loopback; each connection carries one request."""
+    """Server on loopback that handles one request per connection."""
 
     def __init__(self, answering: Answering) -> None:
         self.answering = answering
@@ -33,7 +33,7 @@
         self.address = ""
 
     async def start(self) -> "ScriptedEndpoint":
-        """Open a port."""
+        """Listen on a free port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         port = self.server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
@@ -53,16 +53,16 @@
             writer.close()
 
     async def stop(self) -> None:
-        """Close the port."""
+        """Stop listening."""
         if self.server is not None:
             self.server.close()
 
 
 async def read_request(reader: asyncio.StreamReader) -> ReceivedRequest:
-    """Read one request with a sized body.
+    """Read one request whose body has a Content-Length.
 
     Raises:
-      EOFError: the connection ended first.
+      EOFError: the connection closed before the request was complete.
     """
     head = (await reader.readuntil(HEAD_END)).decode("latin-1")
     line, *rest = head.split("\r\n")
@@ -82,11 +82,11 @@
     headers: tuple[str, ...] = (),
     length: int | None = None,
 ) -> bytes:
-    """Return a sound answer to a request.
+    """Return a valid response to a request.
 
     Args:
-      headers: further header lines.
-      length: a length to claim in place of the body's own.
+      headers: additional header lines.
+      length: Content-Length to send instead of the actual one.
     """
     lines = [
         f"HTTP/1.1 {status}",
@@ -111,10 +111,10 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """Return a chunk; an empty one ends the answer."""
+    """Encode an HTTP chunk; an empty one ends the response."""
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
 
 
 def event(number: int) -> bytes:
-    """Return an event with an id."""
+    """Encode a server-sent event with an id."""
     return f"id: {number}\ndata: word-{number}\n\n".encode()
--- a/plumarch/standins/service_app.py
+++ b/plumarch/standins/service_app.py
@@ -1,4 +1,4 @@
-"""The stand-in plain service over HTTP: status, keys, and tickets that must not be doubled."""
+"""HTTP stand-in for a plain service that counts executions by idempotency key."""
 
 import asyncio
 import collections
@@ -13,10 +13,10 @@
 
 @dataclasses.dataclass(slots=True)
 class ServiceStandin:
-    """One service; it counts its executions by workspace and key.
+    """A service that counts executions by workspace and key.
 
     Attributes:
-      checks_fencing: whether calls with an older token than seen are refused.
+      checks_fencing: whether calls with a stale fencing token are rejected.
     """
 
     delay_ms: float = 5.0
@@ -35,7 +35,7 @@
 
 
 def handlers(service: ServiceStandin) -> list[HTTPRouteHandler]:
-    """Return the route handlers."""
+    """Return the route handlers of a service."""
 
     @get("/load")
     async def load() -> Response[Any]:
@@ -63,5 +63,5 @@
 
 
 def build(service: ServiceStandin) -> Litestar:
-    """Return the stand-in's application."""
+    """Build the service's application."""
     return Litestar(handlers(service), openapi_config=None, logging_config=None)
--- a/plumarch/standins/store_replay.py
+++ b/plumarch/standins/store_replay.py
@@ -115,7 +115,7 @@
             await asyncio.sleep(end_s - loop.time() + WATCH_MARGIN_MS / 1000.0)
             raise errors.PlatformAnswerLost("silence")
         if self.store.down or self.node.name in self.store.refused:
-            raise errors.PlatformUnavailable("store closed the watch")
+            raise errors.PlatformUnavailable("cut")
         while self.node.frozen:
             await asyncio.sleep(STEP_MS / 1000.0)
 
@@ -188,7 +188,7 @@
         await self._call("write record", LIST_LIMIT_MS, writes=True)
         known = self.store.kept.get((kind, record.name))
         if record.revision != (known.revision if known else 0):
-            raise errors.PlatformConflict("record revision is stale")
+            raise errors.PlatformConflict("changed")
         self.store.revision += 1
         written = dataclasses.replace(record, revision=self.store.revision)
         self.store.kept[(kind, record.name)] = written
