--- a/plumarch/proof/__init__.py
+++ b/plumarch/proof/__init__.py
@@ -1,1 +1,1 @@
-"""Invariants that tests and the demo check."""
+"""Invariants checked by tests and the demo."""
--- a/plumarch/proof/invariants.py
+++ b/plumarch/proof/invariants.py
@@ -1,8 +1,4 @@
-"""The promises, as checks over what was observed. Used by tests and by the demo alike.
-
-A Journal takes in what endpoints did and what callers were told; violations()
-is a pure function of it.
-"""
+"""Checks the delivery guarantees against a journal of executions and answers."""
 
 import dataclasses
 import itertools
@@ -14,12 +10,12 @@
 
 @dataclasses.dataclass(slots=True)
 class CallerView:
-    """One caller's request and what the caller was told about it.
+    """A caller's request and the answers received.
 
     Attributes:
-      expected: the whole answer it should get if it is done; None if not known.
-      ends: the final answers told; there must be one.
-      faults: tokens that came at a wrong place.
+      expected: the complete expected answer, or None if unknown.
+      ends: final answers received; there must be exactly one.
+      faults: tokens received at an unexpected position.
     """
 
     name: str
@@ -38,15 +34,15 @@
     faults: list[str] = dataclasses.field(default_factory=list)
 
     def receive_tokens(self, position: int, tokens: tuple[str, ...]) -> None:
-        """Take in tokens, and note one that is missing or doubled."""
+        """Append tokens and record gaps and duplicates."""
         if position != len(self.tokens):
-            self.faults.append(f"tokens at {position}, wanted {len(self.tokens)}")
+            self.faults.append(f"tokens at {position}, expected {len(self.tokens)}")
         self.tokens.extend(tokens)
 
 
 @dataclasses.dataclass(slots=True)
 class Execution:
-    """A hand-over that reached an endpoint."""
+    """A dispatch that reached an endpoint."""
 
     workspace: str
     key: str
@@ -58,7 +54,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Journal:
-    """All that was observed."""
+    """Observed executions, answers, notices and configuration revisions."""
 
     callers: list[CallerView] = dataclasses.field(default_factory=list)
     executions: list[Execution] = dataclasses.field(default_factory=list)
@@ -66,22 +62,22 @@
     revisions: dict[str, list[int]] = dataclasses.field(default_factory=dict)
 
     def leaving(self, endpoint: str, at_ms: int) -> None:
-        """Note that a notice for an endpoint was given."""
+        """Record the reclaim notice of an endpoint."""
         self.leaving_since.setdefault(endpoint, at_ms)
 
     def revision(self, node: str, revision: int) -> None:
-        """Note the configuration revision in force on a node incarnation."""
+        """Record the configuration revision in force on a node incarnation."""
         seen = self.revisions.setdefault(node, [])
         if not seen or seen[-1] != revision:
             seen.append(revision)
 
 
 LEAVING_BOUND_MS = 3_000
-"""A leaving endpoint gets no new work after this long."""
+"""Time after its notice from which an endpoint must get no new requests."""
 
 
 def violations(journal: Journal) -> list[str]:
-    """Return each broken promise as a sentence; none if all hold."""
+    """Return a description of each violated guarantee."""
     found = []
     found += at_most_once(journal)
     found += not_run_is_true(journal)
@@ -93,7 +89,7 @@
 
 
 def at_most_once(journal: Journal) -> list[str]:
-    """Check that no request marked not repeatable reached endpoints twice."""
+    """Check that no non-repeatable request was executed twice."""
     counts: dict[KeyName, int] = {}
     for execution in journal.executions:
         if not execution.repeatable:
@@ -103,7 +99,7 @@
 
 
 def not_run_is_true(journal: Journal) -> list[str]:
-    """Check that what a caller heard was "not run" never reached an endpoint."""
+    """Check that requests answered with "not run" never reached an endpoint."""
     ran_keys = {(e.workspace, e.key) for e in journal.executions if e.key}
     ran_ids = {e.request_id for e in journal.executions}
     found = []
@@ -114,45 +110,45 @@
         if caller.key:
             ran = ran or (caller.workspace, caller.key) in ran_keys
         if ran:
-            found.append(f"{caller.name} heard not run, but {caller.key} ran")
+            found.append(f"{caller.name} was answered not_run, but {caller.key} ran")
     return found
 
 
 def answers_are_complete(journal: Journal) -> list[str]:
-    """Check that each answer told as done is whole, in order, and the caller's own."""
+    """Check that each answer reported as done is complete, ordered and the caller's own."""
     found = []
     for caller in journal.callers:
         found += [f"{caller.name}: {fault}" for fault in caller.faults]
         if caller.expected is None:
             continue
         if tuple(caller.tokens) != caller.expected[: len(caller.tokens)]:
-            found.append(f"{caller.name} got tokens that are not its own")
+            found.append(f"{caller.name} received tokens of another request")
         elif data.Outcome.DONE in caller.ends and len(caller.tokens) != len(caller.expected):
             got = f"{len(caller.tokens)} of {len(caller.expected)}"
-            found.append(f"{caller.name} heard done with {got} tokens")
+            found.append(f"{caller.name} was answered done with {got} tokens")
     return found
 
 
 def one_final_answer(journal: Journal) -> list[str]:
-    """Check that no caller heard two final answers."""
+    """Check that no caller received two final answers."""
     return [
-        f"{c.name} heard {len(c.ends)} final answers" for c in journal.callers if len(c.ends) > 1
+        f"{c.name} received {len(c.ends)} final answers" for c in journal.callers if len(c.ends) > 1
     ]
 
 
 def leaving_gets_no_work(journal: Journal, bound_ms: int = LEAVING_BOUND_MS) -> list[str]:
-    """Check that nothing was handed to an endpoint too long after its notice."""
+    """Check that no request reached an endpoint later than the bound after its notice."""
     found = []
     for execution in journal.executions:
         since = journal.leaving_since.get(execution.endpoint)
         if since is not None and execution.at_ms > since + bound_ms:
             late = execution.at_ms - since
-            found.append(f"{execution.endpoint} got work {late} ms after its notice")
+            found.append(f"{execution.endpoint} received a request {late} ms after its notice")
     return found
 
 
 def configuration_goes_forward(journal: Journal) -> list[str]:
-    """Check that no node ever put a lower revision in force."""
+    """Check that the configuration revision of no node decreased."""
     return [
         f"{node} went from revision {before} to {after}"
         for node, seen in journal.revisions.items()
@@ -162,9 +158,9 @@
 
 
 def accepted_and_unfinished(journal: Journal) -> list[str]:
-    """Return accepted requests of waiting classes that nobody was told the end of.
+    """Return accepted requests of waiting classes that were never reported as done.
 
-    Meaningful only once everything has had time to finish.
+    Call it only once all requests have had time to finish.
     """
     done = {(c.workspace, c.key) for c in journal.callers if data.Outcome.DONE in c.ends and c.key}
     return [
--- a/plumarch/proof/processes.py
+++ b/plumarch/proof/processes.py
@@ -1,7 +1,4 @@
-"""Real processes on loopback, for the few tests and benchmarks that need them.
-
-Bounded in number and time, and ended by their ids.
-"""
+"""Runs a deployment as real processes on loopback, for tests and benchmarks."""
 
 import dataclasses
 import os
@@ -26,7 +23,7 @@
 
 
 def _ports() -> Iterator[int]:
-    """Yield ports below the range that outgoing connections take theirs from, each once."""
+    """Yield each port below the ephemeral range once."""
     span = PORTS_END - PORTS_START
     first = os.getpid() * 97 % span
     for number in range(span):
@@ -37,7 +34,7 @@
 
 
 def free_port() -> int:
-    """Return a port that is free now and was not returned before."""
+    """Return a free port that was not returned before."""
     for port in PORTS:
         with socket.socket() as sock:
             try:
@@ -50,7 +47,7 @@
 
 @dataclasses.dataclass
 class NodeProcess:
-    """One plumarchd and where it listens."""
+    """A plumarchd process and its ports."""
 
     name: str
     data_centre: str
@@ -61,7 +58,7 @@
 
 
 class System:
-    """A platform, endpoints and entry nodes, each a process of its own."""
+    """A platform, endpoints and entry nodes, each in its own process."""
 
     def __init__(self, folder: pathlib.Path, nodes: dict[str, str] | None = None) -> None:
         self.folder = folder
@@ -80,7 +77,7 @@
         self.services: dict[str, int] = {}
 
     def spawn(self, *words: str) -> subprocess.Popen[bytes]:
-        """Start a process whose output goes to a file in the folder."""
+        """Start a Python process that logs to a file in the folder."""
         out = (self.folder / f"process-{len(self.processes)}.log").open("wb")
         process = subprocess.Popen(
             [sys.executable, *words], stdout=out, stderr=subprocess.STDOUT, cwd=ROOT
@@ -89,7 +86,7 @@
         return process
 
     def start(self, token_ms: float = 10.0) -> None:
-        """Start everything and wait until all nodes are ready and acquainted."""
+        """Start all processes and wait until the nodes are ready and joined."""
         self.spawn("-m", "plumarch.standins.main", "platform", f"127.0.0.1:{self.platform_port}")
         for centre in sorted({node.data_centre for node in self.nodes.values()}):
             self._start_endpoints(centre, token_ms)
@@ -143,7 +140,7 @@
         return vms
 
     def platform(self, method: str, path: str, json: object = None) -> httpx.Response:
-        """Call the stand-in platform."""
+        """Send a request to the stand-in platform."""
         url = f"http://127.0.0.1:{self.platform_port}{path}"
         return httpx.request(method, url, timeout=5, json=json)
 
@@ -187,7 +184,7 @@
         node.process = self.spawn("-m", "plumarch.daemon.main", str(self.settings_of(node)))
 
     def wait_ready(self, name: str) -> None:
-        """Wait until a node says that it is ready."""
+        """Wait for the readiness check of a node."""
         url = f"http://127.0.0.1:{self.nodes[name].operators}/readyz"
         self._wait_for(lambda: httpx.get(url, timeout=2).status_code == 200)
 
@@ -199,7 +196,7 @@
         return found
 
     def _nodes_joined(self) -> bool:
-        """Return whether all slots have owners and every node knows all others."""
+        """Return whether all slots have owners and each node knows all others."""
         found = [self.status(name) for name in self.nodes]
         slots = sum(int(status["slots"]) for status in found)
         all_joined = all(len(status["members"]) == len(self.nodes) - 1 for status in found)
@@ -215,10 +212,10 @@
                 pass
             time.sleep(0.05)
         logs = "\n".join(p.read_text() for p in sorted(self.folder.glob("process-*.log")))
-        raise AssertionError(f"the system did not start:\n{logs[-4000:]}")
+        raise AssertionError(f"the system did not start within {START_S:.0f} s:\n{logs[-4000:]}")
 
     def tool_settings(self) -> pathlib.Path:
-        """Write the tool's settings file."""
+        """Write the settings file of the plumarch command."""
         nodes = ", ".join(f"{n.name}=127.0.0.1:{n.operators}" for n in self.nodes.values())
         path = self.folder / "plumarch.ini"
         path.write_text(
@@ -249,7 +246,7 @@
         return f"http://127.0.0.1:{self.nodes[name].callers}"
 
     def executions(self) -> dict[str, int]:
-        """Return how often each workspace and key ran, summed over the services."""
+        """Return executions by workspace and key, summed over the running services."""
         total: dict[str, int] = {}
         for name, port in self.services.items():
             if self.endpoint_processes[name].poll() is not None:
@@ -260,7 +257,7 @@
         return total
 
     def stop(self) -> None:
-        """End all processes by id."""
+        """Kill all started processes."""
         for process in self.processes:
             if process.poll() is None:
                 process.send_signal(signal.SIGKILL)
--- a/plumarch/proof/sessions.py
+++ b/plumarch/proof/sessions.py
@@ -1,17 +1,17 @@
-"""Whole sessions written as text: a script of what happens, and what must come of it.
+"""Runs test sessions from scripts of actions and expectations.
 
-One line a step, `#` begins a comment:
+One step per line; `#` starts a comment:
 
-  nodes a1=a a2=a b1=b            names and data centres; must be the first step
+  nodes a1=a a2=a b1=b            nodes and their data centres; the first step
   at 100 call a1 chat key=k1 tokens=5 [once] [workspace=w]
   at 200 reattach b1 caller0
-  at 200 fetch b1 caller0           ask for the result by the key alone
+  at 200 fetch b1 caller0           request the result by its key
   at 300 kill a1 | restart a1 | pause a1 | resume a1
   at 300 cut a b | heal | cut-platform a | down | up | lose-answers 0.5
-  at 400 break a-tickets-0 sent   interrupt the next call there (connect, sent, ran)
+  at 400 break a-tickets-0 sent   fail the next call there (connect, sent, ran)
   at 500 reclaim 5000 told=b1 a1 a-engine-0
   at 500 kill-endpoint a-engine-0 | stop a1 | cancel a1 caller0 | slow a-engine-0 4
-  run 9000                         let this much virtual time pass
+  run 9000                         advance virtual time by so many ms
   expect caller0 done | not_run | unknown | pending
   expect reason caller0 queue_full | expect tokens caller0 5 | expect weakened caller0
   expect ran okefenokee k1 1
@@ -28,17 +28,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Session:
-    """A session being played.
+    """A running session.
 
     Attributes:
-      failures: expectations that did not hold, each with its line.
+      failures: failed expectations with their lines.
     """
 
     world: virtual.World
     failures: list[str] = dataclasses.field(default_factory=list)
 
     def transcript(self) -> list[str]:
-        """Return what callers were told, and the decisions, in order of time."""
+        """Return caller events and decisions in order of time."""
         lines = list(self.world.caller_events)
         for decision in self.world.decisions:
             text = f"{decision.kind} {decision.choice}: {decision.why}"
@@ -47,25 +47,22 @@
 
 
 def play(text: str, seed: int = 1) -> Session:
-    """Play a session.
+    """Run a script to its end.
 
-    Args:
-      text: the script.
-      seed: of all chance in it.
-    Returns:
-      The session, played to its end.
+    Raises:
+      ValueError: a step is malformed.
     """
     steps = [_fields(line) for line in text.splitlines()]
     steps = [fields for fields in steps if fields]
     if not steps or steps[0][0] != "nodes":
-        raise ValueError("a session begins with: nodes NAME=CENTRE ...")
+        raise ValueError("the first step of a session must be: nodes NAME=CENTRE ...")
     nodes = dict(word.split("=", 1) for word in steps[0][1:])
     session = Session(virtual.build(nodes, seed=seed))
     start = session.world.clock.now()
     for fields in steps[1:]:
         _step(session, fields, start)
     for broken in invariants.violations(session.world.journal):
-        session.failures.append(f"promise broken: {broken}")
+        session.failures.append(f"guarantee violated: {broken}")
     return session
 
 
@@ -150,7 +147,7 @@
 
 
 def _check(world: virtual.World, fields: list[str]) -> str:
-    """Return what is the case instead of an expectation, or "" if it holds."""
+    """Return the actual state if an expectation fails, else ""."""
     match fields:
         case ["reason", caller, reason]:
             found = world.callers[caller].reasons
--- a/plumarch/standins/virtual.py
+++ b/plumarch/standins/virtual.py
@@ -1,7 +1,6 @@
-"""Nodes, endpoints and a platform in one process on virtual time, without sockets.
+"""Simulates nodes, endpoints and a platform in one process on virtual time.
 
-Small fakes at the interfaces of docs/SEAMS.md, for focused tests of failures:
-whatever crosses an interface can be delayed, lost, doubled or cut off.
+Messages across each interface can be delayed, lost, duplicated or partitioned.
 """
 
 import collections
@@ -25,7 +24,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Network:
-    """Delays and faults between nodes, by data centre or node name."""
+    """Delays and faults between nodes.
+
+    Attributes:
+      lose: fraction of messages lost.
+      double: fraction of messages delivered twice.
+      late: fraction of messages delayed by up to late_ms.
+      cuts: pairs of data centres or nodes that are partitioned.
+      platform_cuts: data centres or nodes that cannot reach the platform.
+    """
 
     delay_ms: int = 2
     jitter_ms: int = 2
@@ -39,7 +46,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Host:
-    """A node's process: it can be paused, killed and started anew."""
+    """A node's process, which can be paused, killed and restarted."""
 
     name: str
     data_centre: str
@@ -51,7 +58,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """A request at a fake endpoint."""
+    """A request in progress at a fake endpoint."""
 
     host: str
     identity: str
@@ -63,16 +70,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineModel:
-    """How fast a fake engine is.
+    """Performance model of a fake engine.
 
     Attributes:
-      prefill_ms: time before the first token, whatever the prompt.
-      prefill_token_ms: more of it for each prompt token that is not in the prefix cache.
-      crowding: share by which each other request in the batch slows tokens down.
-      prefix_tokens: tokens of a prompt that a cached prefix covers.
-      cache_limit: prefixes kept.
-      tokens_per_event: tokens that come together, after the first.
-      batch: requests that run at once; further ones wait in the engine; 0 for any number.
+      prefill_ms: fixed part of the time to first token.
+      prefill_token_ms: additional time for each prompt token not in the prefix cache.
+      crowding: relative slowdown of decoding per other request in the batch.
+      prefix_tokens: prompt tokens that a cached prefix covers.
+      cache_limit: maximum number of cached prefixes.
+      tokens_per_event: tokens per event after the first.
+      batch: maximum batch size, beyond which requests queue; 0 for no limit.
     """
 
     prefill_ms: float = PREFILL_MS
@@ -90,11 +97,11 @@
     """An engine or plain service.
 
     Attributes:
-      fencing: highest token seen for each slot.
-      break_at: where the next call is interrupted: "", "connect", "sent" or "ran".
-      backoff_ms: the rest that it asks for as it refuses each call, or None if it takes them.
-      refused: how many calls it refused.
-      announces: the request rate that its answers announce, or None.
+      fencing: highest fencing token seen for each slot.
+      break_at: stage at which the next call fails: "", "connect", "sent" or "ran".
+      backoff_ms: if set, each call is rejected with this Retry-After.
+      refused: number of rejected calls.
+      announced_rate: request rate announced with each answer, or None.
     """
 
     info: data.Endpoint
@@ -111,7 +118,7 @@
     waiting: list[Call] = dataclasses.field(default_factory=list)
 
     def prefill(self, request: data.Request) -> int:
-        """Return the prompt tokens to compute, after what the prefix cache holds."""
+        """Return the number of prompt tokens that the prefix cache does not cover."""
         hit = request.prefix in self.cached
         self.cached.pop(request.prefix, None)
         if self.model.cache_limit and request.prefix:
@@ -126,9 +133,9 @@
     """Starts and releases VMs on order.
 
     Attributes:
-      refused: data centre and class of which no VM can be had.
-      lose_answers: share of orders carried out whose answer is lost.
-      answers: what was answered, by the order's token.
+      refused: pairs of data centre and VM class without supply.
+      lose_answers: fraction of executed orders whose answer is lost.
+      answers: answers by order token, so that repeated orders are idempotent.
     """
 
     start_ms: int = 30_000
@@ -141,7 +148,7 @@
 
 
 class World:
-    """Everything on one virtual clock."""
+    """A simulated deployment on one virtual clock."""
 
     def __init__(self, seed: int = 1) -> None:
         self.rng = random.Random(seed)
@@ -165,19 +172,19 @@
         self.attempts: dict[tuple[str, int], FakeEndpoint] = {}
         self.caller_events: list[str] = []
         self.crashing_keys: set[str] = set()
-        """Keys of requests that end each endpoint that begins to run them."""
+        """Keys of requests that crash every endpoint that runs them."""
         self.interfere: Callable[[Host, events.Action], bool] | None = None
         self.bytes_sent: collections.Counter[str] = collections.Counter()
 
     # Time.
 
     def at(self, delay_ms: int, callback: Callable[[], None]) -> None:
-        """Do something after a delay."""
+        """Schedule a callback after a delay."""
         due = self.clock.now() + max(0, delay_ms)
         heapq.heappush(self.queue, (due, next(self.sequence), callback))
 
     def run(self, for_ms: int) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time and run what is due."""
         end = self.clock.now() + for_ms
         while self.queue and self.queue[0][0] <= end:
             due, _, callback = heapq.heappop(self.queue)
@@ -200,7 +207,7 @@
         return host
 
     def kill(self, name: str) -> None:
-        """End a node at once; its callers lose their connections."""
+        """Kill a node; its callers lose their connections."""
         host = self.hosts[name]
         host.alive = False
         self.at(VM_LIST_LAG_MS, lambda: self._report_gone(host.node.ctx.node))
@@ -209,7 +216,7 @@
                 self.callers[caller].lost = True
 
     def _report_gone(self, identity: str) -> None:
-        """Let the platform's list say that a node is gone, to those whom it reaches."""
+        """Report a dead node to all nodes that can reach the platform."""
         if self.store.faults.down:
             self.at(VM_LIST_LAG_MS, lambda: self._report_gone(identity))
             return
@@ -223,11 +230,11 @@
         return self.start(name, self.hosts[name].data_centre, peers)
 
     def pause(self, name: str) -> None:
-        """Freeze a node; what arrives waits."""
+        """Freeze a node; its events queue."""
         self.hosts[name].paused = True
 
     def resume(self, name: str) -> None:
-        """Let a frozen node go on."""
+        """Resume a frozen node and deliver its queued events."""
         host = self.hosts[name]
         host.paused = False
         inbox = host.inbox
@@ -243,14 +250,14 @@
         self.at(node.TICK_MS, lambda: self._tick(host))
 
     def deliver(self, host: Host, event: events.Event) -> None:
-        """Hand an event to a node and carry its actions out."""
+        """Deliver an event to a node and execute the resulting actions."""
         if not host.alive:
             return
         if host.paused:
             host.inbox.append(event)
             return
         for action in host.node.handle(event):
-            # A test may act at an exact point, and keep the action from happening.
+            # Tests inject faults at an exact action, or suppress it.
             if self.interfere is None or self.interfere(host, action):
                 self._perform(host, action)
         self.journal.revision(host.node.ctx.node, host.node.config.revision)
@@ -287,11 +294,11 @@
     # The network between nodes.
 
     def cut(self, one: str, other: str) -> None:
-        """Cut two data centres or nodes off from each other."""
+        """Partition two data centres or nodes."""
         self.network.cuts.add(frozenset((one, other)))
 
     def heal(self) -> None:
-        """End all cuts and losses."""
+        """Reset the network to its defaults."""
         self.network = Network()
 
     def _is_cut(self, sender: Host, receiver: Host) -> bool:
@@ -316,13 +323,13 @@
         delay = net.delay_ms + self.rng.randrange(net.jitter_ms + 1)
         if self.rng.random() < net.late:
             delay += self.rng.randrange(net.late_ms)
-        # Through the codec, as on the wire: nothing mutable is shared by accident.
+        # Encoded and decoded so that nodes share no mutable state.
         message = node.decode(node.encode(action.message))
         event = events.PeerMessage(sender.node.ctx.node, message)
         identity = action.node
 
         def arrive() -> None:
-            # Looked up on arrival: the receiver may have been restarted meanwhile.
+            # The receiver may have restarted since the message was sent.
             host = self.hosts[receiver.name]
             if "#" in identity and identity != host.node.ctx.node:
                 return
@@ -436,7 +443,7 @@
             self.publish_endpoints()
 
     def publish_offers(self, offers: tuple[data.Offer, ...]) -> None:
-        """Tell all nodes what the cloud sells."""
+        """Publish VM offers to all nodes."""
         self.offers = offers
         for host in self.hosts.values():
             self.deliver(host, events.OffersSeen(offers))
@@ -444,7 +451,7 @@
     # Endpoints.
 
     def add_endpoint(self, info: data.Endpoint) -> FakeEndpoint:
-        """Add an endpoint; nodes hear of it by publish_endpoints."""
+        """Add an endpoint; publish_endpoints makes it known to nodes."""
         endpoint = FakeEndpoint(info)
         self.endpoints[info.name] = endpoint
         return endpoint
@@ -454,12 +461,12 @@
         return tuple(e.info for e in self.endpoints.values() if e.alive)
 
     def publish_endpoints(self) -> None:
-        """Give all nodes the platform's list."""
+        """Publish the platform's endpoint list to all nodes."""
         for host in self.hosts.values():
             self.deliver(host, events.EndpointsSeen(self.listed()))
 
     def kill_endpoint(self, name: str) -> None:
-        """End an endpoint at once: calls there fail after bytes were written."""
+        """Crash an endpoint; its calls fail after bytes were written."""
         endpoint = self.endpoints[name]
         endpoint.alive = False
         for call in list(endpoint.calls.values()):
@@ -494,7 +501,7 @@
             self._fail(call, False, "endpoint refused the call", rest_ms=endpoint.backoff_ms)
             return
         if endpoint.break_at == "sent":
-            # The endpoint never acts on what it got, but the caller can't know.
+            # The request is never executed, but the node cannot know.
             endpoint.break_at = ""
             self._fail(call, True, "connection reset while sending")
             return
@@ -529,7 +536,7 @@
     def _remove_from_batch(
         self, endpoint: FakeEndpoint, request_id: str, attempt: int
     ) -> Call | None:
-        """Take a call out of an engine; the next that waits there starts."""
+        """Remove a call from an engine and start the next queued one."""
         call = endpoint.calls.pop((request_id, attempt), None)
         if call is None:
             return None
@@ -602,7 +609,7 @@
     def _to_node(self, call: Call, event: events.Event) -> None:
         def arrive() -> None:
             host = self.hosts[call.host]
-            # A restarted node has no connection of its former self.
+            # A restarted node has none of its former connections.
             if host.node.ctx.node == call.identity:
                 self.deliver(host, event)
 
@@ -616,7 +623,7 @@
     # Reclaims.
 
     def reclaim(self, names: tuple[str, ...], left_ms: int, notified: tuple[str, ...]) -> None:
-        """Give notice for VMs to some nodes, and take the VMs away in time."""
+        """Announce a reclaim of VMs to some nodes and remove the VMs at the deadline."""
         for name in names:
             if name in self.endpoints:
                 self.journal.leaving(name, self.clock.now())
@@ -635,7 +642,7 @@
     # Callers.
 
     def call(self, name: str, request: data.Request) -> invariants.CallerView:
-        """Send a caller's request in by a node."""
+        """Submit a request through an entry node."""
         caller = self._new_caller(name, request.workspace, request)
         caller.key = request.key
         caller.request_id = request.id
@@ -643,7 +650,7 @@
         return caller
 
     def reattach(self, name: str, former: invariants.CallerView) -> invariants.CallerView:
-        """Let a caller whose connection broke ask for the rest by another node."""
+        """Resume a request through another node after its connection broke."""
         caller = self._new_caller(name, former.workspace, former.request)
         caller.key = former.key
         caller.tokens = list(former.tokens)
@@ -660,12 +667,12 @@
         return caller
 
     def _attach(self, host: Host, caller: invariants.CallerView, position: int) -> None:
-        """Ask a node for the request that a key stands for."""
+        """Attach a caller to the request with its key."""
         attach = events.Attach(caller.name, caller.workspace, caller.key, position)
         self.deliver(host, attach)
 
     def fetch(self, name: str, former: invariants.CallerView) -> invariants.CallerView:
-        """Let a caller ask for the result of a request by its key alone."""
+        """Request the result of an earlier request by its key."""
         caller = self._new_caller(name, former.workspace, None)
         caller.key = former.key
         self._attach(self.hosts[name], caller, 0)
@@ -708,15 +715,12 @@
 def build(
     nodes: dict[str, str], engines_each: int = 2, services_each: int = 1, seed: int = 1
 ) -> World:
-    """Build a world.
+    """Build a world whose nodes have started and joined.
 
     Args:
-      nodes: node name to data centre.
+      nodes: data centre by node name.
       engines_each: engines in each data centre, serving the model "writer".
       services_each: plain services "tickets" in each data centre.
-      seed: of all chance in it.
-    Returns:
-      The world, its nodes started and acquainted.
     """
     world = World(seed)
     for centre in sorted(set(nodes.values())):
@@ -757,7 +761,7 @@
     workspace: str = "okefenokee",
     timeout_ms: int = 120_000,
 ) -> data.Request:
-    """Make a request as the shell of a node would."""
+    """Build a request as a node's shell does."""
     unique = f"{world.hosts[entry].node.ctx.node}/{len(world.callers)}"
     is_service = request_class is data.RequestClass.LOOKUP
     seed_text = f"{workspace}/{key or unique}"
