--- a/plumarch/demo/__main__.py
+++ b/plumarch/demo/__main__.py
@@ -1,4 +1,4 @@
-"""make demo: two deployments under load, a data centre reclaimed, every promise checked."""
+"""Runs two deployments under load, reclaims a data centre and checks all guarantees."""
 
 import asyncio
 import pathlib
@@ -37,10 +37,10 @@
 CHAT_TOKENS = 60
 WAITING_TOKENS = 150
 PROGRESS_S = 2.0
-"""Time between two lines on what is waited for."""
+"""Interval between progress lines."""
 
 SHOWN = 3
-"""Decisions of one kind and workspace that are printed; the rest is counted."""
+"""Maximum number of printed decisions with the same workspace, kind and reason."""
 
 
 class Demo:
@@ -54,7 +54,7 @@
         self.tasks: list[asyncio.Task[callers.Outcome]] = []
 
     def targets(self) -> list[callers.Target]:
-        """Return the workspaces as their callers know them."""
+        """Return the load targets, one per workspace."""
         name = self.plan.name
         return [
             callers.Target(
@@ -68,11 +68,7 @@
         ]
 
     async def run(self) -> list[callers.Outcome]:
-        """Send a mixed load through a reclaim.
-
-        Returns:
-          What became of each request.
-        """
+        """Run a mixed load during a reclaim and return the outcome of each request."""
         balancer = callers.Balancer(list(self.deployment.urls().values()), self.seed)
         async with callers.client() as http:
             callers_by_workspace = [
@@ -91,11 +87,11 @@
         return outcomes
 
     async def _print_progress(self) -> None:
-        """Say from time to time how many answers are waited for."""
+        """Print the number of received answers at intervals."""
         while True:
             left = sum(not task.done() for task in self.tasks)
             print_line(
-                f"{self.plan.name}: {len(self.tasks) - left} of {len(self.tasks)} answers are here"
+                f"{self.plan.name}: {len(self.tasks) - left} of {len(self.tasks)} answers received"
             )
             await asyncio.sleep(PROGRESS_S)
 
@@ -112,7 +108,7 @@
             self._start(caller.submit(key, waiting, seed, WAITING_TOKENS))
 
     def _start(self, work: Awaitable[callers.Outcome]) -> None:
-        """Send a request at some moment of the round."""
+        """Send a request at a random time within the round."""
         delay = self.rng.uniform(0, ROUND_S)
 
         async def later() -> callers.Outcome:
@@ -130,16 +126,16 @@
             for name, url in self.deployment.urls().items()
             if self.deployment.daemons[name].settings.node.data_centre == centre
         ]
-        # The platform's balancer notices after a while that they are no longer ready.
+        # The platform's balancer removes nodes only after failed readiness checks.
         await asyncio.sleep(1.0)
         for url in leaving:
             balancer.remove(url)
         await asyncio.sleep(NOTICE_MS / 1000 - 1.0)
         await self.deployment.remove_centre(centre)
-        print_line(f"--- {centre} is gone")
+        print_line(f"--- {centre}: all VMs stopped")
 
     def journal(self, outcomes: list[callers.Outcome]) -> invariants.Journal:
-        """Return what was observed, for the checks of the promises."""
+        """Return a journal of outcomes and executions for the invariants."""
         journal = invariants.Journal([outcome.view for outcome in outcomes])
         for (workspace, key), count in self.deployment.executions().items():
             for _ in range(count):
@@ -153,7 +149,7 @@
 def print_stories(
     log_file: evidence.Evidence, outcomes: list[callers.Outcome], broken: list[str]
 ) -> None:
-    """Print the story of each request with a broken promise."""
+    """Print the story of each request that violated a guarantee."""
     for outcome in outcomes:
         if any(outcome.view.name in text for text in broken):
             print_line(f"\n--- the story of {outcome.view.name}")
@@ -161,7 +157,7 @@
 
 
 async def show_decisions(name: str, queue: asyncio.Queue[data.Decision]) -> None:
-    """Print decisions as they happen, a few of each kind and workspace."""
+    """Print decisions as they occur, at most SHOWN with the same workspace, kind and reason."""
     shown: dict[tuple[str, str, str], int] = {}
     while True:
         decision = await queue.get()
@@ -181,7 +177,7 @@
 
 
 def print_line(text: str) -> None:
-    """Print a line at once."""
+    """Print and flush a line."""
     print(text, flush=True)
 
 
@@ -189,7 +185,7 @@
     """Run the demo.
 
     Returns:
-      0 if every promise held, else 1.
+      0 if all guarantees held, else 1.
     """
     logs.set_up("ERROR", json_lines=False)
     start = time.monotonic()
@@ -227,10 +223,10 @@
     await asyncio.gather(*(demo.deployment.stop() for demo in demos))
     print_line("\n" + tabulate.tabulate(table, headers="keys"))
     for text in broken:
-        print_line(f"PROMISE BROKEN: {text}")
+        print_line(f"GUARANTEE VIOLATED: {text}")
     took = time.monotonic() - start
     print_line(
-        f"\n{'Every promise held' if not broken else 'Promises were broken'}, in {took:.0f} s."
+        f"\n{'All guarantees held' if not broken else 'Guarantees were violated'}, in {took:.0f} s."
     )
     print_line(f"Logs for `plumarch story KEY LOGS`: {folder}")
     return 1 if broken else 0
--- a/plumarch/demo/deployment.py
+++ b/plumarch/demo/deployment.py
@@ -1,4 +1,4 @@
-"""One deployment of the demo: a platform, endpoints and entry nodes on loopback sockets."""
+"""A demo deployment: platform, endpoints and entry nodes on loopback sockets."""
 
 import asyncio
 import collections
@@ -18,14 +18,14 @@
 ENGINES_PER_CENTRE = 2
 TOKEN_MS = 15.0
 DECISIONS_WAITING = 10_000
-"""Decisions that may wait for a reader; a whole run of the demo makes fewer."""
+"""Maximum number of queued decisions, more than a run produces."""
 
 WATCHED = frozenset({"place", "rehome", "leave", "join", "weaken", "fail", "stay", "slot"})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """What a deployment consists of."""
+    """Data centres, targets and configuration folder of a deployment."""
 
     name: str
     centres: tuple[str, ...]
@@ -56,7 +56,7 @@
         self.shown: collections.Counter[str] = collections.Counter()
 
     async def start(self) -> None:
-        """Start everything, apply the example configuration, wait until all are ready."""
+        """Start all parts, apply the example configuration and wait until all nodes joined."""
         self.platform_listener = await _listen(platform_app.build(self.platform))
         for centre in self.plan.centres:
             await self._start_endpoints(centre)
@@ -160,28 +160,24 @@
         }
 
     def listen(self) -> asyncio.Queue[data.Decision]:
-        """Return a queue that gets every node's decisions."""
+        """Return a queue that receives the decisions of all nodes."""
         queue: asyncio.Queue[data.Decision] = asyncio.Queue(DECISIONS_WAITING)
         for daemon in self.daemons.values():
             daemon.shell.listeners.add(queue)
         return queue
 
     def names_in(self, centre: str) -> list[str]:
-        """Return the names of all VMs of a data centre, nodes and endpoints."""
+        """Return the names of all nodes and endpoints of a data centre."""
         nodes = [n for n, d in self.daemons.items() if d.settings.node.data_centre == centre]
         return nodes + [n for n, vm in self.vms.items() if vm.listed.data_centre == centre]
 
     def announce(self, centre: str, left_ms: int) -> None:
-        """Announce that a whole data centre is reclaimed."""
+        """Announce the reclaim of a data centre."""
         names = self.names_in(centre)
         self.platform.announce(platform_app.NoticeOrder(names, left_ms))
 
     async def remove_centre(self, centre: str) -> list[str]:
-        """End every VM of a data centre at once.
-
-        Returns:
-          The base URLs of its entry nodes.
-        """
+        """Stop all VMs of a data centre and return the base URLs of its nodes."""
         gone = []
         urls = self.urls()
         names = self.names_in(centre)
@@ -197,22 +193,22 @@
         return gone
 
     def executions(self) -> dict[tuple[str, str], int]:
-        """Return how often each workspace and key ran at plain services."""
+        """Return executions at plain services by workspace and key."""
         total: collections.Counter[tuple[str, str]] = collections.Counter()
         for service in self.services.values():
             total.update(service.executions)
         return dict(total)
 
     def recomputed(self) -> int:
-        """Return the tokens that engines computed again."""
+        """Return the number of tokens that engines recomputed."""
         return sum(engine.recomputed for engine in self.engines.values())
 
     def cost(self, hours: float) -> float:
-        """Return what the endpoints cost in a time."""
+        """Return the cost of all endpoints for a number of hours."""
         return hours * sum(vm.listed.price for vm in self.vms.values())
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop all nodes, endpoints and the platform."""
         for daemon in self.daemons.values():
             await _abort_node(daemon)
         for vm in self.vms.values():
@@ -222,7 +218,7 @@
 
 
 async def _abort_node(daemon: daemon_main.Daemon) -> None:
-    """End a node as its VM's end would."""
+    """Abort a node's connections, as the loss of its VM does."""
     await daemon.callers.abort()
     await daemon.operators.abort()
     await daemon.shell.close()
--- a/plumarch/demo/evidence.py
+++ b/plumarch/demo/evidence.py
@@ -1,8 +1,4 @@
-"""What a run of the demo leaves behind: each node's decisions and each caller's tries, as logs.
-
-The lines are those that `plumarch story` reads, so that a broken promise can be traced after
-the demo has ended.
-"""
+"""Logs the decisions and caller attempts of a demo run in the format of `plumarch story`."""
 
 import asyncio
 import pathlib
@@ -14,11 +10,11 @@
 from plumarch.load import callers
 
 CALLER = "caller"
-"""The node name under which callers' tries are written."""
+"""Node name in log lines of caller attempts."""
 
 
 def decision_line(decision: data.Decision) -> bytes:
-    """Return a decision as one line of a log."""
+    """Encode a decision as a log line."""
     fields = {
         "at": decision.at_ms,
         "node": decision.node,
@@ -33,7 +29,7 @@
 
 
 def attempt_lines(outcome: callers.Outcome) -> list[bytes]:
-    """Return the tries of one caller as lines of a log."""
+    """Encode the attempts of a caller as log lines."""
     return [
         msgspec.json.encode(
             {
@@ -51,11 +47,11 @@
 
 
 class Evidence:
-    """The log of one deployment while it runs.
+    """Log of a running deployment.
 
     Attributes:
-      queue: gets the decisions of all its nodes.
-      lines: what was written so far.
+      queue: receives the decisions of all nodes.
+      lines: lines logged so far.
     """
 
     def __init__(
@@ -66,12 +62,12 @@
         self.lines: list[bytes] = []
 
     async def record(self) -> None:
-        """Take in decisions until cancelled."""
+        """Log decisions until cancelled."""
         while True:
             self.lines.append(decision_line(await self.queue.get()))
 
     def close(self, outcomes: list[callers.Outcome]) -> None:
-        """Write the log, with what callers saw."""
+        """Append the caller attempts and write the log file."""
         while not self.queue.empty():
             self.lines.append(decision_line(self.queue.get_nowait()))
         for outcome in outcomes:
@@ -79,6 +75,6 @@
         self.file.write_bytes(b"\n".join(self.lines) + b"\n")
 
     def story(self, key: str) -> str:
-        """Return the story of the request that callers know by a key."""
+        """Return the story of the request with a key."""
         lines = stories.parse(line.decode() for line in self.lines)
         return stories.render(stories.story(lines, key))
--- a/plumarch/proof/processes.py
+++ b/plumarch/proof/processes.py
@@ -212,7 +212,7 @@
                 pass
             time.sleep(0.05)
         logs = "\n".join(p.read_text() for p in sorted(self.folder.glob("process-*.log")))
-        raise AssertionError(f"the system did not start within {START_S:.0f} s:\n{logs[-4000:]}")
+        raise AssertionError(f"the system did not start in time:\n{logs[-4000:]}")
 
     def tool_settings(self) -> pathlib.Path:
         """Write the settings file of the plumarch command."""
