--- a/plumarch/demo/__init__.py
+++ b/plumarch/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Two deployments in one process: load, a reclaim in the middle, and what came of it."""
+"""Demo of two deployments in one process under load and a data centre reclaim."""
--- a/plumarch/demo/__main__.py
+++ b/plumarch/demo/__main__.py
@@ -163,9 +163,9 @@
         decision = await queue.get()
         if decision.kind not in deployment.WATCHED or decision.kind == "slot":
             continue
-        place = (decision.workspace, decision.kind, decision.why)
-        shown[place] = shown.get(place, 0) + 1
-        if shown[place] > SHOWN:
+        group = (decision.workspace, decision.kind, decision.why)
+        shown[group] = shown.get(group, 0) + 1
+        if shown[group] > SHOWN:
             continue
         others = ", ".join(f"{c.endpoint} {c.note or round(c.score)}" for c in decision.considered)
         node = decision.node.partition("#")[0]
--- a/plumarch/standins/gossip_fleet.py
+++ b/plumarch/standins/gossip_fleet.py
@@ -235,17 +235,21 @@
     def carry(self, sender: Node, datagram: bytes, address: str) -> None:
         """Deliver a datagram after the network latency, subject to injected faults."""
         found = self.by_address.get(address)
-        far = found is None or found.data_centre != sender.data_centre
-        self.datagrams[far] += 1
-        self.bytes[far] += len(datagram)
+        leaves_centre = found is None or found.data_centre != sender.data_centre
+        self.datagrams[leaves_centre] += 1
+        self.bytes[leaves_centre] += len(datagram)
         if found is None:
             return
-        between = self.region_of(found) != self.region_of(sender)
-        self.region_bytes += len(datagram) * between
+        leaves_region = self.region_of(found) != self.region_of(sender)
+        self.region_bytes += len(datagram) * leaves_region
         if self.cut(sender, found) or self.rng.random() < self.loss_fraction:
             return
         network_ms = (
-            REGION_LATENCY_MS if between else CROSS_CENTRE_LATENCY_MS if far else CENTRE_LATENCY_MS
+            REGION_LATENCY_MS
+            if leaves_region
+            else CROSS_CENTRE_LATENCY_MS
+            if leaves_centre
+            else CENTRE_LATENCY_MS
         )
         for _ in range(1 + (self.rng.random() < self.duplicate_fraction)):
             self.schedule(
