--- a/plumarch/gateway/store/quarantine_record_test.py
+++ b/plumarch/gateway/store/quarantine_record_test.py
@@ -161,7 +161,7 @@
         replay.store.revision += 1
         spoiled = quarantine_record.records.Record(record.name, "[[", replay.store.revision)
         replay.store.kept[key] = spoiled
-        replay.store.wake()
+        replay.store.notify_watchers()
         await replay.run(1_000)
         assert without_hold(replay) == []
         found = quarantine_record.decode(replay.store.kept[key].value)
--- a/tests/fleet_test.py
+++ b/tests/fleet_test.py
@@ -169,8 +169,8 @@
     assert [token for token in world.cloud.answers if former.name in token] == list(before)
     newer = events.CloudOrder(1, "newer", False, "none", "", "", "", 9)
     stale = events.CloudOrder(1, "stale", True, "", "writer", "a", CHEAP, 8)
-    assert world._carry_out(newer)[0] is events.CloudStatus.DONE
-    assert world._carry_out(stale)[0] is events.CloudStatus.FENCED
+    assert world._execute_order(newer)[0] is events.CloudStatus.DONE
+    assert world._execute_order(stale)[0] is events.CloudStatus.FENCED
 
 
 def test_without_the_platform_nothing_is_started_or_released() -> None:
