--- a/plumarch/demo/__main__.py
+++ b/plumarch/demo/__main__.py
@@ -1,4 +1,4 @@
-"""make demo: two deployments under load, a data centre reclaimed, every promise checked."""
+"""Runs two deployments under load, reclaims a data centre and checks all guarantees."""
 
 import asyncio
 import pathlib
@@ -37,10 +37,10 @@
 CHAT_TOKENS = 60
 WAITING_TOKENS = 150
 PROGRESS_S = 2.0
-"""Time between two lines on what is waited for."""
+"""Interval between progress lines."""
 
 SHOWN = 3
-"""Decisions of one kind and workspace that are printed; the rest is counted."""
+"""Maximum number of printed decisions with the same workspace, kind and reason."""
 
 
 class Demo:
@@ -54,7 +54,7 @@
         self.tasks: list[asyncio.Task[callers.Outcome]] = []
 
     def targets(self) -> list[callers.Target]:
-        """Return the workspaces as their callers know them."""
+        """Return the load targets, one per workspace."""
         name = self.plan.name
         return [
             callers.Target(
@@ -68,47 +68,47 @@
         ]
 
     async def run(self) -> list[callers.Outcome]:
-        """Send a mixed load through a reclaim.
-
-        Returns:
-          What became of each request.
-        """
+        """Run a mixed load during a reclaim and return the outcome of each request."""
         balancer = callers.Balancer(list(self.deployment.urls().values()), self.seed)
         async with callers.client() as http:
-            lanes = [callers.Caller(http, balancer, target) for target in self.targets()]
+            callers_by_workspace = [
+                callers.Caller(http, balancer, target) for target in self.targets()
+            ]
             for number in range(ROUNDS):
-                for lane in lanes:
-                    self._send_round(lane, number)
+                for caller in callers_by_workspace:
+                    self._send_round(caller, number)
                 if number == RECLAIM_ROUND:
-                    self.tasks_of_reclaim = asyncio.ensure_future(self._reclaim(balancer))
+                    self.reclaim_task = asyncio.ensure_future(self._reclaim(balancer))
                 await asyncio.sleep(ROUND_S)
-            waiting = asyncio.ensure_future(self._tell_what_is_missing())
+            waiting = asyncio.ensure_future(self._print_progress())
             outcomes = await asyncio.gather(*self.tasks)
-            await self.tasks_of_reclaim
+            await self.reclaim_task
             waiting.cancel()
         return outcomes
 
-    async def _tell_what_is_missing(self) -> None:
-        """Say from time to time how many answers are waited for."""
+    async def _print_progress(self) -> None:
+        """Print the number of received answers at intervals."""
         while True:
             left = sum(not task.done() for task in self.tasks)
-            say(f"{self.plan.name}: {len(self.tasks) - left} of {len(self.tasks)} answers are here")
+            print_line(
+                f"{self.plan.name}: {len(self.tasks) - left} of {len(self.tasks)} answers received"
+            )
             await asyncio.sleep(PROGRESS_S)
 
-    def _send_round(self, lane: callers.Caller, number: int) -> None:
-        name = lane.target.workspace
+    def _send_round(self, caller: callers.Caller, number: int) -> None:
+        name = caller.target.workspace
         seed = self.seed * 1000 + number
         waiting = WAITING[self.plan.name]
-        self._start(lane.chat(f"{name}-chat-{number}", seed, CHAT_TOKENS))
-        self._start(lane.ticket(f"{name}-once-{number}"))
+        self._start(caller.chat(f"{name}-chat-{number}", seed, CHAT_TOKENS))
+        self._start(caller.ticket(f"{name}-once-{number}"))
         for part in range(3):
-            self._start(lane.lookup(f"{name}-status-{number}-{part}"))
+            self._start(caller.lookup(f"{name}-status-{number}-{part}"))
         if number % 2 == 1:
             key = f"{name}-{waiting}-{number}"
-            self._start(lane.submit(key, waiting, seed, WAITING_TOKENS))
+            self._start(caller.submit(key, waiting, seed, WAITING_TOKENS))
 
     def _start(self, work: Awaitable[callers.Outcome]) -> None:
-        """Send a request at some moment of the round."""
+        """Send a request at a random time within the round."""
         delay = self.rng.uniform(0, ROUND_S)
 
         async def later() -> callers.Outcome:
@@ -119,23 +119,23 @@
 
     async def _reclaim(self, balancer: callers.Balancer) -> None:
         centre = self.plan.centres[0]
-        say(f"--- {centre} will be reclaimed in {NOTICE_MS} ms: nodes, engines and services")
+        print_line(f"--- {centre} will be reclaimed in {NOTICE_MS} ms: nodes, engines and services")
         self.deployment.announce(centre, NOTICE_MS)
         leaving = [
             url
             for name, url in self.deployment.urls().items()
             if self.deployment.daemons[name].settings.node.data_centre == centre
         ]
-        # The platform's balancer notices after a while that they are no longer ready.
+        # The platform's balancer removes nodes only after failed readiness checks.
         await asyncio.sleep(1.0)
         for url in leaving:
             balancer.remove(url)
         await asyncio.sleep(NOTICE_MS / 1000 - 1.0)
-        await self.deployment.take_away(centre)
-        say(f"--- {centre} is gone")
+        await self.deployment.remove_centre(centre)
+        print_line(f"--- {centre}: all VMs stopped")
 
     def journal(self, outcomes: list[callers.Outcome]) -> invariants.Journal:
-        """Return what was observed, for the checks of the promises."""
+        """Return a journal of outcomes and executions for the invariants."""
         journal = invariants.Journal([outcome.view for outcome in outcomes])
         for (workspace, key), count in self.deployment.executions().items():
             for _ in range(count):
@@ -146,38 +146,38 @@
         return journal
 
 
-def tell_stories(
-    kept: evidence.Evidence, outcomes: list[callers.Outcome], broken: list[str]
+def print_stories(
+    log_file: evidence.Evidence, outcomes: list[callers.Outcome], broken: list[str]
 ) -> None:
-    """Print the story of each request with a broken promise."""
+    """Print the story of each request that violated a guarantee."""
     for outcome in outcomes:
         if any(outcome.view.name in text for text in broken):
-            say(f"\n--- the story of {outcome.view.name}")
-            say(kept.story(outcome.view.key))
+            print_line(f"\n--- the story of {outcome.view.name}")
+            print_line(log_file.story(outcome.view.key))
 
 
 async def show_decisions(name: str, queue: asyncio.Queue[data.Decision]) -> None:
-    """Print decisions as they happen, a few of each kind and workspace."""
+    """Print decisions as they occur, at most SHOWN with the same workspace, kind and reason."""
     shown: dict[tuple[str, str, str], int] = {}
     while True:
         decision = await queue.get()
         if decision.kind not in deployment.WATCHED or decision.kind == "slot":
             continue
-        place = (decision.workspace, decision.kind, decision.why)
-        shown[place] = shown.get(place, 0) + 1
-        if shown[place] > SHOWN:
+        group = (decision.workspace, decision.kind, decision.why)
+        shown[group] = shown.get(group, 0) + 1
+        if shown[group] > SHOWN:
             continue
         others = ", ".join(f"{c.endpoint} {c.note or round(c.score)}" for c in decision.considered)
         node = decision.node.partition("#")[0]
-        say(
+        print_line(
             f"{node:11} {decision.workspace or name:20} {decision.kind:7}"
             f" {decision.choice.partition('#')[0]}: {decision.why}"
             + (f" [{others}]" if others else "")
         )
 
 
-def say(text: str) -> None:
-    """Print a line at once."""
+def print_line(text: str) -> None:
+    """Print and flush a line."""
     print(text, flush=True)
 
 
@@ -185,32 +185,32 @@
     """Run the demo.
 
     Returns:
-      0 if every promise held, else 1.
+      0 if all guarantees held, else 1.
     """
     logs.set_up("ERROR", json_lines=False)
     start = time.monotonic()
     folder = pathlib.Path(tempfile.mkdtemp(prefix="plumarch-demo-"))
     demos = [Demo(plan, number + 1) for number, plan in enumerate(PLANS)]
     await asyncio.gather(*(demo.deployment.start() for demo in demos))
-    say(f"Two deployments are ready after {time.monotonic() - start:.1f} s.")
+    print_line(f"Two deployments are ready after {time.monotonic() - start:.1f} s.")
     watchers = [
         asyncio.ensure_future(show_decisions(demo.plan.name, demo.deployment.listen()))
         for demo in demos
     ]
     logged = [evidence.Evidence(folder, demo.plan.name, demo.deployment.listen()) for demo in demos]
-    watchers += [asyncio.ensure_future(kept.record()) for kept in logged]
+    watchers += [asyncio.ensure_future(log_file.record()) for log_file in logged]
     results = await asyncio.gather(*(demo.run() for demo in demos))
     broken: list[str] = []
     table = []
     hours = (time.monotonic() - start) / 3600
-    for demo, outcomes, kept in zip(demos, results, logged, strict=True):
+    for demo, outcomes, log_file in zip(demos, results, logged, strict=True):
         journal = demo.journal(outcomes)
         found = invariants.violations(journal)
         found += invariants.accepted_and_unfinished(journal)
         found += [f"{o.view.name} got no answer" for o in outcomes if not o.view.ends]
         broken += found
-        kept.close(outcomes)
-        tell_stories(kept, outcomes, found)
+        log_file.close(outcomes)
+        print_stories(log_file, outcomes, found)
         more = {
             f"{demo.plan.name}-{WORKSPACES[demo.plan.name][0]}": {
                 "recomputed tokens (all)": demo.deployment.recomputed(),
@@ -221,12 +221,14 @@
     for watcher in watchers:
         watcher.cancel()
     await asyncio.gather(*(demo.deployment.stop() for demo in demos))
-    say("\n" + tabulate.tabulate(table, headers="keys"))
+    print_line("\n" + tabulate.tabulate(table, headers="keys"))
     for text in broken:
-        say(f"PROMISE BROKEN: {text}")
+        print_line(f"GUARANTEE VIOLATED: {text}")
     took = time.monotonic() - start
-    say(f"\n{'Every promise held' if not broken else 'Promises were broken'}, in {took:.0f} s.")
-    say(f"Logs for `plumarch story KEY LOGS`: {folder}")
+    print_line(
+        f"\n{'All guarantees held' if not broken else 'Guarantees were violated'}, in {took:.0f} s."
+    )
+    print_line(f"Logs for `plumarch story KEY LOGS`: {folder}")
     return 1 if broken else 0
 
 
--- a/plumarch/gateway/store/quarantine_record_test.py
+++ b/plumarch/gateway/store/quarantine_record_test.py
@@ -161,7 +161,7 @@
         replay.store.revision += 1
         spoiled = quarantine_record.records.Record(record.name, "[[", replay.store.revision)
         replay.store.kept[key] = spoiled
-        replay.store.wake()
+        replay.store.notify_watchers()
         await replay.run(1_000)
         assert not_quarantined(replay) == []
         found = quarantine_record.decode(replay.store.kept[key].value)
--- a/plumarch/gateway/store/store_calls_test.py
+++ b/plumarch/gateway/store/store_calls_test.py
@@ -55,7 +55,7 @@
     async def test(replay: store_replay.StoreReplay, store: store_replay.CountedStore) -> None:
         for _ in range(2):
             await replay.run(START_MS)
-            assert replay.behind() == []
+            assert replay.stale_nodes() == []
             replay.restart_all()
 
     store = play(LARGEST, test)
@@ -76,7 +76,7 @@
         store.down = False
         store.configure()
         await replay.run(REACHED_MS)
-        assert replay.behind() == []
+        assert replay.stale_nodes() == []
         assert len(replay.followers()) <= 2 * store_followers.MAX_PER_CENTRE * LARGEST.data_centres
 
     assert_within_limits(play(LARGEST, test))
@@ -95,7 +95,7 @@
 
 
 def silence(replay: store_replay.StoreReplay, node: gossip_fleet.Node) -> None:
-    replay.store.silent.add(node.name)
+    replay.store.unresponsive.add(node.name)
 
 
 FAULTS = [freeze, kill, refuse, silence]
@@ -108,7 +108,7 @@
     replay.store.put(endpoint(traffic.EndpointState.DRAINING))
     await replay.run(REACHED_MS)
     frozen = {node.name for node in replay.fleet.live() if node.frozen}
-    assert set(replay.behind()) <= frozen
+    assert set(replay.stale_nodes()) <= frozen
 
 
 def test_one_node_of_each_of_many_data_centres_follows_the_store():
@@ -156,7 +156,7 @@
         store.refused |= alone
         store.put(endpoint())
         await replay.run(SETTLE_MS)
-        assert replay.behind() == []
+        assert replay.stale_nodes() == []
         for name in alone:
             assert replay.fleet.nodes[name].state.table_source != follower.STORE
         await change_all(replay)
--- a/plumarch/standins/virtual.py
+++ b/plumarch/standins/virtual.py
@@ -1,7 +1,6 @@
-"""Nodes, endpoints and a platform in one process on virtual time, without sockets.
+"""Simulates nodes, endpoints and a platform in one process on virtual time.
 
-Small fakes at the interfaces of docs/SEAMS.md, for focused tests of failures:
-whatever crosses an interface can be delayed, lost, doubled or cut off.
+Messages across each interface can be delayed, lost, duplicated or partitioned.
 """
 
 import collections
@@ -25,7 +24,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Network:
-    """Delays and faults between nodes, by data centre or node name."""
+    """Delays and faults between nodes.
+
+    Attributes:
+      lose: fraction of messages lost.
+      double: fraction of messages delivered twice.
+      late: fraction of messages delayed by up to late_ms.
+      cuts: pairs of data centres or nodes that are partitioned.
+      platform_cuts: data centres or nodes that cannot reach the platform.
+    """
 
     delay_ms: int = 2
     jitter_ms: int = 2
@@ -39,7 +46,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Host:
-    """A node's process: it can be paused, killed and started anew."""
+    """A node's process, which can be paused, killed and restarted."""
 
     name: str
     data_centre: str
@@ -51,7 +58,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """A request at a fake endpoint."""
+    """A request in progress at a fake endpoint."""
 
     host: str
     identity: str
@@ -63,16 +70,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineModel:
-    """How fast a fake engine is.
+    """Performance model of a fake engine.
 
     Attributes:
-      prefill_ms: time before the first token, whatever the prompt.
-      prefill_token_ms: more of it for each prompt token that is not in the prefix cache.
-      crowding: share by which each other request in the batch slows tokens down.
-      prefix_tokens: tokens of a prompt that a cached prefix covers.
-      cache_limit: prefixes kept.
-      tokens_per_event: tokens that come together, after the first.
-      batch: requests that run at once; further ones wait in the engine; 0 for any number.
+      prefill_ms: fixed part of the time to first token.
+      prefill_token_ms: additional time for each prompt token not in the prefix cache.
+      crowding: relative slowdown of decoding per other request in the batch.
+      prefix_tokens: prompt tokens that a cached prefix covers.
+      cache_limit: maximum number of cached prefixes.
+      tokens_per_event: tokens per event after the first.
+      batch: maximum batch size, beyond which requests queue; 0 for no limit.
     """
 
     prefill_ms: float = PREFILL_MS
@@ -90,11 +97,11 @@
     """An engine or plain service.
 
     Attributes:
-      fencing: highest token seen for each slot.
-      break_at: where the next call is interrupted: "", "connect", "sent" or "ran".
-      sheds_ms: the rest that it asks for as it refuses each call, or None if it takes them.
-      refused: how many calls it refused.
-      announces: the request rate that its answers announce, or None.
+      fencing: highest fencing token seen for each slot.
+      break_at: stage at which the next call fails: "", "connect", "sent" or "ran".
+      backoff_ms: if set, each call is rejected with this Retry-After.
+      refused: number of rejected calls.
+      announced_rate: request rate announced with each answer, or None.
     """
 
     info: data.Endpoint
@@ -102,16 +109,16 @@
     slow: float = 1.0
     fencing: dict[int, int] = dataclasses.field(default_factory=dict)
     break_at: str = ""
-    sheds_ms: int | None = None
+    backoff_ms: int | None = None
     refused: int = 0
-    announces: float | None = None
+    announced_rate: float | None = None
     calls: dict[tuple[str, int], Call] = dataclasses.field(default_factory=dict)
     cached: dict[int, None] = dataclasses.field(default_factory=dict)
     model: EngineModel = EngineModel()
     waiting: list[Call] = dataclasses.field(default_factory=list)
 
     def prefill(self, request: data.Request) -> int:
-        """Return the prompt tokens to compute, after what the prefix cache holds."""
+        """Return the number of prompt tokens that the prefix cache does not cover."""
         hit = request.prefix in self.cached
         self.cached.pop(request.prefix, None)
         if self.model.cache_limit and request.prefix:
@@ -126,9 +133,9 @@
     """Starts and releases VMs on order.
 
     Attributes:
-      refused: data centre and class of which no VM can be had.
-      lose_answers: share of orders carried out whose answer is lost.
-      answers: what was answered, by the order's token.
+      refused: pairs of data centre and VM class without supply.
+      lose_answers: fraction of executed orders whose answer is lost.
+      answers: answers by order token, so that repeated orders are idempotent.
     """
 
     start_ms: int = 30_000
@@ -141,7 +148,7 @@
 
 
 class World:
-    """Everything on one virtual clock."""
+    """A simulated deployment on one virtual clock."""
 
     def __init__(self, seed: int = 1) -> None:
         self.rng = random.Random(seed)
@@ -163,26 +170,26 @@
         self.observed: list[events.Observe] = []
         self.incarnations: collections.Counter[str] = collections.Counter()
         self.attempts: dict[tuple[str, int], FakeEndpoint] = {}
-        self.told: list[str] = []
-        self.poison: set[str] = set()
-        """Keys of requests that end each endpoint that begins to run them."""
+        self.caller_events: list[str] = []
+        self.crashing_keys: set[str] = set()
+        """Keys of requests that crash every endpoint that runs them."""
         self.interfere: Callable[[Host, events.Action], bool] | None = None
         self.bytes_sent: collections.Counter[str] = collections.Counter()
 
     # Time.
 
-    def at(self, delay_ms: int, do: Callable[[], None]) -> None:
-        """Do something after a delay."""
+    def at(self, delay_ms: int, callback: Callable[[], None]) -> None:
+        """Schedule a callback after a delay."""
         due = self.clock.now() + max(0, delay_ms)
-        heapq.heappush(self.queue, (due, next(self.sequence), do))
+        heapq.heappush(self.queue, (due, next(self.sequence), callback))
 
     def run(self, for_ms: int) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time and run what is due."""
         end = self.clock.now() + for_ms
         while self.queue and self.queue[0][0] <= end:
-            due, _, do = heapq.heappop(self.queue)
+            due, _, callback = heapq.heappop(self.queue)
             self.clock.advance_to(due)
-            do()
+            callback()
         self.clock.advance_to(end)
 
     # Nodes.
@@ -200,18 +207,18 @@
         return host
 
     def kill(self, name: str) -> None:
-        """End a node at once; its callers lose their connections."""
+        """Kill a node; its callers lose their connections."""
         host = self.hosts[name]
         host.alive = False
-        self.at(VM_LIST_LAG_MS, lambda: self._list_gone(host.node.ctx.node))
+        self.at(VM_LIST_LAG_MS, lambda: self._report_gone(host.node.ctx.node))
         for caller, entry in self.entry.items():
             if entry == self.hosts[name].node.ctx.node:
                 self.callers[caller].lost = True
 
-    def _list_gone(self, identity: str) -> None:
-        """Let the platform's list say that a node is gone, to those whom it reaches."""
+    def _report_gone(self, identity: str) -> None:
+        """Report a dead node to all nodes that can reach the platform."""
         if self.store.faults.down:
-            self.at(VM_LIST_LAG_MS, lambda: self._list_gone(identity))
+            self.at(VM_LIST_LAG_MS, lambda: self._report_gone(identity))
             return
         for host in self.hosts.values():
             if not {host.name, host.data_centre} & self.network.platform_cuts:
@@ -223,11 +230,11 @@
         return self.start(name, self.hosts[name].data_centre, peers)
 
     def pause(self, name: str) -> None:
-        """Freeze a node; what arrives waits."""
+        """Freeze a node; its events queue."""
         self.hosts[name].paused = True
 
     def resume(self, name: str) -> None:
-        """Let a frozen node go on."""
+        """Resume a frozen node and deliver its queued events."""
         host = self.hosts[name]
         host.paused = False
         inbox = host.inbox
@@ -243,14 +250,14 @@
         self.at(node.TICK_MS, lambda: self._tick(host))
 
     def deliver(self, host: Host, event: events.Event) -> None:
-        """Hand an event to a node and carry its actions out."""
+        """Deliver an event to a node and execute the resulting actions."""
         if not host.alive:
             return
         if host.paused:
             host.inbox.append(event)
             return
         for action in host.node.handle(event):
-            # A test may act at an exact point, and keep the action from happening.
+            # Tests inject faults at an exact action, or suppress it.
             if self.interfere is None or self.interfere(host, action):
                 self._perform(host, action)
         self.journal.revision(host.node.ctx.node, host.node.config.revision)
@@ -262,7 +269,7 @@
             case events.Send():
                 self._send(host, action)
             case events.HandOver():
-                self._hand_over(host, action)
+                self._dispatch(host, action)
             case events.Abort():
                 self._abort(action)
             case events.PlatformGet() | events.PlatformPut():
@@ -270,13 +277,13 @@
             case events.CloudOrder():
                 self._order(host, action)
             case events.TellAccepted():
-                self._told_accepted(action)
+                self._record_accepted(action)
             case events.TellTokens():
-                self.callers[action.watcher_id].told_tokens(action.position, action.tokens)
+                self.callers[action.watcher_id].receive_tokens(action.position, action.tokens)
                 upto = action.position + len(action.tokens)
-                self._tell(action.watcher_id, f"tokens {action.position} to {upto}")
+                self._record(action.watcher_id, f"tokens {action.position} to {upto}")
             case events.TellEnd():
-                self._told_end(action)
+                self._record_end(action)
             case events.Note():
                 self.decisions.append(action.decision)
             case events.Count():
@@ -287,11 +294,11 @@
     # The network between nodes.
 
     def cut(self, one: str, other: str) -> None:
-        """Cut two data centres or nodes off from each other."""
+        """Partition two data centres or nodes."""
         self.network.cuts.add(frozenset((one, other)))
 
     def heal(self) -> None:
-        """End all cuts and losses."""
+        """Reset the network to its defaults."""
         self.network = Network()
 
     def _is_cut(self, sender: Host, receiver: Host) -> bool:
@@ -316,13 +323,13 @@
         delay = net.delay_ms + self.rng.randrange(net.jitter_ms + 1)
         if self.rng.random() < net.late:
             delay += self.rng.randrange(net.late_ms)
-        # Through the codec, as on the wire: nothing mutable is shared by accident.
+        # Encoded and decoded so that nodes share no mutable state.
         message = node.decode(node.encode(action.message))
         event = events.PeerMessage(sender.node.ctx.node, message)
         identity = action.node
 
         def arrive() -> None:
-            # Looked up on arrival: the receiver may have been restarted meanwhile.
+            # The receiver may have restarted since the message was sent.
             host = self.hosts[receiver.name]
             if "#" in identity and identity != host.node.ctx.node:
                 return
@@ -384,13 +391,13 @@
             answer = events.CloudAnswer(order.call_id, status.UNKNOWN)
             self.at(5, lambda: self.deliver(host, answer))
             return
-        told, name = self._carry_out(order)
+        reported, name = self._execute_order(order)
         if self.rng.random() < self.cloud.lose_answers:
-            told = status.UNKNOWN
-        answer = events.CloudAnswer(order.call_id, told, name)
+            reported = status.UNKNOWN
+        answer = events.CloudAnswer(order.call_id, reported, name)
         self.at(10, lambda: self.deliver(host, answer))
 
-    def _carry_out(self, order: events.CloudOrder) -> tuple[events.CloudStatus, str]:
+    def _execute_order(self, order: events.CloudOrder) -> tuple[events.CloudStatus, str]:
         cloud = self.cloud
         if order.token in cloud.answers:
             return cloud.answers[order.token]
@@ -428,15 +435,15 @@
                 reclaimable=offer.reclaimable,
             )
         )
-        self.tell_list()
+        self.publish_endpoints()
 
     def _release_vm(self, name: str) -> None:
         if name in self.endpoints:
             self.kill_endpoint(name)
-            self.tell_list()
+            self.publish_endpoints()
 
-    def tell_offers(self, offers: tuple[data.Offer, ...]) -> None:
-        """Tell all nodes what the cloud sells."""
+    def publish_offers(self, offers: tuple[data.Offer, ...]) -> None:
+        """Publish VM offers to all nodes."""
         self.offers = offers
         for host in self.hosts.values():
             self.deliver(host, events.OffersSeen(offers))
@@ -444,7 +451,7 @@
     # Endpoints.
 
     def add_endpoint(self, info: data.Endpoint) -> FakeEndpoint:
-        """Add an endpoint; nodes hear of it by tell_list."""
+        """Add an endpoint; publish_endpoints makes it known to nodes."""
         endpoint = FakeEndpoint(info)
         self.endpoints[info.name] = endpoint
         return endpoint
@@ -453,20 +460,20 @@
         """Return the platform's list of endpoints."""
         return tuple(e.info for e in self.endpoints.values() if e.alive)
 
-    def tell_list(self) -> None:
-        """Give all nodes the platform's list."""
+    def publish_endpoints(self) -> None:
+        """Publish the platform's endpoint list to all nodes."""
         for host in self.hosts.values():
             self.deliver(host, events.EndpointsSeen(self.listed()))
 
     def kill_endpoint(self, name: str) -> None:
-        """End an endpoint at once: calls there fail after bytes were written."""
+        """Crash an endpoint; its calls fail after bytes were written."""
         endpoint = self.endpoints[name]
         endpoint.alive = False
         for call in list(endpoint.calls.values()):
             self._fail(call, True, "connection reset", broken=True)
         endpoint.calls.clear()
 
-    def _hand_over(self, host: Host, action: events.HandOver) -> None:
+    def _dispatch(self, host: Host, action: events.HandOver) -> None:
         endpoint = self.endpoints[action.endpoint.name]
         call = Call(host.name, host.node.ctx.node, action, len(action.tokens))
         self.attempts[(action.request.id, action.attempt)] = endpoint
@@ -489,16 +496,16 @@
 
     def _execute(self, endpoint: FakeEndpoint, call: Call) -> None:
         request = call.action.request
-        if endpoint.sheds_ms is not None:
+        if endpoint.backoff_ms is not None:
             endpoint.refused += 1
-            self._fail(call, False, "endpoint refused the call", backoff_ms=endpoint.sheds_ms)
+            self._fail(call, False, "endpoint refused the call", backoff_ms=endpoint.backoff_ms)
             return
         if endpoint.break_at == "sent":
-            # The endpoint never acts on what it got, but the caller can't know.
+            # The request is never executed, but the node cannot know.
             endpoint.break_at = ""
             self._fail(call, True, "connection reset while sending")
             return
-        rate = events.EndpointRate(request.id, call.action.attempt, endpoint.announces)
+        rate = events.EndpointRate(request.id, call.action.attempt, endpoint.announced_rate)
         self._to_node(call, rate)
         self.journal.executions.append(
             invariants.Execution(
@@ -510,7 +517,7 @@
                 request.repeatable,
             )
         )
-        if request.key in self.poison:
+        if request.key in self.crashing_keys:
             endpoint.calls[(request.id, call.action.attempt)] = call
             self.at(PREFILL_MS, lambda: self.kill_endpoint(endpoint.info.name))
             return
@@ -526,8 +533,10 @@
         else:
             self._prefill(endpoint, call)
 
-    def _leave_batch(self, endpoint: FakeEndpoint, request_id: str, attempt: int) -> Call | None:
-        """Take a call out of an engine; the next that waits there starts."""
+    def _remove_from_batch(
+        self, endpoint: FakeEndpoint, request_id: str, attempt: int
+    ) -> Call | None:
+        """Remove a call from an engine and start the next queued one."""
         call = endpoint.calls.pop((request_id, attempt), None)
         if call is None:
             return None
@@ -556,7 +565,7 @@
         source = self.attempts.get((action.request.id, action.import_attempt))
         if source is None or not source.alive or not self.exports_kv:
             return False
-        old = self._leave_batch(source, action.request.id, action.import_attempt)
+        old = self._remove_from_batch(source, action.request.id, action.import_attempt)
         return old is not None
 
     def _make_token(self, endpoint: FakeEndpoint, call: Call) -> None:
@@ -581,7 +590,7 @@
 
     def _finish(self, endpoint: FakeEndpoint, call: Call) -> None:
         request = call.action.request
-        if self._leave_batch(endpoint, request.id, call.action.attempt) is None:
+        if self._remove_from_batch(endpoint, request.id, call.action.attempt) is None:
             return
         body = b"" if request.kind is data.EndpointKind.ENGINE else request.id.encode()
         reply = data.Reply(200, "text/plain", body)
@@ -600,7 +609,7 @@
     def _to_node(self, call: Call, event: events.Event) -> None:
         def arrive() -> None:
             host = self.hosts[call.host]
-            # A restarted node has no connection of its former self.
+            # A restarted node has none of its former connections.
             if host.node.ctx.node == call.identity:
                 self.deliver(host, event)
 
@@ -609,31 +618,31 @@
     def _abort(self, action: events.Abort) -> None:
         endpoint = self.attempts.get((action.request_id, action.attempt))
         if endpoint is not None:
-            self._leave_batch(endpoint, action.request_id, action.attempt)
+            self._remove_from_batch(endpoint, action.request_id, action.attempt)
 
     # Reclaims.
 
-    def reclaim(self, names: tuple[str, ...], left_ms: int, told: tuple[str, ...]) -> None:
-        """Give notice for VMs to some nodes, and take the VMs away in time."""
+    def reclaim(self, names: tuple[str, ...], left_ms: int, notified: tuple[str, ...]) -> None:
+        """Announce a reclaim of VMs to some nodes and remove the VMs at the deadline."""
         for name in names:
             if name in self.endpoints:
                 self.journal.leaving(name, self.clock.now())
-        for name in told:
+        for name in notified:
             self.deliver(self.hosts[name], events.ReclaimNotice(names, left_ms))
-        self.at(left_ms, lambda: self._take_away(names))
+        self.at(left_ms, lambda: self._remove_vms(names))
 
-    def _take_away(self, names: tuple[str, ...]) -> None:
+    def _remove_vms(self, names: tuple[str, ...]) -> None:
         for name in names:
             if name in self.endpoints:
                 self.kill_endpoint(name)
             elif name in self.hosts:
                 self.kill(name)
-        self.tell_list()
+        self.publish_endpoints()
 
     # Callers.
 
     def call(self, name: str, request: data.Request) -> invariants.CallerView:
-        """Send a caller's request in by a node."""
+        """Submit a request through an entry node."""
         caller = self._new_caller(name, request.workspace, request)
         caller.key = request.key
         caller.request_id = request.id
@@ -641,7 +650,7 @@
         return caller
 
     def reattach(self, name: str, former: invariants.CallerView) -> invariants.CallerView:
-        """Let a caller whose connection broke ask for the rest by another node."""
+        """Resume a request through another node after its connection broke."""
         caller = self._new_caller(name, former.workspace, former.request)
         caller.key = former.key
         caller.tokens = list(former.tokens)
@@ -658,12 +667,12 @@
         return caller
 
     def _attach(self, host: Host, caller: invariants.CallerView, position: int) -> None:
-        """Ask a node for the request that a key stands for."""
+        """Attach a caller to the request with its key."""
         attach = events.Attach(caller.name, caller.workspace, caller.key, position)
         self.deliver(host, attach)
 
     def fetch(self, name: str, former: invariants.CallerView) -> invariants.CallerView:
-        """Let a caller ask for the result of a request by its key alone."""
+        """Request the result of an earlier request by its key."""
         caller = self._new_caller(name, former.workspace, None)
         caller.key = former.key
         self._attach(self.hosts[name], caller, 0)
@@ -681,21 +690,21 @@
         self.entry[caller.name] = self.hosts[name].node.ctx.node
         return caller
 
-    def _tell(self, caller: str, what: str) -> None:
-        self.told.append(f"{self.clock.now():7} {caller:9} {what}")
+    def _record(self, caller: str, what: str) -> None:
+        self.caller_events.append(f"{self.clock.now():7} {caller:9} {what}")
 
-    def _told_accepted(self, action: events.TellAccepted) -> None:
+    def _record_accepted(self, action: events.TellAccepted) -> None:
         weakened = f", weakened: {action.weakened}" if action.weakened else ""
-        self._tell(action.watcher_id, f"accepted as {action.key}{weakened}")
+        self._record(action.watcher_id, f"accepted as {action.key}{weakened}")
         caller = self.callers[action.watcher_id]
         caller.accepted = True
         caller.key = action.key
         caller.request_id = action.request_id
         caller.weakened = action.weakened
 
-    def _told_end(self, action: events.TellEnd) -> None:
+    def _record_end(self, action: events.TellEnd) -> None:
         reason = f" ({action.reason})" if action.reason else ""
-        self._tell(action.watcher_id, f"{action.outcome}{reason}")
+        self._record(action.watcher_id, f"{action.outcome}{reason}")
         caller = self.callers[action.watcher_id]
         caller.ends.append(action.outcome)
         caller.reasons.append(action.reason)
@@ -706,15 +715,12 @@
 def build(
     nodes: dict[str, str], engines_each: int = 2, services_each: int = 1, seed: int = 1
 ) -> World:
-    """Build a world.
+    """Build a world whose nodes have started and joined.
 
     Args:
-      nodes: node name to data centre.
+      nodes: data centre by node name.
       engines_each: engines in each data centre, serving the model "writer".
       services_each: plain services "tickets" in each data centre.
-      seed: of all chance in it.
-    Returns:
-      The world, its nodes started and acquainted.
     """
     world = World(seed)
     for centre in sorted(set(nodes.values())):
@@ -755,7 +761,7 @@
     workspace: str = "okefenokee",
     timeout_ms: int = 120_000,
 ) -> data.Request:
-    """Make a request as the shell of a node would."""
+    """Build a request as a node's shell does."""
     unique = f"{world.hosts[entry].node.ctx.node}/{len(world.callers)}"
     is_service = request_class is data.RequestClass.LOOKUP
     seed_text = f"{workspace}/{key or unique}"
