--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks. Bounds are counts or ratios within one run, never times."""
+"""Benchmarks. Tests compare counts and ratios of one run, never times."""
--- a/bench/altered_sites.py
+++ b/bench/altered_sites.py
@@ -1,7 +1,6 @@
-"""Altered copies of a site file: python -m bench.altered_sites SITE.toml FOLDER.
+"""Writes variants of a site file: python -m bench.altered_sites SITE.toml FOLDER.
 
-They stand for deployments that nobody has seen: other numbers of machines, bounds, tenants,
-and rates. The copies play beside copies of the site's wire.json and CUT.
+The variants differ in VMs, data centres, limits, workspaces and rates.
 """
 
 import pathlib
@@ -10,12 +9,12 @@
 import sys
 from collections.abc import Callable
 
-BESIDE = ("wire.json", "CUT")
+COMPANION_FILES = ("wire.json", "CUT")
 Alteration = Callable[[str], str]
 
 
 def scale_field(name: str, factor: float, least: float = 0) -> Alteration:
-    """Return an alteration that multiplies a numeric field wherever it stands."""
+    """Return an alteration that multiplies each occurrence of a numeric field."""
 
     def alter(text: str) -> str:
         def replace(found: re.Match[str]) -> str:
@@ -29,12 +28,12 @@
 
 
 def set_field(name: str, value: str) -> Alteration:
-    """Return an alteration that sets a field wherever it stands."""
+    """Return an alteration that sets each occurrence of a field."""
     return lambda text: re.sub(rf"(\b{name} = )[0-9.]+", rf"\g<1>{value}", text)
 
 
-def of_machines(alteration: Alteration) -> Alteration:
-    """Return an alteration that strikes only the lines of machines."""
+def for_vms(alteration: Alteration) -> Alteration:
+    """Return an alteration that is limited to lines that define VMs."""
 
     def alter(text: str) -> str:
         lines = text.split("\n")
@@ -43,51 +42,51 @@
     return alter
 
 
-def zone_names(text: str) -> list[str]:
-    """Return a site's zones, in their order."""
+def centre_names(text: str) -> list[str]:
+    """Return the names of a site's data centres, in file order."""
     return re.findall(r'\{ name = "([^"]+)", region = ', text)
 
 
-def without_last_zone(text: str) -> str:
-    """Return the site without its last zone; troubles there strike the zone before it."""
-    *_, before, last = zone_names(text)
+def without_last_centre(text: str) -> str:
+    """Return the site without its last data centre, whose faults move to the one before it."""
+    *_, before, last = centre_names(text)
     text = re.sub(rf',? ?\{{ zone = "{last}", count = \d+ \}}', "", text)
     own_lines = (f'{{ name = "{last}"', f'{{ zone = "{last}", mix')
     kept = []
     for line in text.split("\n"):
-        is_machine = "class = " in line and f'zone = "{last}"' in line
-        if not is_machine and not line.strip().startswith(own_lines):
+        is_vm = "class = " in line and f'zone = "{last}"' in line
+        if not is_vm and not line.strip().startswith(own_lines):
             kept.append(line)
     return "\n".join(kept).replace(f'zone = "{last}"', f'zone = "{before}"')
 
 
-def with_one_zone_more(text: str) -> str:
-    """Return the site with a fourth zone like its last one."""
-    last = zone_names(text)[-1]
+def with_extra_centre(text: str) -> str:
+    """Return the site with a copy of its last data centre added."""
+    last = centre_names(text)[-1]
     more = f"{last}-more"
     text = re.sub(rf'(\{{ zone = )"{last}"(, count = \d+ \}})', rf'\g<0>, \1"{more}"\2', text)
     lines = []
     for line in text.split("\n"):
         lines.append(line)
-        is_machine = "class = " in line and f'zone = "{last}"' in line
+        is_vm = "class = " in line and f'zone = "{last}"' in line
         starts = (f'{{ name = "{last}"', f'{{ zone = "{last}", mix')
-        if is_machine or line.strip().startswith(starts):
+        if is_vm or line.strip().startswith(starts):
             lines.append(line.replace(f'"{last}"', f'"{more}"'))
     return "\n".join(lines)
 
 
 VARIANTS: dict[str, tuple[Alteration, ...]] = {
     "one-machine-a-zone": (
-        of_machines(set_field("count", "1")),
-        of_machines(set_field("spare", "0")),
+        for_vms(set_field("count", "1")),
+        for_vms(set_field("spare", "0")),
     ),
-    "twice-the-machines": (of_machines(scale_field("count", 2)),),
+    "twice-the-machines": (for_vms(scale_field("count", 2)),),
     "third-of-the-machines": (
-        of_machines(scale_field("count", 0.34, 1)),
-        of_machines(scale_field("spare", 0.34)),
+        for_vms(scale_field("count", 0.34, 1)),
+        for_vms(scale_field("spare", 0.34)),
     ),
-    "two-zones": (without_last_zone,),
-    "four-zones": (with_one_zone_more,),
+    "two-zones": (without_last_centre,),
+    "four-zones": (with_extra_centre,),
     "other-bounds": (
         set_field("config_ms", "3000"),
         set_field("drain_ms", "3000"),
@@ -107,10 +106,10 @@
 
 
 def main() -> None:
-    """Write all variants of a site."""
+    """Write all variants of a site, with the files that a site needs beside it."""
     site, folder = pathlib.Path(sys.argv[1]), pathlib.Path(sys.argv[2])
     folder.mkdir(parents=True, exist_ok=True)
-    for name in BESIDE:
+    for name in COMPANION_FILES:
         target = folder / name
         if not target.exists():
             shutil.copyfile(site.parent / name, target)
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,4 +1,4 @@
-"""What a team would otherwise run: three simple ways to choose an endpoint."""
+"""Baseline load-balancing policies for comparison."""
 
 from plumarch.core import data
 from plumarch.routing import placement
@@ -6,13 +6,13 @@
 Choice = tuple[data.Endpoint | None, tuple[data.Considered, ...]]
 
 
-class Simple(placement.Placement):
-    """Base: endpoints that serve the target and are not full by this node's own count."""
+class Baseline(placement.Placement):
+    """Policy among endpoints that serve the target and have capacity by this node's counts."""
 
     turn = 0
 
-    def fitting(self, request: data.Request, tried: frozenset[str]) -> list[data.Endpoint]:
-        """Return the endpoints that may be chosen."""
+    def candidates(self, request: data.Request, tried: frozenset[str]) -> list[data.Endpoint]:
+        """Return the endpoints to choose from, untried ones if there are any."""
         serving = self.by_target.get((request.kind, request.target), [])
         found = [
             e
@@ -24,21 +24,21 @@
     def choose(
         self, request: data.Request, allowed: frozenset[str], tried: frozenset[str] = frozenset()
     ) -> Choice:
-        """Choose an endpoint, or none if none may be chosen."""
-        found = self.fitting(request, tried)
+        """Choose an endpoint, or none without candidates."""
+        found = self.candidates(request, tried)
         return (self.pick(found) if found else None), ()
 
     def pick(self, found: list[data.Endpoint]) -> data.Endpoint:
-        """Return the policy's choice among at least one endpoint."""
+        """Return the policy's choice among candidates, at least one."""
         raise NotImplementedError
 
     def least_loaded(self, found: list[data.Endpoint]) -> data.Endpoint:
-        """Return the endpoint with the fewest of this node's own requests."""
+        """Return the endpoint with the fewest requests of this node in flight."""
         return min(found, key=lambda e: (self.stats[e.name].in_flight, e.name))
 
 
-class RoundRobin(Simple):
-    """One after the other."""
+class RoundRobin(Baseline):
+    """Endpoints in turn."""
 
     def pick(self, found: list[data.Endpoint]) -> data.Endpoint:
         """Choose the next endpoint in turn."""
@@ -46,16 +46,16 @@
         return found[self.turn % len(found)]
 
 
-class LeastOutstanding(Simple):
-    """The one with the fewest of this node's own requests."""
+class LeastOutstanding(Baseline):
+    """The endpoint with the fewest requests of this node in flight."""
 
     def pick(self, found: list[data.Endpoint]) -> data.Endpoint:
         """Choose the endpoint with the fewest requests in flight."""
         return self.least_loaded(found)
 
 
-class TwoChoices(Simple):
-    """The better of two at random, by own counts."""
+class TwoChoices(Baseline):
+    """The less loaded of two random endpoints, by this node's counts."""
 
     def pick(self, found: list[data.Endpoint]) -> data.Endpoint:
         """Choose the less loaded of two random endpoints."""
--- a/conftest.py
+++ b/conftest.py
@@ -1,7 +1,6 @@
-"""Tests that are known to fail: listed in KNOWN-RED.txt, run, printed, and expected to fail.
+"""Marks the tests listed in KNOWN-RED.txt as strict expected failures and prints the list.
 
-A line is `TEST: CAUSE; COMMAND AND SEED; WHAT WAS SEEN; ISSUE`. A listed test that passes fails the
-run, so that its line is taken out once its fault is mended.
+A line is `TEST: CAUSE; COMMAND AND SEED; WHAT WAS SEEN; ISSUE`.
 """
 
 import pathlib
@@ -9,11 +8,11 @@
 import pytest
 
 KNOWN_RED = pathlib.Path(__file__).parent / "KNOWN-RED.txt"
-MOST = 3
+MAX_KNOWN_RED = 3
 
 
 def known_red() -> dict[str, str]:
-    """Return the listed lines by test."""
+    """Return the listed lines by test id."""
     if not KNOWN_RED.is_file():
         return {}
     lines = [line for line in KNOWN_RED.read_text(encoding="utf-8").splitlines() if line.strip()]
@@ -21,7 +20,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect listed tests to fail."""
+    """Mark listed tests as expected failures; one that passes fails the run."""
     listed = known_red()
     for item in items:
         if item.nodeid in listed:
@@ -29,12 +28,14 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the list."""
+    """Print the list after the run."""
     for line in known_red().values():
         terminalreporter.write_line(f"KNOWN-RED {line}")
 
 
 def pytest_configure() -> None:
-    """Refuse a list that is too long."""
-    if len(known_red()) > MOST:
-        raise pytest.UsageError(f"KNOWN-RED.txt lists more than {MOST} tests. Mend some first.")
+    """Stop the run if too many tests are listed."""
+    if len(known_red()) > MAX_KNOWN_RED:
+        raise pytest.UsageError(
+            f"KNOWN-RED.txt lists more than {MAX_KNOWN_RED} tests. Fix some first."
+        )
