--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -11,7 +11,7 @@
 
     turn = 0
 
-    def candidates(self, request: data.Request, tried: frozenset[str]) -> list[data.Endpoint]:
+    def eligible(self, request: data.Request, tried: frozenset[str]) -> list[data.Endpoint]:
         """Return the endpoints to choose from, untried ones if there are any."""
         serving = self.by_target.get((request.kind, request.target), [])
         found = [
@@ -25,7 +25,7 @@
         self, request: data.Request, allowed: frozenset[str], tried: frozenset[str] = frozenset()
     ) -> Choice:
         """Choose an endpoint, or none without candidates."""
-        found = self.candidates(request, tried)
+        found = self.eligible(request, tried)
         return (self.pick(found) if found else None), ()
 
     def pick(self, found: list[data.Endpoint]) -> data.Endpoint:
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,9 +1,7 @@
-"""Works docs/CAPACITY.md's table out from bench/slopes.json.
+"""Computes the table of docs/CAPACITY.md from bench/slopes.json.
 
-    python -m bench.capacity          # prints the table
-    python -m bench.capacity --write  # puts it into the page
-
-A test keeps page, slopes and arithmetic in step.
+python -m bench.capacity          # prints the table
+python -m bench.capacity --write  # replaces the table in the page
 """
 
 import json
@@ -17,7 +15,7 @@
 BEGIN = "<!-- table: python -m bench.capacity --write -->"
 END = "<!-- end of table -->"
 
-# The target.
+# Target size of the system.
 NODES = 450
 WORKERS = 3_000
 REQUESTS_S = 16_000
@@ -29,23 +27,23 @@
 REPLACED_DAY = 340
 DAY_S = 86_400
 
-# Assumed mix; the users have not given one.
+# Assumed mix of requests.
 KEYED_SHARE = 0.02
 WAITING_SHARE = 0.02
 WORKSPACES = 500
 BODY_BYTES = 2_000
-KEEP_S = 600
+KEY_RETENTION_S = 600
 
-# Measured by `make bench` (bench/relay.py), medians on 8 shared cores.
+# Output of `make bench` (bench/relay.py): medians on 8 shared cores.
 TOKEN_US = 126
 TOKEN_US_4 = 60
 LOOKUP_MS = 1.6
-REST_SHARE = 2.0
-REST_MB = 73.1
+IDLE_CPU_PERCENT = 2.0
+IDLE_MB = 73.1
 STREAM_MB = 0.1
 TOKEN_INTERVAL_S = 0.032
 
-# Counted on the wire: one conditional poll, request and answer.
+# Bytes of one conditional poll, request and response.
 POLL_BYTES = 398
 NOTICE_BYTES = 371
 LOAD_BYTES = 393
@@ -61,7 +59,7 @@
 LIMIT_BYTES = 3_000
 LIMIT_READS = 6_000
 LIMIT_WRITES = 1_200
-"""Calls a second that the store takes where fleets are largest today (77 and 86 nodes)."""
+"""Calls a second that the store accepts."""
 
 Row = tuple[str, str, str, str, str]
 
@@ -73,12 +71,12 @@
 
 
 def fits(value: float, limit: float) -> str:
-    """Return whether a value is within its limit, in words."""
+    """Format a value as a percentage of its limit, with a mark if it exceeds the limit."""
     return f"{value / limit:.0%} of {limit:g}" + ("" if value <= limit else ": DOES NOT FIT")
 
 
 def rows(measured: dict[str, object]) -> list[Row]:
-    """Return the table's rows: role, what, arithmetic, result, against the limit."""
+    """Return the table's rows: role, quantity, arithmetic, result, percentage of the limit."""
     return [
         *relay_rows(),
         *control_rows(measured),
@@ -89,12 +87,12 @@
 
 
 def relay_rows() -> list[Row]:
-    """Return what a node spends on passing tokens on; this is not control."""
+    """Return a node's cost of relaying tokens (data plane)."""
     tokens = TOKENS_S / NODES
     one = tokens * TOKEN_US / 1e6
     four = tokens * TOKEN_US_4 / 1e6
     streams = tokens * TOKEN_INTERVAL_S
-    memory = REST_MB + streams * STREAM_MB
+    memory = IDLE_MB + streams * STREAM_MB
     return [
         (
             "relay",
@@ -113,7 +111,7 @@
         (
             "relay",
             "memory, MB",
-            f"{REST_MB} + {streams:.0f} streams x {STREAM_MB} MB",
+            f"{IDLE_MB} + {streams:.0f} streams x {STREAM_MB} MB",
             f"{memory:.0f}",
             fits(memory, LIMIT_MB),
         ),
@@ -121,7 +119,7 @@
 
 
 def control_rows(measured: dict[str, object]) -> list[Row]:
-    """Return a node's processor time and bytes for control."""
+    """Return a node's processor time and bytes for the control plane."""
     requests = REQUESTS_S / NODES
     keyed = requests * KEYED_SHARE
     place = _at(measured, "placement us by endpoints", "375")
@@ -132,7 +130,7 @@
     watching = NOTICES_S * NOTICE_BYTES + CHANGES_DAY / DAY_S * WORKSPACES * HEAD_BYTES
     claims = keyed * claim["bytes"]
     total = beats + polls + claims
-    cpu = REST_SHARE + requests * place / 1e4 + keyed * claim["us"] / 1e4
+    cpu = IDLE_CPU_PERCENT + requests * place / 1e4 + keyed * claim["us"] / 1e4
     watcher = total + watching
     copies = requests * WAITING_SHARE
     copied = copies * (_at(measured, "copy", "bytes without body") + BODY_BYTES)
@@ -140,7 +138,7 @@
         (
             "entry node",
             "control, % of a core",
-            f"{REST_SHARE} at rest + {requests:.0f}/s x {place:.0f} us placement"
+            f"{IDLE_CPU_PERCENT} at rest + {requests:.0f}/s x {place:.0f} us placement"
             f" + {keyed:.2f}/s x {claim['us']:.0f} us claim",
             f"{cpu:.2f}",
             fits(cpu, LIMIT_CPU),
@@ -178,12 +176,12 @@
 
 
 def memory_rows(measured: dict[str, object]) -> list[Row]:
-    """Return a node's memory for state."""
+    """Return a node's memory for control state."""
     requests = REQUESTS_S / NODES
     each = measured["memory bytes"]
     assert isinstance(each, dict)
     region_nodes = NODES / REGIONS
-    records = requests * KEYED_SHARE * KEEP_S * 2
+    records = requests * KEYED_SHARE * KEY_RETENTION_S * 2
     endpoints = WORKERS / REGIONS
     parts = {
         f"{records:.0f} key records": records * each["key record"],
@@ -192,12 +190,12 @@
         f"{WORKSPACES} workspaces": WORKSPACES * each["workspace"],
         "2000 copies": 2_000 * each["copy of a 2 kB request"],
     }
-    total = REST_MB + sum(parts.values()) / 1e6
+    total = IDLE_MB + sum(parts.values()) / 1e6
     return [
         (
             "entry node",
             "control, MB",
-            f"{REST_MB} at rest + " + " + ".join(parts),
+            f"{IDLE_MB} at rest + " + " + ".join(parts),
             f"{total:.1f}",
             fits(total, LIMIT_MB),
         ),
@@ -205,7 +203,7 @@
 
 
 def platform_rows() -> list[Row]:
-    """Return the platform's calls a second."""
+    """Return the load on the platform's API, in calls per second."""
     watches = CENTRES * 2 / 5
     reads = NODES * VMS_S + CENTRES * 2 * NOTICES_S + watches
     replaced = (FAILED_DAY + REPLACED_DAY) / DAY_S
@@ -249,7 +247,7 @@
 
 
 def configuration_rows(measured: dict[str, object]) -> list[Row]:
-    """Return what changes of configuration cost."""
+    """Return the cost of configuration changes."""
     by_nodes = measured["configuration by nodes"]
     change = measured["change us by workspaces"]
     assert isinstance(by_nodes, dict) and isinstance(change, dict)
@@ -303,14 +301,14 @@
 
 
 def page_with_table(page: str) -> str:
-    """Return a page with the table between its marks."""
+    """Return a page with the table replaced between its markers."""
     start, _, rest = page.partition(BEGIN)
     _, _, end = rest.partition(END)
     return f"{start}{BEGIN}\n\n{table()}\n\n{END}{end}"
 
 
 def main() -> None:
-    """Print the table or put it into the page."""
+    """Print the table, or write it into the page with --write."""
     if "--write" in sys.argv:
         PAGE.write_text(page_with_table(PAGE.read_text()))
     else:
--- a/bench/choices.py
+++ b/bench/choices.py
@@ -1,7 +1,4 @@
-"""What the choice of an engine costs by the size of the fleet: python -m bench.choices.
-
-Processor time of choosing among all engines with their loads, as one node does for each prompt.
-"""
+"""Benchmarks the choice of an engine by fleet size: python -m bench.choices."""
 
 import dataclasses
 import random
@@ -12,15 +9,15 @@
 
 CHOICES = 400
 CENTRES = "abc"
-"""Data centres; each is a region of its own where there are several regions."""
+"""Data centres; with several regions, each is its own region."""
 
 REPORTED = 12
-"""Engines whose load one node reports."""
+"""Number of engines whose load each node reports."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Size:
-    """A fleet."""
+    """Size of a fleet."""
 
     nodes: int
     engines: int
@@ -30,8 +27,8 @@
 SIZES = (Size(7, 9), Size(77, 30), Size(195, 39), Size(450, 143), Size(195, 39, 3))
 
 
-def chooser_of(size: Size, engines: list[traffic.Endpoint]) -> endpoint_choice.EndpointChooser:
-    """Return what a node knows of the loads that all others told."""
+def build_chooser(size: Size, engines: list[traffic.Endpoint]) -> endpoint_choice.EndpointChooser:
+    """Return a chooser that holds the loads reported by all other nodes."""
     rng = random.Random(1)
     time_now = clock.ManualClock()
     regions = {centre: centre for centre in CENTRES} if size.regions > 1 else {}
@@ -39,16 +36,16 @@
         time_now, "a", distances=distance.Distances(time_now, "a", regions)
     )
     for node in range(size.nodes - 1):
-        told = rng.sample(engines, min(REPORTED, len(engines)))
+        reported = rng.sample(engines, min(REPORTED, len(engines)))
         chooser.report_loads(
             f"n{node}",
-            {one.id: endpoint_choice.Load(1, rng.uniform(0, 5_000)) for one in told},
+            {one.id: endpoint_choice.Load(1, rng.uniform(0, 5_000)) for one in reported},
         )
     return chooser
 
 
 def measure(size: Size) -> str:
-    """Return a line of figures for one size."""
+    """Return the mean time of a choice for one fleet size, as text."""
     centres = CENTRES if size.regions > 1 else CENTRES[:2]
     engines = [
         traffic.Endpoint(
@@ -61,8 +58,8 @@
         )
         for number in range(size.engines)
     ]
-    chooser = chooser_of(size, engines)
-    begun = time.perf_counter()
+    chooser = build_chooser(size, engines)
+    start = time.perf_counter()
     for number in range(CHOICES):
         parts = (
             traffic.PromptPart(f"shared{number % 4}", 2_500),
@@ -71,13 +68,13 @@
         )
         assert sum(chooser.running(one.id) for one in engines) >= 0
         chooser.choose_engine(engines, parts, 9_200, number)
-    spent_ms = (time.perf_counter() - begun) * 1_000.0 / CHOICES
+    spent_ms = (time.perf_counter() - start) * 1_000.0 / CHOICES
     where = f"{size.nodes} nodes, {size.engines} engines, {size.regions} regions"
     return f"{where}: {spent_ms:.3f} ms a choice"
 
 
 def main() -> None:
-    """Print a line for each size."""
+    """Print the result for each fleet size."""
     for size in SIZES:
         print(measure(size))
 
--- a/bench/demo_runs.py
+++ b/bench/demo_runs.py
@@ -1,8 +1,4 @@
-"""python -m bench.demo_runs: the demo many times, alone or beside busy processes.
-
-A promise that breaks only when the processor is scarce is broken all the same. Each run's output
-is kept in a folder; a table says how many were whole and how long they took.
-"""
+"""Runs the demo repeatedly, optionally under CPU contention: python -m bench.demo_runs FOLDER."""
 
 import asyncio
 import dataclasses
@@ -16,12 +12,12 @@
 import tabulate
 
 RUN_LIMIT_S = 180.0
-"""A run that takes longer counts as broken: the demo takes 20 s alone (measured)."""
+"""Runs that take longer are killed and count as failed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """What became of one run."""
+    """Exit code and duration of one run."""
 
     number: int
     code: int
@@ -29,7 +25,7 @@
 
 
 def spin(until_s: float) -> None:
-    """Keep one core busy until a moment of the monotonic clock."""
+    """Keep one core busy until a time of the monotonic clock."""
     while time.monotonic() < until_s:
         pass
 
@@ -45,18 +41,18 @@
         try:
             code = await asyncio.wait_for(process.wait(), RUN_LIMIT_S)
         except TimeoutError:
-            print(f"run {number}: ended by force after {RUN_LIMIT_S:.0f} s", flush=True)
+            print(f"run {number}: killed after {RUN_LIMIT_S:.0f} s", flush=True)
             process.kill()
             code = -1
     return Run(number, code, time.monotonic() - start)
 
 
 async def play_all(runs: int, at_once: int, folder: pathlib.Path) -> list[Run]:
-    """Run the demo a number of times, some at once."""
-    room = asyncio.Semaphore(at_once)
+    """Run the demo several times, up to at_once concurrently."""
+    limit = asyncio.Semaphore(at_once)
 
     async def one(number: int) -> Run:
-        async with room:
+        async with limit:
             run = await play(number, folder)
             print(f"run {number}: exit {run.code}, {run.took_s:.0f} s", flush=True)
             return run
@@ -65,38 +61,38 @@
 
 
 def main(folder: str, runs: int = 20, busy: int = 0, at_once: int = 1) -> None:
-    """Run the demo and print how many runs were whole.
+    """Run the demo and print how many runs passed; exit with 1 unless all did.
 
     Args:
-      folder: where each run's output goes.
-      runs: how many.
-      busy: processes that do nothing but use a core meanwhile; -1 for one a core.
-      at_once: demos that run at the same time.
+      folder: directory for the output of the runs.
+      runs: number of runs.
+      busy: processes that each keep a core busy meanwhile; -1 for one per core.
+      at_once: concurrent runs.
     """
-    place = pathlib.Path(folder)
-    place.mkdir(parents=True, exist_ok=True)
+    output_folder = pathlib.Path(folder)
+    output_folder.mkdir(parents=True, exist_ok=True)
     count = busy if busy >= 0 else os.cpu_count() or 1
     until_s = time.monotonic() + runs * RUN_LIMIT_S
     spinners = [multiprocessing.Process(target=spin, args=(until_s,)) for _ in range(count)]
     for spinner in spinners:
         spinner.start()
     try:
-        found = asyncio.run(play_all(runs, at_once, place))
+        results = asyncio.run(play_all(runs, at_once, output_folder))
     finally:
         for spinner in spinners:
             spinner.terminate()
-    whole = [run for run in found if run.code == 0]
-    times = sorted(run.took_s for run in found)
+    passed = [run for run in results if run.code == 0]
+    times = sorted(run.took_s for run in results)
     row = {
         "runs": runs,
         "busy processes": count,
         "at once": at_once,
-        "whole": len(whole),
+        "whole": len(passed),
         "median s": round(times[len(times) // 2], 1),
         "longest s": round(times[-1], 1),
     }
     print(tabulate.tabulate([row], headers="keys"))
-    sys.exit(0 if len(whole) == runs else 1)
+    sys.exit(0 if len(passed) == runs else 1)
 
 
 if __name__ == "__main__":
--- a/bench/heartbeats.py
+++ b/bench/heartbeats.py
@@ -1,7 +1,8 @@
-"""What heartbeats cost by the size of the fleet: python -m bench.heartbeats.
+"""Benchmarks size, encoding and processing of heartbeats by fleet size.
 
-Bytes of a datagram, and processor time to build one and to take one in, for a node that serves its
-share of the requests. The figures go into docs/CAPACITY.md by hand.
+    python -m bench.heartbeats
+
+The results are copied into docs/CAPACITY.md by hand.
 """
 
 import dataclasses
@@ -16,17 +17,17 @@
 from plumarch.routing import endpoint_choice
 from plumarch.standins import gateway_parts
 
-BEATS = 400
+ROUNDS = 400
 RUNNING_S = 1.0
-"""How long a request runs, for the endpoints that a node has requests at."""
+"""Duration of a request."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Size:
-    """A fleet.
+    """Size and load of a fleet.
 
     Attributes:
-      requests_per_s: over all nodes.
+      requests_per_s: sum over all nodes.
     """
 
     nodes: int
@@ -36,11 +37,11 @@
 
 
 SIZES = (Size(6, 5, 8, 21.0), Size(24, 16, 30, 60.0), Size(24, 500, 143, 850.0))
-"""Fleets in which each node tells each other one; bench.large_fleets measures larger ones."""
+"""Fleets small enough that every node sends to every other; larger: bench.large_fleets."""
 
 
-def configured(size: Size) -> routing_table.RoutingTable:
-    """Return a configuration with workspaces of a rate each."""
+def build_table(size: Size) -> routing_table.RoutingTable:
+    """Return a routing table whose workspaces all have a rate limit."""
     spaces = tuple(
         traffic.Workspace(f"space{number:04}", (f"key{number}",), rate=30_000.0, burst=40_000.0)
         for number in range(size.workspaces)
@@ -50,12 +51,12 @@
     )
 
 
-def node_of(size: Size, time_of: clock.ManualClock) -> gossiper.Gossiper:
-    """Return a node that knows all others of its fleet."""
-    state = gateway_parts.new_state(time_of)
-    view = fleet_view.FleetView(time_of, "front-hall-a-1", 1_700_000_000_000, "10.1.0.1:7600")
+def build_node(size: Size, node_clock: clock.ManualClock) -> gossiper.Gossiper:
+    """Return a node whose fleet view contains all other nodes."""
+    state = gateway_parts.new_state(node_clock)
+    view = fleet_view.FleetView(node_clock, "front-hall-a-1", 1_700_000_000_000, "10.1.0.1:7600")
     node = gossiper.Gossiper(state, view, heartbeats.DutyStatus(), ())
-    state.adopt_table(configured(size), "store")
+    state.adopt_table(build_table(size), "store")
     for number in range(size.nodes - 1):
         view.mark_seen(
             f"front-hall-b-{number}", 1_700_000_000_000, f"10.2.{number}.1:7600", "hall-b"
@@ -64,7 +65,7 @@
 
 
 def serve(node: gossiper.Gossiper, size: Size, interval_ms: float, rng: random.Random) -> None:
-    """Admit a node's share of the requests of one interval."""
+    """Admit the requests that a node receives in one interval."""
     state = node.state
     share = size.requests_per_s / size.nodes
     count = share * interval_ms / 1000.0
@@ -81,37 +82,37 @@
 
 
 def measure(size: Size) -> str:
-    """Return a line of figures for one size."""
+    """Return the results for one fleet size, as text."""
     now = clock.ManualClock(1_700_000_100_000)
     rng = random.Random(1)
-    node, other = node_of(size, now), node_of(size, now)
+    node, other = build_node(size, now), build_node(size, now)
     other.view.node = "front-hall-c-1"
     interval_ms = node.interval_ms()
     sizes: list[int] = []
-    building = taking = 0.0
-    for _ in range(BEATS):
+    build_s = apply_s = 0.0
+    for _ in range(ROUNDS):
         now.advance_to(now.now() + round(interval_ms))
         serve(node, size, interval_ms, rng)
-        begun = time.perf_counter()
+        start = time.perf_counter()
         data = gossip.encoder.encode(node.composer.next(leaving=False))
-        building += time.perf_counter() - begun
-        begun = time.perf_counter()
+        build_s += time.perf_counter() - start
+        start = time.perf_counter()
         other.datagram_received(data, ("10.1.0.1", 7600))
-        taking += time.perf_counter() - begun
+        apply_s += time.perf_counter() - start
         sizes.append(len(data))
-    mean = sum(sizes) / BEATS
+    mean = sum(sizes) / ROUNDS
     sent = mean * (size.nodes - 1) * 1000.0 / interval_ms
-    cores = (building + taking * (size.nodes - 1)) / BEATS * 1000.0 / interval_ms
+    cores = (build_s + apply_s * (size.nodes - 1)) / ROUNDS * 1000.0 / interval_ms
     return (
         f"{size.nodes} nodes, {size.workspaces} workspaces: "
         f"{mean:.0f} bytes (largest {max(sizes)}), "
-        f"build {building / BEATS * 1e6:.0f} us, take in {taking / BEATS * 1e6:.0f} us, "
+        f"build {build_s / ROUNDS * 1e6:.0f} us, apply {apply_s / ROUNDS * 1e6:.0f} us, "
         f"every {interval_ms:.0f} ms, {sent / 1000:.1f} kB/s sent, {cores * 100:.2f}% of a core"
     )
 
 
 def main() -> None:
-    """Print a line for each size."""
+    """Print the results for each fleet size."""
     for size in SIZES:
         print(measure(size))
 
--- a/bench/large_fleets.py
+++ b/bench/large_fleets.py
@@ -1,7 +1,7 @@
-"""What nodes of large fleets spend on telling each other: python -m bench.large_fleets.
+"""Benchmarks gossip in large fleets on virtual time: python -m bench.large_fleets.
 
-Whole fleets on virtual time, each node serving its share of the requests. Processor time is that of
-this machine, measured around each datagram taken in and each round; bytes are those of datagrams.
+Processor time is measured around each received datagram and each round; bytes are payload bytes of
+datagrams.
 """
 
 import collections
@@ -20,56 +20,56 @@
 MEASURED_MS = 2_000
 STEP_MS = 20
 RUNNING_S = 1.0
-"""How long a request runs."""
+"""Duration of a request."""
 
 UNITS = 4_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """A fleet and what it serves."""
+    """Size of a fleet and its load."""
 
     size: gossip_fleet.Size
     engines: int
     requests_per_s: float
 
 
-def of_size(
+def fleet_size(
     data_centres: int, nodes_each: int, workspaces: int, regions: int = 1
 ) -> gossip_fleet.Size:
-    """Return a fleet whose allotments never bind."""
+    """Return a fleet size with quotas too large to reject requests."""
     return gossip_fleet.Size(
         data_centres, nodes_each, workspaces, rate=1e9, burst=1e9, regions=regions
     )
 
 
 LOADS = (
-    Load(of_size(4, 19, 16), 30, 190.0),
-    Load(of_size(5, 39, 19), 39, 220.0),
-    Load(of_size(21, 21, 19), 143, 500.0),
-    Load(of_size(6, 12, 16, regions=3), 30, 190.0),
-    Load(of_size(21, 21, 19, regions=8), 143, 500.0),
+    Load(fleet_size(4, 19, 16), 30, 190.0),
+    Load(fleet_size(5, 39, 19), 39, 220.0),
+    Load(fleet_size(21, 21, 19), 143, 500.0),
+    Load(fleet_size(6, 12, 16, regions=3), 30, 190.0),
+    Load(fleet_size(21, 21, 19, regions=8), 143, 500.0),
 )
 
 
 class Meter:
-    """Processor time of each node."""
+    """Accumulates the processor time of each node."""
 
     def __init__(self) -> None:
         self.spent_s: collections.Counter[str] = collections.Counter()
 
-    def timed(self, node: str, act: Callable[..., None]) -> Callable[..., None]:
-        """Return a function that does the same and is measured."""
+    def timed(self, node: str, function: Callable[..., None]) -> Callable[..., None]:
+        """Wrap a function so that its duration is added to a node's time."""
 
         def measured(*args: object) -> None:
-            begun = time.perf_counter()
-            act(*args)
-            self.spent_s[node] += time.perf_counter() - begun
+            start = time.perf_counter()
+            function(*args)
+            self.spent_s[node] += time.perf_counter() - start
 
         return measured
 
     def watch(self, fleet: gossip_fleet.GossipFleet) -> None:
-        """Measure what all nodes of a fleet do from now on."""
+        """Instrument the gossip functions of all nodes of a fleet."""
         for node in fleet.live():
             for name in ("datagram_received", "tick", "announce_prompt"):
                 setattr(node.gossip, name, self.timed(node.name, getattr(node.gossip, name)))
@@ -77,7 +77,7 @@
 
 
 def serve(fleet: gossip_fleet.GossipFleet, load: Load, rng: random.Random, for_ms: int) -> None:
-    """Let callers ask, and requests end."""
+    """Start requests at the load's rate and end them after RUNNING_S."""
     nodes = fleet.live()
     ends: collections.deque[tuple[int, gossip_fleet.Node, str]] = collections.deque()
     due = 0.0
@@ -101,7 +101,7 @@
 
 
 def measure(load: Load) -> str:
-    """Return a line of figures for one fleet."""
+    """Return the results for one fleet, as text."""
     fleet = gossip_fleet.GossipFleet(load.size)
     rng = random.Random(1)
     serve(fleet, load, rng, SETTLE_MS)
@@ -130,7 +130,7 @@
 
 
 def main() -> None:
-    """Print a line for each fleet."""
+    """Print the results for each fleet."""
     for load in LOADS:
         print(measure(load), flush=True)
 
--- a/bench/plain_relay.py
+++ b/bench/plain_relay.py
@@ -1,4 +1,4 @@
-"""The baseline: a plain relay of an engine's stream, token by token, without plumarch."""
+"""Baseline for bench.relay: a proxy that streams an engine's response unchanged."""
 
 import asyncio
 import sys
@@ -15,7 +15,7 @@
 
 
 def build(engine_url: str) -> Litestar:
-    """Return an application that passes each chunk on as it comes."""
+    """Return an application that forwards each chunk as it arrives."""
 
     async def relay(body: bytes) -> AsyncIterator[bytes]:
         url = engine_url + "/v1/chat/completions"
