--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,11 +1,10 @@
-"""The policy under load and faults, against baselines, on virtual time: exact figures.
+"""Compares the placement policy with baselines under load and faults, on virtual time.
 
     python -m bench.policy            # all scenarios and baselines; compares with BASELINE.json
     python -m bench.policy --record   # writes BASELINE.json
     python -m bench.policy steady     # one scenario
 
-Sizes are the users': three data centres, 30 engines, 8 entry nodes, 5 workspaces, two of
-them large. The figures depend on nothing but the code and the scenario's text.
+Results are deterministic: they depend only on the code and the text of the scenario.
 """
 
 import dataclasses
@@ -43,8 +42,8 @@
 PRICES = {True: 0.4, False: 1.0}
 REPORT_MS = 500
 SETTLE_MS = 80_000
-BOUND = 0.02
-"""A share within target may be this much under the recorded one."""
+TOLERANCE = 0.02
+"""Tolerated decrease of a fraction, and tolerated relative increase of the cost."""
 
 ENGINE = virtual.EngineModel(
     prefill_ms=20,
@@ -60,7 +59,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Scenario:
-    """A scenario's text, parsed."""
+    """A parsed scenario."""
 
     name: str
     seconds: int = 20
@@ -97,11 +96,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Timing:
-    """When a caller asked, and when it was told things."""
+    """Times at which a caller submitted a request and received tokens and the outcome."""
 
     workspace: str
     request_class: data.RequestClass
-    asked_ms: int
+    submitted_ms: int
     first_ms: int = -1
     last_ms: int = -1
     end_ms: int = -1
@@ -109,14 +108,17 @@
     outcome: str = ""
 
     def within(self) -> bool:
-        """Return whether the answer came within its class's target."""
+        """Return whether the request met the latency target of its class."""
         if self.outcome != "done":
             return False
         if self.request_class is data.RequestClass.LOOKUP:
-            return self.end_ms - self.asked_ms <= LOOKUP_MS
+            return self.end_ms - self.submitted_ms <= LOOKUP_MS
         if self.request_class is data.RequestClass.CHAT:
-            pace = (self.last_ms - self.first_ms) / max(1, self.tokens - 1)
-            return self.first_ms - self.asked_ms <= FIRST_TOKEN_MS and pace <= BETWEEN_MS
+            token_interval_ms = (self.last_ms - self.first_ms) / max(1, self.tokens - 1)
+            return (
+                self.first_ms - self.submitted_ms <= FIRST_TOKEN_MS
+                and token_interval_ms <= BETWEEN_MS
+            )
         return True
 
 
@@ -128,13 +130,13 @@
         self.rng = random.Random(scenario.name)
         self.world = virtual.build(NODES, ENGINES_EACH, 2, seed=7)
         self.world.exports_kv = exports_kv
-        self.times = 1.0
+        self.rate_factor = 1.0
         self.flood: tuple[str, float] | None = None
         self.timings: dict[str, Timing] = {}
-        self.gone: set[str] = set()
-        self._equip(policy)
+        self.reclaimed_nodes: set[str] = set()
+        self._set_up(policy)
 
-    def _equip(self, policy: str) -> None:
+    def _set_up(self, policy: str) -> None:
         world = self.world
         for number, endpoint in enumerate(world.endpoints.values()):
             reclaimable = number % 2 == 0
@@ -147,7 +149,7 @@
                 capacity=8 if is_engine else 16,
             )
         for host in world.hosts.values():
-            # The node is built with its own placement; the baselines take its place.
+            # Baselines share the state of the placement, so that only the class is replaced.
             host.node.placement.__class__ = baselines.POLICIES[policy]
         world.tell_list()
         world.interfere = self._observe
@@ -166,10 +168,10 @@
         return True
 
     def play(self) -> None:
-        """Let the scenario happen, then let everything end."""
+        """Run the scenario, then wait for outstanding requests."""
         world = self.world
         for delay, words in self.scenario.steps:
-            world.at(delay, lambda w=words: self._step(w))
+            world.at(delay, lambda w=words: self._apply_step(w))
         for kind in self.scenario.rates:
             self._next_arrival(kind)
         self._report_loads()
@@ -178,11 +180,11 @@
         self.flood = None
         world.run(SETTLE_MS)
 
-    def _step(self, words: list[str]) -> None:
+    def _apply_step(self, words: list[str]) -> None:
         world = self.world
         match words:
             case ["times", value]:
-                self.times = float(value)
+                self.rate_factor = float(value)
             case ["flood", workspace, rate]:
                 self.flood = (workspace, float(rate))
                 self._next_flood()
@@ -192,7 +194,7 @@
                 world.reclaim(tuple(names), int(left), (self._entry(),))
             case ["reclaim-centre", centre, left]:
                 names = [n for n, c in NODES.items() if c == centre]
-                self.gone |= set(names)
+                self.reclaimed_nodes |= set(names)
                 names += [n for n in world.endpoints if n.startswith(centre)]
                 world.reclaim(tuple(names), int(left), (names[0],))
                 world.at(int(left) + 1_000, self._reattach_lost)
@@ -202,17 +204,17 @@
                 raise ValueError(f"unknown step: {' '.join(words)}")
 
     def _reattach_lost(self) -> None:
-        """Let callers whose node vanished ask for the rest elsewhere."""
+        """Reattach callers whose node was reclaimed to streams at other nodes."""
         for name, caller in list(self.world.callers.items()):
             if caller.lost and not caller.ends and caller.key:
                 again = self.world.reattach(self._entry(), caller)
                 self.timings[again.name] = self.timings.pop(name)
 
     def _entry(self) -> str:
-        return self.rng.choice([name for name in NODES if name not in self.gone])
+        return self.rng.choice([name for name in NODES if name not in self.reclaimed_nodes])
 
     def _next_arrival(self, kind: str) -> None:
-        rate = self.scenario.rates.get(kind, 0.0) * self.times
+        rate = self.scenario.rates.get(kind, 0.0) * self.rate_factor
         if not rate:
             return
         self.world.at(round(self.rng.expovariate(rate) * 1_000), lambda: self._arrive(kind))
@@ -237,45 +239,49 @@
         tokens = REVIEW_TOKENS
         if request_class is data.RequestClass.CHAT:
             tokens = round(CHAT_TOKENS * self.rng.uniform(0.3, 1.7))
-        asked = virtual.request(world, entry, request_class, max_tokens=tokens, workspace=workspace)
-        if asked.kind is data.EndpointKind.ENGINE:
+        request = virtual.request(
+            world, entry, request_class, max_tokens=tokens, workspace=workspace
+        )
+        if request.kind is data.EndpointKind.ENGINE:
             prefix = self.rng.randrange(1, self.scenario.prefixes + 1)
-            asked = dataclasses.replace(asked, prefix=prefix, prompt_tokens=self.scenario.prompt)
+            request = dataclasses.replace(
+                request, prefix=prefix, prompt_tokens=self.scenario.prompt
+            )
         name = f"caller{len(world.callers)}"
         self.timings[name] = Timing(workspace, request_class, world.clock.now())
-        world.call(entry, asked)
+        world.call(entry, request)
 
     def _report_loads(self) -> None:
-        """Tell the nodes of each data centre its engines' loads, late."""
+        """Deliver the engines' loads to the nodes of their data centre after the lag."""
         world = self.world
         for endpoint in world.endpoints.values():
             if endpoint.info.kind is not data.EndpointKind.ENGINE or not endpoint.alive:
                 continue
             load = data.LoadReport(endpoint.info.name, len(endpoint.calls), 0)
-            world.at(self.scenario.lag_ms, lambda seen=load: self._tell_load(seen))
+            world.at(self.scenario.lag_ms, lambda seen=load: self._deliver_load(seen))
         world.at(REPORT_MS * ENGINES_EACH, self._report_loads)
 
-    def _tell_load(self, load: data.LoadReport) -> None:
+    def _deliver_load(self, load: data.LoadReport) -> None:
         centre = self.world.endpoints[load.endpoint].info.data_centre
         for name, host in self.world.hosts.items():
             if NODES[name] == centre:
                 self.world.deliver(host, events.LoadSeen(load))
 
     def figures(self) -> dict[str, float]:
-        """Return the scenario's figures."""
+        """Return the metrics of the run."""
         world = self.world
         found: dict[str, float] = {}
         for kind in sorted({t.request_class for t in self.timings.values()}):
             mine = [t for t in self.timings.values() if t.request_class is kind]
-            found[f"{kind} within target"] = _share(mine, Timing.within)
-            found[f"{kind} done"] = _share(mine, lambda t: t.outcome == "done")
+            found[f"{kind} within target"] = _fraction(mine, Timing.within)
+            found[f"{kind} done"] = _fraction(mine, lambda t: t.outcome == "done")
         chats = self._first_tokens(lambda t: True)
         others = self._first_tokens(lambda t: t.workspace != "w4")
         found["chat first token p50 ms"] = report.percentile(chats, 0.5)
         found["chat first token p95 ms"] = report.percentile(chats, 0.95)
         found["chat first token p99 ms, w0 to w3"] = report.percentile(others, 0.99)
         waits = [
-            t.end_ms - t.asked_ms
+            t.end_ms - t.submitted_ms
             for t in self.timings.values()
             if t.request_class is data.RequestClass.REVIEW and t.end_ms >= 0
         ]
@@ -294,13 +300,13 @@
 
     def _first_tokens(self, chosen: Callable[[Timing], bool]) -> list[float]:
         return [
-            float(t.first_ms - t.asked_ms)
+            float(t.first_ms - t.submitted_ms)
             for t in self.timings.values()
             if t.request_class is data.RequestClass.CHAT and t.first_ms >= 0 and chosen(t)
         ]
 
 
-def _share(timings: list[Timing], holds: Callable[[Timing], bool]) -> float:
+def _fraction(timings: list[Timing], holds: Callable[[Timing], bool]) -> float:
     return round(sum(1 for t in timings if holds(t)) / max(1, len(timings)), 4)
 
 
@@ -311,33 +317,33 @@
 
 
 def measure(path: pathlib.Path, policy: str, exports_kv: bool = True) -> dict[str, float]:
-    """Play one scenario under one policy and return its figures."""
+    """Run one scenario under one policy and return its metrics."""
     run = Run(parse(path.stem, path.read_text()), policy, exports_kv)
     run.play()
     return run.figures()
 
 
-def worse(recorded: dict[str, float], found: dict[str, float]) -> list[str]:
-    """Return where figures are worse than recorded by more than the bound."""
+def regressions(recorded: dict[str, float], found: dict[str, float]) -> list[str]:
+    """Return a line for each metric that is worse than recorded by more than the tolerance."""
     return [
         f"{name}: {recorded[name]} before, now {value}"
         for name, value in found.items()
-        if name in recorded and _is_worse(name, recorded[name], value)
+        if name in recorded and _is_regression(name, recorded[name], value)
     ]
 
 
-def _is_worse(name: str, before: float, now: float) -> bool:
+def _is_regression(name: str, before: float, now: float) -> bool:
     if name.startswith("cost"):
-        return now > before * (1 + BOUND)
+        return now > before * (1 + TOLERANCE)
     if name.endswith(("within target", "done")):
-        return now < before - BOUND
+        return now < before - TOLERANCE
     if name in ("promises broken", "unanswered"):
         return now > before
     return name == "recomputed tokens" and now > before * 1.1 + 100
 
 
 def main() -> int:
-    """Measure, print, compare. Returns 1 if a bound is passed."""
+    """Run the scenarios, print the metrics and return 1 on a regression."""
     words = [word for word in sys.argv[1:] if not word.startswith("-")]
     recorded = json.loads(RECORDED.read_text()) if RECORDED.exists() else {}
     problems = []
@@ -349,12 +355,12 @@
         lines = [[name, *(table[policy][name] for policy in table)] for name in names]
         print(tabulate.tabulate(lines, ["figure", *table]))
         before = recorded.get(path.stem, {}).get("plumarch", {})
-        problems += [f"{path.stem}: {text}" for text in worse(before, table["plumarch"])]
+        problems += [f"{path.stem}: {text}" for text in regressions(before, table["plumarch"])]
         recorded[path.stem] = table
     if "--record" in sys.argv:
         RECORDED.write_text(json.dumps(recorded, indent=1) + "\n")
     for problem in problems:
-        print(f"BOUND PASSED: {problem}")
+        print(f"REGRESSION: {problem}")
     return 1 if problems else 0
 
 
--- a/bench/rounds/__init__.py
+++ b/bench/rounds/__init__.py
@@ -1,1 +1,1 @@
-"""Paired rounds: the same days of the users' bench on two trees, and what a change was worth."""
+"""Paired comparison of two source trees on days of the users' bench."""
--- a/bench/rounds/__main__.py
+++ b/bench/rounds/__main__.py
@@ -1,7 +1,6 @@
-"""python -m bench.rounds SETTINGS PROGRAM FOLDER: play a round and say what the change was worth.
+"""Runs a round and compares its two trees: python -m bench.rounds SETTINGS PROGRAM FOLDER.
 
-SETTINGS is a TOML file (bench/rounds/settings.py), PROGRAM the users' bench, FOLDER a place for
-reports, the table, the CSV and the picture. Cut off, it goes on where it was.
+An interrupted round resumes with its missing runs.
 """
 
 import asyncio
@@ -14,36 +13,40 @@
 
 
 def main(settings_file: str, program: str, folder: str, picture: bool = True) -> None:
-    """Play what is missing of a round, then write its tables.
+    """Run the missing runs of a round, then write its reports, tables and chart.
 
     Args:
-      settings_file: the round.
-      program: the users' bench.
-      folder: where everything goes.
-      picture: draw the first pair's waterfalls; needs the extra `bench`.
+      settings_file: TOML file, see bench/rounds/settings.py.
+      program: executable of the users' bench.
+      folder: output directory.
+      picture: draw waterfall charts of the first pair; needs the extra `bench`.
     """
     try:
-        given = settings.read(pathlib.Path(settings_file))
-    except settings.SettingsFault as fault:
+        round_settings = settings.read(pathlib.Path(settings_file))
+    except settings.SettingsError as fault:
         print(fault, file=sys.stderr)
         sys.exit(2)
-    place = pathlib.Path(folder)
-    place.mkdir(parents=True, exist_ok=True)
-    asyncio.run(play.play_all(given, program, place))
-    found = tables.pairs(given, place)
-    if not found:
-        print("No pair is whole. Remedy: read the .txt files in the folder.", file=sys.stderr)
+    output_folder = pathlib.Path(folder)
+    output_folder.mkdir(parents=True, exist_ok=True)
+    asyncio.run(play.play_all(round_settings, program, output_folder))
+    pairs = tables.pairs(round_settings, output_folder)
+    if not pairs:
+        print(
+            "No pair has both reports. Remedy: read the .txt files in the folder.", file=sys.stderr
+        )
         sys.exit(1)
-    table = tables.text(tables.rows(found))
-    lines = tables.broken(found)
-    (place / "table.txt").write_text("\n".join([given.why, "", table, "", *lines]) + "\n")
-    (place / "figures.csv").write_text(tables.as_csv(found))
+    table = tables.text(tables.rows(pairs))
+    lines = tables.violations(pairs)
+    (output_folder / "table.txt").write_text(
+        "\n".join([round_settings.why, "", table, "", *lines]) + "\n"
+    )
+    (output_folder / "figures.csv").write_text(tables.as_csv(pairs))
     print(table)
-    print("\n".join(lines) or "no rule broken")
+    print("\n".join(lines) or "no rule violated")
     if picture:
-        first = found[0]
+        first = pairs[0]
         reports = {f"{first.name} before": first.before, f"{first.name} after": first.after}
-        plot.waterfall(reports, place / "waterfall.svg")
+        plot.waterfall(reports, output_folder / "waterfall.svg")
 
 
 if __name__ == "__main__":
--- a/bench/rounds/play.py
+++ b/bench/rounds/play.py
@@ -1,4 +1,4 @@
-"""Plays the runs of a round, a bounded number at a time; what was played is not played again."""
+"""Runs the missing runs of a round with bounded concurrency."""
 
 import asyncio
 import dataclasses
@@ -15,7 +15,7 @@
 
 
 class Side(enum.StrEnum):
-    """Which of the two trees."""
+    """Tree that a run uses."""
 
     BEFORE = "before"
     AFTER = "after"
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """One run to be played."""
+    """Run of one day of a site on one tree."""
 
     site: str
     day: str
@@ -31,16 +31,16 @@
     side: Side
 
     def pair(self) -> str:
-        """Return the name that both runs of a pair share."""
+        """Return the name of the pair."""
         return f"{pathlib.Path(self.site).stem}/{pathlib.Path(self.day).stem}/{self.seed}"
 
     def file(self, folder: pathlib.Path) -> pathlib.Path:
-        """Return where its report is kept."""
+        """Return the path of its report."""
         return folder / f"{self.pair().replace('/', '_')}_{self.side}.json"
 
 
 class Price(msgspec.Struct, array_like=True, frozen=True):
-    """One price line of a report."""
+    """Price line of a report."""
 
     name: str
     amount: float
@@ -48,7 +48,7 @@
 
 
 class Part(msgspec.Struct, array_like=True, frozen=True):
-    """One part of the credit, with its weight."""
+    """Weighted part of the credit."""
 
     name: str
     weight: float
@@ -56,12 +56,12 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """What this tool reads of a run's report.
+    """Fields of a run's report that this tool uses.
 
     Attributes:
-      worth: what the day is worth, G in the report.
-      breaks: broken rules, by name.
-      snapshot: the journal entry's id; added by this tool.
+      worth: score of the day, G in the report.
+      breaks: violated rules, by name.
+      snapshot: id of the journal entry, added by this tool.
     """
 
     worth: float = msgspec.field(name="G")
@@ -72,47 +72,49 @@
     snapshot: str = ""
 
 
-def runs_of(given: settings.Settings) -> list[Run]:
-    """Return all runs of a round, the two of a pair beside each other."""
+def runs_of(round_settings: settings.Settings) -> list[Run]:
+    """Return all runs of a round, those of a pair adjacent."""
     return [
         Run(play.site, play.day, seed, side)
-        for play in given.play
+        for play in round_settings.play
         for seed in play.seeds
         for side in Side
     ]
 
 
 def load(run: Run, folder: pathlib.Path) -> Report | None:
-    """Return the report of a run that was played already."""
+    """Return the stored report of a run, or None."""
     path = run.file(folder)
     if not path.exists():
         return None
     return msgspec.json.decode(path.read_bytes(), type=Report)
 
 
-def command(run: Run, given: settings.Settings, program: str, report: pathlib.Path) -> list[str]:
-    """Return the words that play a run."""
-    why = f"{given.extra}, {run.side} of a pair: {given.why}"
+def command(
+    run: Run, round_settings: settings.Settings, program: str, report: pathlib.Path
+) -> list[str]:
+    """Return the command line of a run."""
+    why = f"{round_settings.extra}, {run.side} of a pair: {round_settings.why}"
     words = [program, "run", run.site, run.day, "--report", str(report), "--why", why]
     if run.seed:
         words += ["--seed", str(run.seed)]
-    if given.no_cpu:
+    if round_settings.no_cpu:
         words.append("--no-cpu")
     return words
 
 
 async def play(
-    run: Run, given: settings.Settings, program: str, folder: pathlib.Path
+    run: Run, round_settings: settings.Settings, program: str, folder: pathlib.Path
 ) -> Report | None:
-    """Play one run and keep its report.
+    """Execute one run and store its report and, beside it, its output.
 
     Returns:
-      The report, or None if the run gave none; its output is kept beside.
+      The report, or None if the run wrote none.
     """
-    tree = given.before if run.side is Side.BEFORE else given.after
+    tree = round_settings.before if run.side is Side.BEFORE else round_settings.after
     raw = run.file(folder).with_suffix(".raw").absolute()
     process = await asyncio.create_subprocess_exec(
-        *command(run, given, program, raw),
+        *command(run, round_settings, program, raw),
         cwd=tree,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.STDOUT,
@@ -130,20 +132,20 @@
     return load(run, folder)
 
 
-async def play_all(given: settings.Settings, program: str, folder: pathlib.Path) -> None:
-    """Play what is missing of a round, with a line for each run."""
-    missing = [run for run in runs_of(given) if load(run, folder) is None]
-    total = len(runs_of(given))
-    print(f"{total - len(missing)} of {total} runs are there already", flush=True)
-    room = asyncio.Semaphore(given.at_once)
+async def play_all(round_settings: settings.Settings, program: str, folder: pathlib.Path) -> None:
+    """Execute the missing runs of a round and print a line for each."""
+    missing = [run for run in runs_of(round_settings) if load(run, folder) is None]
+    total = len(runs_of(round_settings))
+    print(f"{total - len(missing)} of {total} runs are complete already", flush=True)
+    limit = asyncio.Semaphore(round_settings.at_once)
     done = 0
 
     async def one(run: Run) -> None:
         nonlocal done
-        async with room:
-            report = await play(run, given, program, folder)
+        async with limit:
+            report = await play(run, round_settings, program, folder)
         done += 1
-        told = "no report" if report is None else f"worth {report.worth:.3f} {report.snapshot}"
-        print(f"{done}/{len(missing)} {run.pair()} {run.side}: {told}", flush=True)
+        outcome = "no report" if report is None else f"worth {report.worth:.3f} {report.snapshot}"
+        print(f"{done}/{len(missing)} {run.pair()} {run.side}: {outcome}", flush=True)
 
     await asyncio.gather(*(one(run) for run in missing))
--- a/bench/rounds/settings.py
+++ b/bench/rounds/settings.py
@@ -1,4 +1,4 @@
-"""What a round plays: a TOML file, checked as it is read."""
+"""Settings of a round, from a TOML file."""
 
 import os
 import pathlib
@@ -6,17 +6,17 @@
 import msgspec
 
 
-class SettingsFault(ValueError):
-    """A settings file that can't be used; the message names the remedy."""
+class SettingsError(ValueError):
+    """A settings file is invalid; the message names the remedy."""
 
 
 class Play(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A day of a site, with several seeds.
+    """Runs of one day of a site.
 
     Attributes:
       site: path of the site file.
-      day: a standard day's name, or the path of a day of one's own.
-      seeds: one pair of runs for each; 0 is the day's own seed.
+      day: name of a standard day, or path of a custom day.
+      seeds: seeds with one pair of runs each; 0 is the seed of the day.
     """
 
     site: str
@@ -25,15 +25,15 @@
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A round.
+    """Settings of a round.
 
     Attributes:
-      why: the hypothesis; each run's journal entry says it.
-      before: the tree without the change, a checkout outside of /tmp.
-      after: the tree with it.
-      at_once: runs at the same time.
-      no_cpu: leave processor time out, so that runs nearly repeat.
-      extra: further words for each run's reason, such as "trial".
+      why: hypothesis, recorded in the journal entry of each run.
+      before: checkout without the change, outside of /tmp.
+      after: checkout with the change.
+      at_once: maximum of concurrent runs.
+      no_cpu: exclude processor time from the score, so that runs are nearly reproducible.
+      extra: prefix of the reason recorded with each run, such as "trial".
     """
 
     why: str
@@ -49,18 +49,18 @@
     """Read and check a settings file.
 
     Raises:
-      SettingsFault: it can't be read, or a value is out of bounds.
+      SettingsError: the file can't be read, or a value is invalid.
     """
     try:
-        found = msgspec.toml.decode(path.read_bytes(), type=Settings)
+        settings = msgspec.toml.decode(path.read_bytes(), type=Settings)
     except OSError as error:
-        raise SettingsFault(f"{path}: {error.strerror}. Remedy: name a readable file.") from error
+        raise SettingsError(f"{path}: {error.strerror}. Remedy: name a readable file.") from error
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise SettingsFault(f"{path}: {error}. Remedy: see bench/rounds/settings.py.") from error
-    most = max(1, (os.cpu_count() or 2) // 2)
-    if not 1 <= found.at_once <= most:
-        raise SettingsFault(f"{path}: at_once must be 1 to {most}, half of the processors.")
-    for tree in (found.before, found.after):
+        raise SettingsError(f"{path}: {error}. Remedy: see bench/rounds/settings.py.") from error
+    max_at_once = max(1, (os.cpu_count() or 2) // 2)
+    if not 1 <= settings.at_once <= max_at_once:
+        raise SettingsError(f"{path}: at_once must be 1 to {max_at_once}, half of the processors.")
+    for tree in (settings.before, settings.after):
         if not (pathlib.Path(tree) / "deploy" / "system.toml").exists():
-            raise SettingsFault(f"{path}: {tree} is no checkout. Remedy: clone the repository.")
-    return found
+            raise SettingsError(f"{path}: {tree} is no checkout. Remedy: clone the repository.")
+    return settings
--- a/bench/rounds/tables.py
+++ b/bench/rounds/tables.py
@@ -1,4 +1,4 @@
-"""Tables of a round: each part of the worth before and after, the difference and its spread."""
+"""Tables of a round: metrics before and after, their difference and its standard deviation."""
 
 import csv
 import dataclasses
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pair:
-    """The two runs of a pair."""
+    """Reports of both runs of a pair."""
 
     name: str
     before: play.Report
@@ -24,10 +24,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One figure over all pairs of a site.
+    """Mean of one metric over the pairs of a site or day.
 
     Attributes:
-      spread: standard deviation of the differences, 0 with one pair.
+      spread: standard deviation of the differences, 0 for a single pair.
     """
 
     site: str
@@ -39,10 +39,10 @@
     pairs: int
 
 
-def pairs(given: settings.Settings, folder: pathlib.Path) -> list[Pair]:
-    """Return the pairs of which both runs are there."""
+def pairs(round_settings: settings.Settings, folder: pathlib.Path) -> list[Pair]:
+    """Return the pairs with reports of both runs."""
     found = []
-    for run in play.runs_of(given):
+    for run in play.runs_of(round_settings):
         if run.side is play.Side.AFTER:
             continue
         before = play.load(run, folder)
@@ -53,7 +53,7 @@
 
 
 def figures(report: play.Report) -> dict[str, float]:
-    """Return the figures of a report by name; prices are negative."""
+    """Return the metrics of a report by name; prices are negative."""
     found = {WORTH: report.worth}
     found.update({part.name: part.credit for part in report.parts})
     found.update({price.name: -price.worth for price in report.prices if price.worth})
@@ -61,7 +61,7 @@
 
 
 def rows(found: list[Pair]) -> list[Row]:
-    """Return the figures of each site, and of each day of it."""
+    """Return the rows of each site and of each of its days."""
     groups: dict[str, list[Pair]] = {}
     for pair in found:
         site, day, _ = pair.name.split("/")
@@ -94,7 +94,7 @@
 
 
 def text(found: list[Row], least: float = 0.0005) -> str:
-    """Return the rows as a table, without those that say nothing."""
+    """Format the rows as a table, without those whose values are all below least."""
     shown = [row for row in found if max(abs(row.before), abs(row.after)) >= least]
     return tabulate.tabulate(
         [dataclasses.astuple(row) for row in shown],
@@ -103,8 +103,8 @@
     )
 
 
-def broken(found: list[Pair]) -> list[str]:
-    """Return a line for each run with a broken rule or a fault."""
+def violations(found: list[Pair]) -> list[str]:
+    """Return a line for each run with a violated rule or a fault."""
     lines = []
     for pair in found:
         for side, report in ((play.Side.BEFORE, pair.before), (play.Side.AFTER, pair.after)):
@@ -115,7 +115,7 @@
 
 
 def as_csv(found: list[Pair]) -> str:
-    """Return each figure of each run as CSV, with its journal id."""
+    """Return the metrics of each run as CSV, with the id of the journal entry."""
     out = io.StringIO()
     writer = csv.writer(out)
     writer.writerow(["pair", "side", "journal", "figure", "value"])
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,9 +1,8 @@
-"""Measures the slopes that docs/CAPACITY.md is worked out from; writes bench/slopes.json.
+"""Measures unit costs for docs/CAPACITY.md and writes them to bench/slopes.json.
 
     python -m bench.slopes
 
-Counts and bytes are exact; processor times are medians of several runs on the machine
-that runs it, so they are recorded and never compared by a test.
+Counts and bytes are deterministic. Processor times are medians and depend on the machine.
 """
 
 import gc
@@ -30,7 +29,7 @@
 
 
 def median_us(work: Callable[[], None], count: int) -> float:
-    """Return the median processor time of one of count calls, in microseconds."""
+    """Return the processor time of a call in microseconds, the median of REPEATS batches."""
     found = []
     for _ in range(REPEATS):
         start = time.process_time()
@@ -41,13 +40,13 @@
 
 
 def fit(points: dict[int, float]) -> tuple[float, float]:
-    """Return slope and value at 0 of the least-squares line through points."""
+    """Return slope and intercept of the least-squares line through points."""
     slope, start = statistics.linear_regression(list(points), list(points.values()))
     return round(slope, 4), round(start, 3)
 
 
 def bytes_each(make: Callable[[int], object], count: int) -> int:
-    """Return the memory that one of count objects takes."""
+    """Return the mean memory of an object in bytes, over count objects."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -59,7 +58,7 @@
 
 
 def record(number: int) -> data.KeyRecord:
-    """Return a key record as a finished ticket leaves it."""
+    """Return the key record of a finished ticket."""
     reply = data.Reply(200, "application/json", b"x" * 200)
     return data.KeyRecord(
         "workspace",
@@ -86,27 +85,27 @@
     )
 
 
-def run_of(number: int) -> runs.Run:
-    """Return a run that has made 300 tokens."""
+def build_run(number: int) -> runs.Run:
+    """Return a run with 300 generated tokens."""
     run = runs.Run(request(number), 0)
     run.tokens = [f"token{number}-{n}" for n in range(300)]
     return run
 
 
 def memory() -> dict[str, int]:
-    """Return bytes for each kind of state."""
+    """Return the bytes of one object of each kind of state."""
     table = keys.Table()
     ctx = context.Context("a1#1", "a", clock.ManualClock(), random.Random(1))
-    places = placement.Placement(ctx)
+    chooser = placement.Placement(ctx)
     return {
         "key record": bytes_each(lambda n: table.put(record(n), n), 5_000),
-        "run with 300 tokens": bytes_each(run_of, 300),
+        "run with 300 tokens": bytes_each(build_run, 300),
         "copy of a 2 kB request": bytes_each(request, 2_000),
         "member": bytes_each(
             lambda n: members.Member(f"node-{n}#1", "a", data.NodeState.LIVE, n), 2_000
         ),
         "endpoint": bytes_each(
-            lambda n: (endpoint(n), places.stats.setdefault(str(n), placement.EndpointStats())),
+            lambda n: (endpoint(n), chooser.stats.setdefault(str(n), placement.EndpointStats())),
             2_000,
         ),
         "workspace": bytes_each(workspace_state, 500),
@@ -114,13 +113,13 @@
 
 
 def endpoint(number: int) -> data.Endpoint:
-    """Return an engine of the model."""
+    """Return an engine that serves the model."""
     name = f"centre-engine-{number}"
     return data.Endpoint(name, "a", data.EndpointKind.ENGINE, f"http://{name}", ("writer",))
 
 
 def workspace_text(number: int, weight: int = 1) -> str:
-    """Return a workspace document of the usual length."""
+    """Return a workspace document of typical length."""
     return (
         f"[workspace]\nname = w{number}\ntemplate = desk\ntoken_sha256 = {number:064d}\n"
         f"model = writer\nweight = {weight}\ndata_centres = a, b, c\n"
@@ -129,27 +128,27 @@
 
 
 def workspace_state(number: int) -> object:
-    """Return what a node keeps of one workspace: text and rendered parameters."""
+    """Return the state that a node keeps of a workspace."""
     from plumarch.config import rendering
 
     text = workspace_text(number)
     return text, rendering.render("w", text, TEMPLATE), config_state.digest_of(text)
 
 
-def placing() -> dict[int, float]:
-    """Return microseconds of a placement by number of endpoints."""
+def placement_times() -> dict[int, float]:
+    """Return microseconds per placement by number of endpoints."""
     found = {}
     for count in (10, 30, 143, 375):
         ctx = context.Context("a1#1", "a", clock.ManualClock(), random.Random(1))
-        places = placement.Placement(ctx)
-        places.update(tuple(endpoint(n) for n in range(count)))
-        asked = request(1)
-        found[count] = median_us(lambda p=places, a=asked: p.choose(a, frozenset()), 300)
+        chooser = placement.Placement(ctx)
+        chooser.update(tuple(endpoint(n) for n in range(count)))
+        sample_request = request(1)
+        found[count] = median_us(lambda p=chooser, a=sample_request: p.choose(a, frozenset()), 300)
     return found
 
 
-def ticking() -> dict[int, float]:
-    """Return microseconds of a tick at rest by number of nodes in the region."""
+def tick_times() -> dict[int, float]:
+    """Return microseconds per idle tick by number of nodes in the region."""
     found = {}
     for count in (6, 24, 56):
         world = region(count)
@@ -158,26 +157,26 @@
     return found
 
 
-def hearing() -> dict[int, float]:
-    """Return microseconds of taking a heartbeat in by number of nodes in the region."""
+def heartbeat_times() -> dict[int, float]:
+    """Return microseconds to handle a heartbeat by number of nodes in the region."""
     found = {}
     for count in (6, 24, 56):
         world = region(count)
         listener = world.hosts["a0"].node
-        beat = messages.Heartbeat("b", data.NodeState.LIVE, "127.0.0.1:1", [(99, 1)], [], 0)
-        event = events.PeerMessage("b0#1", beat)
+        heartbeat = messages.Heartbeat("b", data.NodeState.LIVE, "127.0.0.1:1", [(99, 1)], [], 0)
+        event = events.PeerMessage("b0#1", heartbeat)
         found[count] = median_us(lambda n=listener, e=event: n.handle(e), 400)
     return found
 
 
 def region(count: int) -> virtual.World:
-    """Return a region of nodes in three data centres, at rest."""
+    """Return an idle region of nodes in three data centres."""
     nodes = {f"{'abc'[n % 3]}{n // 3}": "abc"[n % 3] for n in range(count)}
     return virtual.build(nodes, engines_each=1, services_each=1)
 
 
 def control_bytes() -> dict[int, float]:
-    """Return bytes sent by a node a second, at rest, by number of nodes in the region."""
+    """Return bytes per second sent by an idle node, by number of nodes in the region."""
     found = {}
     for count in (6, 24, 56):
         world = region(count)
@@ -187,18 +186,18 @@
     return found
 
 
-def claiming() -> dict[str, float]:
-    """Return bytes and microseconds that one not repeatable request costs in control."""
+def claim_cost() -> dict[str, float]:
+    """Return control bytes and microseconds per request that is not repeatable."""
     world = region(6)
     world.bytes_sent.clear()
     quiet = world.bytes_sent
     start = time.process_time()
     for number in range(500):
         entry = f"{'abc'[number % 3]}0"
-        asked = virtual.request(
+        sample_request = virtual.request(
             world, entry, data.RequestClass.LOOKUP, f"k{number}", repeatable=False
         )
-        world.call(entry, asked)
+        world.call(entry, sample_request)
         if number % 5 == 4:
             world.run(40)
     spent = time.process_time() - start
@@ -207,21 +206,21 @@
     return {"bytes": round(size / 500, 1), "us": round(spent / 500 * 1e6, 1)}
 
 
-def copying() -> dict[str, float]:
-    """Return bytes that one accepted review costs beside its key."""
+def copy_cost() -> dict[str, float]:
+    """Return bytes sent to replicate an accepted review, without its key."""
     world = region(6)
     world.bytes_sent.clear()
     for number in range(50):
-        asked = virtual.request(world, "a0", data.RequestClass.REVIEW, f"r{number}")
-        world.call("a0", asked)
+        sample_request = virtual.request(world, "a0", data.RequestClass.REVIEW, f"r{number}")
+        world.call("a0", sample_request)
         world.run(1_000)
     sent = world.bytes_sent
     size = sent["CopyPut"] + sent["CopyAck"] + sent["CopyDrop"]
     return {"bytes without body": round(size / 50, 1)}
 
 
-def configuring() -> dict[str, dict[int, float]]:
-    """Return messages and bytes a node and change, by number of nodes, and time in force."""
+def configuration_cost() -> dict[str, dict[int, float]]:
+    """Return bytes and updates per node and change, and propagation time, by number of nodes."""
     sizes: dict[int, float] = {}
     counts: dict[int, float] = {}
     times: dict[int, float] = {}
@@ -254,7 +253,7 @@
 
 
 def rendering_times() -> dict[str, dict[int, float]]:
-    """Return microseconds of a change by diff and by rebuilding all, by workspaces."""
+    """Return microseconds per change, by diff and by full rebuild, by number of workspaces."""
     diff: dict[int, float] = {}
     rebuild: dict[int, float] = {}
     for count in (5, 500):
@@ -285,8 +284,8 @@
     return median_us(change, 3 if fresh else 20)
 
 
-def queueing() -> float:
-    """Return microseconds of putting a request in a queue of 1,000 and taking it out."""
+def queue_us() -> float:
+    """Return microseconds to push and pop a request at a queue of 1,000."""
     queue = fair_queue.FairQueue()
     for number in range(1_000):
         queue.push(_entry(number))
@@ -306,34 +305,34 @@
 
 
 def token_us() -> float:
-    """Return microseconds of the decisions on one token."""
+    """Return microseconds of the node's decisions per token."""
     world = virtual.build({"a1": "a"})
-    asked = virtual.request(world, "a1", data.RequestClass.CHAT, max_tokens=100_000)
-    world.call("a1", asked)
+    sample_request = virtual.request(world, "a1", data.RequestClass.CHAT, max_tokens=100_000)
+    world.call("a1", sample_request)
     world.run(50)
     owner: node.Node = world.hosts["a1"].node
-    run = owner.table.active[asked.id]
+    run = owner.table.active[sample_request.id]
     attempt = run.attempt()
 
     def one() -> None:
-        owner.handle(events.EndpointTokens(asked.id, attempt, len(run.tokens), ("x",)))
+        owner.handle(events.EndpointTokens(sample_request.id, attempt, len(run.tokens), ("x",)))
 
     return median_us(one, 2_000)
 
 
 def main() -> None:
-    """Measure everything and write it down."""
+    """Take all measurements, write and print them."""
     slopes = {
         "memory bytes": memory(),
-        "placement us by endpoints": placing(),
-        "tick us by nodes": ticking(),
-        "heartbeat us by nodes": hearing(),
+        "placement us by endpoints": placement_times(),
+        "tick us by nodes": tick_times(),
+        "heartbeat us by nodes": heartbeat_times(),
         "control bytes a node and second by nodes": control_bytes(),
-        "claim": claiming(),
-        "copy": copying(),
-        "configuration by nodes": configuring(),
+        "claim": claim_cost(),
+        "copy": copy_cost(),
+        "configuration by nodes": configuration_cost(),
         "change us by workspaces": rendering_times(),
-        "queue us": queueing(),
+        "queue us": queue_us(),
         "token decision us": token_us(),
     }
     PATH.write_text(json.dumps(slopes, indent=2) + "\n")
--- a/tests/rounds_test.py
+++ b/tests/rounds_test.py
@@ -1,4 +1,4 @@
-"""The paired runner: settings are checked, what was played is kept, differences are right."""
+"""Paired rounds: settings, resumption of runs, and tables."""
 
 import asyncio
 import os
@@ -19,7 +19,7 @@
 }
 
 PROGRAM = """#!/bin/sh
-# Stands for the users' bench: writes a report, says its journal entry, and counts its runs.
+# Fake of the users' bench: writes a report, prints its journal entry and counts its runs.
 echo x >> "{counter}"
 cp "{report}" "$5"
 echo "snapshot abc123"
@@ -27,7 +27,7 @@
 
 
 def checkout(folder: pathlib.Path, name: str) -> pathlib.Path:
-    """Make what looks like a checkout."""
+    """Create a folder that passes for a checkout."""
     tree = folder / name
     (tree / "deploy").mkdir(parents=True)
     (tree / "deploy" / "system.toml").write_text("")
@@ -45,8 +45,8 @@
     return path
 
 
-def stand_in(folder: pathlib.Path) -> pathlib.Path:
-    """Write a program that stands for the users' bench."""
+def write_fake_program(folder: pathlib.Path) -> pathlib.Path:
+    """Write an executable that replaces the users' bench."""
     report = folder / "report.json"
     report.write_bytes(msgspec.json.encode(REPORT))
     program = folder / "program"
@@ -55,24 +55,24 @@
     return program
 
 
-def test_settings_are_checked(tmp_path: pathlib.Path) -> None:
+def test_invalid_settings_are_rejected(tmp_path: pathlib.Path) -> None:
     assert settings.read(round_of(tmp_path)).play[0].seeds == (1, 2)
-    for text, told in (
+    for text, replacement in (
         ("at_once = 1", "at_onec = 1"),
         ("at_once = 1", f"at_once = {os.cpu_count()}0"),
         ("/old", "/nowhere"),
     ):
         path = tmp_path / "wrong.toml"
-        path.write_text((tmp_path / "round.toml").read_text().replace(text, told))
-        with pytest.raises(settings.SettingsFault, match=r"wrong\.toml"):
+        path.write_text((tmp_path / "round.toml").read_text().replace(text, replacement))
+        with pytest.raises(settings.SettingsError, match=r"wrong\.toml"):
             settings.read(path)
-    with pytest.raises(settings.SettingsFault, match="Remedy"):
+    with pytest.raises(settings.SettingsError, match="Remedy"):
         settings.read(tmp_path / "missing.toml")
 
 
-def test_a_round_that_was_cut_off_goes_on_where_it_was(tmp_path: pathlib.Path) -> None:
+def test_interrupted_round_resumes_with_missing_runs(tmp_path: pathlib.Path) -> None:
     given = settings.read(round_of(tmp_path))
-    program = stand_in(tmp_path)
+    program = write_fake_program(tmp_path)
     folder = tmp_path / "reports"
     folder.mkdir()
     asyncio.run(play.play_all(given, str(program), folder))
@@ -86,13 +86,13 @@
 
 
 def report(worth: float, windows: float, broken: bool = False) -> play.Report:
-    """Return a report with some figures of its own."""
+    """Return a report with the given score and window credit."""
     fields = {**REPORT, "G": worth, "breaks": {"QUOTA": 1} if broken else {}}
     fields["parts"] = [["whole day", 0.4, 0.9], ["worst windows", 0.28, windows]]
     return msgspec.convert(fields, play.Report)
 
 
-def test_differences_and_their_spread() -> None:
+def test_differences_and_standard_deviation_per_site() -> None:
     found = [
         tables.Pair("one/quiet-1/1", report(0.5, 0.5), report(0.6, 0.7)),
         tables.Pair("one/quiet-1/2", report(0.4, 0.5), report(0.6, 0.5)),
@@ -105,18 +105,18 @@
     assert "one/quiet-1/2,after,,worth,0.6" in tables.as_csv(found).replace("\r", "")
 
 
-def test_broken_rules_are_told() -> None:
+def test_violated_rules_are_listed() -> None:
     pair = tables.Pair("one/quiet-1/1", report(0.5, 0.5), report(0.0, 0.5, broken=True))
-    assert len(tables.broken([pair])) == 1
-    assert "QUOTA" in tables.broken([pair])[0]
+    assert len(tables.violations([pair])) == 1
+    assert "QUOTA" in tables.violations([pair])[0]
 
 
-def test_losses_add_up_to_the_worth() -> None:
-    whole = play.Report(
+def test_losses_and_score_add_up_to_one() -> None:
+    complete = play.Report(
         worth=0.5,
         parts=(play.Part("whole day", 1.0, 0.8),),
         prices=(play.Price("seconds", 1.0, 0.3), play.Price("little", 1.0, 0.0001)),
     )
-    lost = plot.losses(whole)
+    lost = plot.losses(complete)
     assert [name for name, _ in lost] == ["whole day", "seconds", "all other prices"]
     assert 1.0 - sum(amount for _, amount in lost) == pytest.approx(0.5, abs=1e-3)
