--- a/tests/announced_rate_work_test.py
+++ b/tests/announced_rate_work_test.py
@@ -1,8 +1,6 @@
-"""Engines of accepted work that announce how many requests a second they take from all nodes.
+"""Accepted work respects the request rate that an engine announces to all nodes.
 
-A node handed accepted work to such an engine as to any other: the header was read by nobody, and an
-engine that is spared looks idle. In this session three nodes gave an engine that announces one
-request a second 27 chats in 4 s, where one and a half times the rate and five more are 11.
+An engine may start 1.5 times the announced requests, plus 5, in a window of 4 s.
 """
 
 from plumarch.core import data
@@ -19,7 +17,7 @@
     return [one for one in world.endpoints.values() if one.info.kind is data.EndpointKind.ENGINE]
 
 
-def ask(world: virtual.World, number: int) -> invariants.CallerView:
+def send_chat(world: virtual.World, number: int) -> invariants.CallerView:
     node = sorted(NODES)[number % len(NODES)]
     return world.call(node, virtual.request(world, node, data.RequestClass.CHAT, f"chat-{number}"))
 
@@ -32,24 +30,24 @@
     ]
 
 
-def most_in_a_window(at: list[int]) -> int:
+def max_starts_in_window(at: list[int]) -> int:
     return max((sum(first <= one < first + WINDOW_MS for one in at) for first in at), default=0)
 
 
-def test_all_nodes_together_keep_to_the_rate_of_an_engine():
+def test_all_nodes_together_respect_an_announced_rate():
     world = virtual.build(NODES, engines_each=2)
     limited = engines(world)[:2]
     for engine in limited:
         engine.announces = 1.0
     known_ms = world.clock.now() + KNOWN_AFTER_MS
     for number in range(160):
-        ask(world, number)
+        send_chat(world, number)
         world.run(PAUSE_MS)
     for engine in limited:
-        assert most_in_a_window(starts(world, engine, known_ms)) <= 11
+        assert max_starts_in_window(starts(world, engine, known_ms)) <= 11
 
 
-def test_a_limit_that_is_over_ends():
+def test_withdrawn_rate_is_no_longer_enforced():
     world = virtual.build({"a1": "a"}, engines_each=1)
     [engine] = engines(world)
     engine.announces = 1.0
@@ -62,14 +60,14 @@
     engine.announces = None
     world.call("a1", virtual.request(world, "a1", data.RequestClass.CHAT, "last under the limit"))
     world.run(1_500)
-    over_ms = world.clock.now()
+    withdrawn_ms = world.clock.now()
     for number in range(6):
         world.call("a1", virtual.request(world, "a1", data.RequestClass.CHAT, f"free-{number}"))
     world.run(500)
-    assert len(starts(world, engine, over_ms)) == 6
+    assert len(starts(world, engine, withdrawn_ms)) == 6
 
 
-def test_work_waits_for_the_rate_and_is_done():
+def test_requests_wait_for_the_rate_and_complete():
     world = virtual.build({"a1": "a"}, engines_each=1)
     [engine] = engines(world)
     engine.announces = 4.0
@@ -79,4 +77,4 @@
     ]
     world.run(8_000)
     assert all(one.ends == [data.Outcome.DONE] for one in callers)
-    assert most_in_a_window(starts(world, engine, 0)) <= 1.5 * 4.0 * 4 + 5
+    assert max_starts_in_window(starts(world, engine, 0)) <= 1.5 * 4.0 * 4 + 5
--- a/tests/config_test.py
+++ b/tests/config_test.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force everywhere within seconds and never reverts."""
+"""An accepted configuration reaches all nodes within seconds and is never reverted."""
 
 import random
 
@@ -27,7 +27,7 @@
     return {"template/desk": TEMPLATE, **texts, "workspace/w0": workspace("w0", weight)}
 
 
-def seen(revision: int, texts: dict[str, str]) -> events.ConfigSeen:
+def config_seen(revision: int, texts: dict[str, str]) -> events.ConfigSeen:
     manifest = {name: state.digest_of(text) for name, text in texts.items()}
     return events.ConfigSeen(revision, manifest, {manifest[n]: t for n, t in texts.items()})
 
@@ -41,28 +41,28 @@
     return state.ConfigState(ctx)
 
 
-def test_one_watcher_is_enough_for_all_nodes() -> None:
+def test_one_watcher_distributes_a_configuration_to_all_nodes() -> None:
     world = virtual.build(NODES)
-    world.deliver(world.hosts["a1"], seen(1, documents(3)))
+    world.deliver(world.hosts["a1"], config_seen(1, documents(3)))
     world.run(BOUND_MS)
     assert revisions(world) == [1, 1, 1, 1]
 
 
-def test_a_stale_watch_changes_nothing() -> None:
+def test_stale_revisions_are_ignored() -> None:
     world = virtual.build(NODES)
-    world.deliver(world.hosts["a1"], seen(5, documents(3, weight=5)))
+    world.deliver(world.hosts["a1"], config_seen(5, documents(3, weight=5)))
     world.run(BOUND_MS)
-    world.deliver(world.hosts["b1"], seen(4, documents(3, weight=4)))
-    world.deliver(world.hosts["b1"], seen(5, documents(3, weight=4)))
+    world.deliver(world.hosts["b1"], config_seen(4, documents(3, weight=4)))
+    world.deliver(world.hosts["b1"], config_seen(5, documents(3, weight=4)))
     world.run(BOUND_MS)
     assert revisions(world) == [5, 5, 5, 5]
     assert world.hosts["b1"].node.config.workspaces["w0"].weight == 5
     assert invariants.violations(world.journal) == []
 
 
-def test_a_node_new_from_nothing_gets_it_from_peers_while_the_platform_is_out() -> None:
+def test_restarted_node_gets_the_configuration_from_peers_during_a_platform_outage() -> None:
     world = virtual.build(NODES)
-    world.deliver(world.hosts["a1"], seen(3, documents(3)))
+    world.deliver(world.hosts["a1"], config_seen(3, documents(3)))
     world.run(BOUND_MS)
     world.store.faults.down = True
     world.kill("c1")
@@ -71,12 +71,12 @@
     assert revisions(world) == [3, 3, 3, 3]
 
 
-def test_a_data_centre_that_was_cut_off_catches_up() -> None:
+def test_partitioned_data_centre_catches_up() -> None:
     world = virtual.build(NODES)
     world.cut("c", "a")
     world.cut("c", "b")
     for revision in range(1, 100):
-        world.deliver(world.hosts["a1"], seen(revision, documents(3, weight=revision)))
+        world.deliver(world.hosts["a1"], config_seen(revision, documents(3, weight=revision)))
         world.run(100)
     world.run(BOUND_MS)
     assert revisions(world) == [99, 99, 99, 0]
@@ -87,7 +87,7 @@
     assert invariants.violations(world.journal) == []
 
 
-def test_a_checker_of_revisions_can_fail() -> None:
+def test_invariant_check_detects_a_revision_that_decreases() -> None:
     journal = invariants.Journal()
     for revision in (1, 3, 2):
         journal.revision("a1#1", revision)
@@ -95,66 +95,66 @@
 
 
 @pytest.mark.parametrize("count", [5, 500])
-def test_a_change_touches_only_the_workspace_it_changes(count: int) -> None:
+def test_change_of_a_workspace_renders_only_that_workspace(count: int) -> None:
     applied = config_state()
-    first = seen(1, documents(count))
+    first = config_seen(1, documents(count))
     applied.apply(first.revision, first.manifest, first.documents)
-    kept = dict(applied.workspaces)
+    initial = dict(applied.workspaces)
     before = applied.rendered
-    second = seen(2, documents(count, weight=7))
+    second = config_seen(2, documents(count, weight=7))
     applied.apply(second.revision, second.manifest, second.documents)
     assert applied.rendered - before == 1
-    assert [n for n in kept if applied.workspaces[n] is not kept[n]] == ["w0"]
+    assert [n for n in initial if applied.workspaces[n] is not initial[n]] == ["w0"]
 
 
-def test_a_changed_template_touches_all_its_workspaces() -> None:
+def test_change_of_a_template_renders_all_its_workspaces() -> None:
     applied = config_state()
-    first = seen(1, documents(5))
+    first = config_seen(1, documents(5))
     applied.apply(first.revision, first.manifest, first.documents)
     before = applied.rendered
-    second = seen(2, {**documents(5), "template/desk": TEMPLATE.replace("460", "300")})
+    second = config_seen(2, {**documents(5), "template/desk": TEMPLATE.replace("460", "300")})
     applied.apply(second.revision, second.manifest, second.documents)
     assert applied.rendered - before == 5
 
 
-def test_a_peer_a_little_behind_gets_only_what_changed() -> None:
-    giver = config_state()
+def test_peer_with_a_recent_revision_receives_only_changes() -> None:
+    sender = config_state()
     for revision in (1, 2, 3):
-        given = seen(revision, documents(500, weight=revision))
-        giver.apply(given.revision, given.manifest, given.documents)
-    give = giver.give(2)
-    assert (give.base, list(give.manifest), len(give.documents)) == (2, ["workspace/w0"], 1)
-    taker = config_state()
-    assert not taker.take(give)
-    assert taker.take(giver.give(0))
-    assert taker.workspaces == giver.workspaces
-
-
-def test_a_removed_workspace_is_removed_at_peers_too() -> None:
-    giver = config_state()
-    taker = config_state()
-    first = seen(1, documents(3))
-    giver.apply(first.revision, first.manifest, first.documents)
-    taker.take(giver.give(0))
-    less = {n: t for n, t in documents(3).items() if n != "workspace/w2"}
-    second = seen(2, less)
-    giver.apply(second.revision, second.manifest, second.documents)
-    assert taker.take(giver.give(1))
-    assert sorted(taker.workspaces) == ["w0", "w1"]
-
-
-def test_an_incomplete_configuration_is_not_put_in_force() -> None:
+        change = config_seen(revision, documents(500, weight=revision))
+        sender.apply(change.revision, change.manifest, change.documents)
+    update = sender.give(2)
+    assert (update.base, list(update.manifest), len(update.documents)) == (2, ["workspace/w0"], 1)
+    receiver = config_state()
+    assert not receiver.take(update)
+    assert receiver.take(sender.give(0))
+    assert receiver.workspaces == sender.workspaces
+
+
+def test_removal_of_a_workspace_reaches_peers() -> None:
+    sender = config_state()
+    receiver = config_state()
+    first = config_seen(1, documents(3))
+    sender.apply(first.revision, first.manifest, first.documents)
+    receiver.take(sender.give(0))
+    remaining = {n: t for n, t in documents(3).items() if n != "workspace/w2"}
+    second = config_seen(2, remaining)
+    sender.apply(second.revision, second.manifest, second.documents)
+    assert receiver.take(sender.give(1))
+    assert sorted(receiver.workspaces) == ["w0", "w1"]
+
+
+def test_incomplete_configuration_is_not_applied() -> None:
     applied = config_state()
     assert not applied.apply(1, {"workspace/w0": "missing"}, {})
     assert applied.revision == 0
 
 
-def test_a_peer_asks_once_a_second_at_most() -> None:
+def test_configuration_is_requested_at_most_once_a_second() -> None:
     world = virtual.build({"a1": "a", "b1": "b"})
     host = world.hosts["b1"]
-    beat = messages.Heartbeat("a", "live", revision=9)  # type: ignore[arg-type]
-    asked = []
+    heartbeat = messages.Heartbeat("a", "live", revision=9)  # type: ignore[arg-type]
+    sent = []
     for _ in range(3):
-        actions = host.node.handle(events.PeerMessage("a1#1", beat))
-        asked += [a for a in actions if isinstance(a, events.Send)]
-    assert len([a for a in asked if isinstance(a.message, messages.ConfigAsk)]) == 1
+        actions = host.node.handle(events.PeerMessage("a1#1", heartbeat))
+        sent += [a for a in actions if isinstance(a, events.Send)]
+    assert len([a for a in sent if isinstance(a.message, messages.ConfigAsk)]) == 1
--- a/tests/demo_scenario_test.py
+++ b/tests/demo_scenario_test.py
@@ -1,8 +1,7 @@
-"""The scenario of `make demo` on virtual time, with nodes that are held up, over many seeds.
+"""The scenario of `make demo` on virtual time with paused nodes, over many seeds.
 
-A mixed load at two data centres, one of which is reclaimed with notice, while single nodes or all
-of them pause for up to three seconds, as they do when the processor is scarce. Every draft that
-was accepted is found by its key at any node, and no promise is broken.
+One of two data centres is reclaimed with notice while nodes pause for up to three seconds, as under
+CPU contention. Guards against losing accepted drafts.
 """
 
 import dataclasses
@@ -21,16 +20,16 @@
 ROUND_MS = 1_500
 RECLAIM_ROUND = 3
 NOTICE_MS = 5_000
-TRIES = 12
+MAX_ATTEMPTS = 12
 RETRY_MS = 200
 SETTLE_MS = 60_000
-PAUSES_MS = (300, 800, 1_500, 2_600, 3_200)
-"""From less than a heartbeat to longer than it takes until a silent node counts as gone."""
+PAUSE_DURATIONS_MS = (300, 800, 1_500, 2_600, 3_200)
+"""From less than a heartbeat interval to longer than the timeout of unresponsive nodes."""
 
 
 @dataclasses.dataclass(slots=True)
 class Draft:
-    """A draft as its caller sees it: submitted until accepted, then asked for by its key."""
+    """A caller's draft: submitted until it is accepted, then fetched by its key."""
 
     key: str
     tokens: int
@@ -43,22 +42,22 @@
     def done(self) -> bool:
         return any(data.Outcome.DONE in view.ends for view in self.fetches)
 
-    def refused(self) -> bool:
+    def rejected(self) -> bool:
         return not self.accepted() and any(view.ends for view in self.submits)
 
 
 class Scenario:
-    """One run of it."""
+    """One run of the scenario."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.world = virtual.build(NODES, seed=seed)
         self.drafts: list[Draft] = []
-        self.reclaimed = False
+        self.is_reclaimed = False
 
     def node(self) -> str:
-        """Return a node that the balancer sends callers to."""
-        names = [name for name in NODES if not (self.reclaimed and NODES[name] == "a")]
+        """Return a random node that the load balancer uses."""
+        names = [name for name in NODES if not (self.is_reclaimed and NODES[name] == "a")]
         return self.rng.choice(names)
 
     def call(self, request_class: data.RequestClass, key: str, repeatable: bool) -> None:
@@ -67,7 +66,7 @@
         self.world.call(node, request)
 
     def submit(self, draft: Draft) -> None:
-        if draft.accepted() or draft.refused() or len(draft.submits) >= TRIES:
+        if draft.accepted() or draft.rejected() or len(draft.submits) >= MAX_ATTEMPTS:
             self.fetch(draft)
             return
         node = self.node()
@@ -76,43 +75,43 @@
         )
         view = self.world.call(node, request)
         draft.submits.append(view)
-        self.when(lambda: bool(view.accepted or view.ends or view.lost), draft, self.submit)
+        self.run_after(lambda: bool(view.accepted or view.ends or view.lost), draft, self.submit)
 
     def fetch(self, draft: Draft) -> None:
-        if not draft.accepted() or draft.done() or len(draft.fetches) >= TRIES:
+        if not draft.accepted() or draft.done() or len(draft.fetches) >= MAX_ATTEMPTS:
             return
-        former = next(view for view in draft.submits if view.accepted)
-        view = self.world.fetch(self.node(), former)
+        accepted_submit = next(view for view in draft.submits if view.accepted)
+        view = self.world.fetch(self.node(), accepted_submit)
         draft.fetches.append(view)
-        self.when(lambda: bool(view.ends or view.lost), draft, self.fetch)
+        self.run_after(lambda: bool(view.ends or view.lost), draft, self.fetch)
 
-    def when(self, over, draft, then) -> None:  # type: ignore[no-untyped-def]
-        """Go on with a draft a moment after a condition holds."""
-        if over():
-            self.world.at(RETRY_MS, lambda: then(draft))
+    def run_after(self, condition, draft, action) -> None:  # type: ignore[no-untyped-def]
+        """Run an action for a draft RETRY_MS after a condition holds."""
+        if condition():
+            self.world.at(RETRY_MS, lambda: action(draft))
         else:
-            self.world.at(RETRY_MS, lambda: self.when(over, draft, then))
+            self.world.at(RETRY_MS, lambda: self.run_after(condition, draft, action))
 
     def pause(self) -> None:
-        """Hold one node up, or all of them alike."""
+        """Pause one node or all nodes."""
         names = list(NODES) if self.rng.random() < 0.3 else [self.rng.choice(list(NODES))]
         for name in names:
             self.world.pause(name)
-        held_ms = self.rng.choice(PAUSES_MS)
-        self.world.at(held_ms, lambda: [self.world.resume(name) for name in names])
+        pause_ms = self.rng.choice(PAUSE_DURATIONS_MS)
+        self.world.at(pause_ms, lambda: [self.world.resume(name) for name in names])
 
-    def play(self) -> None:
+    def run(self) -> None:
         for number in range(ROUNDS):
-            self.round(number)
+            self.schedule_round(number)
             self.world.run(ROUND_MS)
         self.world.run(SETTLE_MS)
 
-    def round(self, number: int) -> None:
+    def schedule_round(self, number: int) -> None:
         for workspace in range(3):
             name = f"w{workspace}-{number}"
-            self.later(data.RequestClass.CHAT, f"{name}-chat", True)
-            self.later(data.RequestClass.LOOKUP, f"{name}-once", False)
-            self.later(data.RequestClass.LOOKUP, "", True)
+            self.schedule_call(data.RequestClass.CHAT, f"{name}-chat", True)
+            self.schedule_call(data.RequestClass.LOOKUP, f"{name}-once", False)
+            self.schedule_call(data.RequestClass.LOOKUP, "", True)
             if number % 2 == 1:
                 draft = Draft(f"{name}-draft", 150)
                 self.drafts.append(draft)
@@ -123,18 +122,18 @@
         if self.rng.random() < 0.7:
             self.world.at(self.rng.randrange(ROUND_MS), self.pause)
 
-    def later(self, request_class: data.RequestClass, key: str, repeatable: bool) -> None:
+    def schedule_call(self, request_class: data.RequestClass, key: str, repeatable: bool) -> None:
         delay = self.rng.randrange(ROUND_MS)
         self.world.at(delay, lambda: self.call(request_class, key, repeatable))
 
     def leave_balancer(self) -> None:
-        self.reclaimed = True
+        self.is_reclaimed = True
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_every_accepted_draft_is_found_by_its_key(seed: int) -> None:
+def test_accepted_drafts_complete_and_are_found_by_key(seed: int) -> None:
     scenario = Scenario(seed)
-    scenario.play()
+    scenario.run()
     assert invariants.violations(scenario.world.journal) == []
     lost = [draft.key for draft in scenario.drafts if draft.accepted() and not draft.done()]
     assert lost == []
--- a/tests/fleet_test.py
+++ b/tests/fleet_test.py
@@ -100,7 +100,7 @@
         "workspace/w0": config_test.workspace("w0"),
     }
     for host in world.hosts.values():
-        world.deliver(host, config_test.seen(1, texts))
+        world.deliver(host, config_test.config_seen(1, texts))
     world.tell_offers(OFFERS)
     for _ in range(60):
         asked = virtual.request(world, "c1", data.RequestClass.DRAFT, max_tokens=1_500)
