--- a/tests/docs_test.py
+++ b/tests/docs_test.py
@@ -1,4 +1,4 @@
-"""What the pages show is what runs."""
+"""Documentation matches the code, the examples and the days in deploy/."""
 
 import pathlib
 import re
@@ -9,7 +9,7 @@
 ROOT = pathlib.Path(__file__).parent.parent
 
 
-def test_the_example_of_the_seams_page_runs_and_is_the_one_shown() -> None:
+def test_example_of_the_seams_page_runs_and_matches_the_page() -> None:
     example = ROOT / "examples" / "drive_one_node.py"
     assert example.read_text() in (ROOT / "docs" / "SEAMS.md").read_text()
     done = subprocess.run(
@@ -25,13 +25,13 @@
     assert lines[-1] == "done all is well"
 
 
-def test_every_page_and_file_that_pages_link_to_exists() -> None:
+def test_link_targets_exist() -> None:
     for page in [ROOT / "README.md", *sorted((ROOT / "docs").rglob("*.md"))]:
         for target in re.findall(r"\]\(([^)#:]+)\)", page.read_text()):
             assert (page.parent / target).exists(), f"{page.name} links to {target}"
 
 
-def test_every_metric_is_on_the_operators_page() -> None:
+def test_operations_page_lists_every_metric() -> None:
     from plumarch.daemon import metrics
 
     page = (ROOT / "docs" / "OPERATIONS.md").read_text()
@@ -39,7 +39,7 @@
     assert missing == []
 
 
-def test_example_configurations_are_valid() -> None:
+def test_example_configurations_validate() -> None:
     from plumarch.config import files
 
     for name in ("okefenokee", "leasquell"):
@@ -48,7 +48,7 @@
         assert len(documents.texts) == 6
 
 
-def test_each_day_of_our_own_says_which_failure_it_looks_for():
+def test_custom_days_name_the_failure_that_they_test():
     days = sorted((ROOT / "deploy" / "days").glob("*.toml"))
     assert days
     for path in days:
--- a/tests/fleet_test.py
+++ b/tests/fleet_test.py
@@ -1,4 +1,4 @@
-"""Which VMs to hold: the plan, and orders that are carried out once whatever fails."""
+"""The plan of VMs, and exactly-once orders under faults."""
 
 import dataclasses
 
@@ -12,13 +12,13 @@
 NODES = {"a1": "a", "b1": "b", "c1": "c"}
 CENTRES = ["a", "b", "c"]
 CHEAP = "reclaimable"
-DEAR = "on-demand"
+EXPENSIVE = "on-demand"
 OFFERS = tuple(
     offer
     for centre in CENTRES
     for offer in (
         data.Offer(CHEAP, centre, 0.3, 8, True),
-        data.Offer(DEAR, centre, 1.0, 8, False),
+        data.Offer(EXPENSIVE, centre, 1.0, 8, False),
     )
 )
 
@@ -30,7 +30,7 @@
     ]
 
 
-def held(centre: str, count: int, load: int = 0) -> list[plan.FleetVm]:
+def vms(centre: str, count: int, load: int = 0) -> list[plan.FleetVm]:
     return [
         plan.FleetVm(f"{centre}-{n}", "writer", centre, CHEAP, 8, 0.3, load) for n in range(count)
     ]
@@ -40,60 +40,60 @@
     return [(c.data_centre, c.vm_class) for c in changes if isinstance(c, plan.Start)]
 
 
-def test_any_one_data_centre_may_be_lost() -> None:
+def test_plan_covers_the_loss_of_any_one_data_centre() -> None:
     demand = plan.Demand("writer", 60.0, 40.0)
     changes = plan.plan(demand, CENTRES, classes(), [], [], 0)
     for lost in CENTRES:
-        left = sum(8 for centre, _ in starts(changes) if centre != lost)
-        assert left >= 40
+        remaining = sum(8 for centre, _ in starts(changes) if centre != lost)
+        assert remaining >= 40
     assert len(starts(changes)) * 8 >= 60 * plan.HEADROOM
 
 
-def test_what_is_enough_is_left_alone() -> None:
+def test_sufficient_capacity_causes_no_changes() -> None:
     demand = plan.Demand("writer", 10.0, 5.0)
-    everything = [vm for centre in CENTRES for vm in held(centre, 1)]
-    assert plan.plan(demand, CENTRES, classes(), everything, [], 0) == []
+    existing_vms = [vm for centre in CENTRES for vm in vms(centre, 1)]
+    assert plan.plan(demand, CENTRES, classes(), existing_vms, [], 0) == []
 
 
-def test_the_cheapest_class_is_taken_reclaims_counted() -> None:
+def test_cheapest_class_is_chosen_including_the_cost_of_reclaims() -> None:
     demand = plan.Demand("writer", 10.0, 0.0)
     assert starts(plan.plan(demand, ["a"], classes(0.5), [], [], 0))[0] == ("a", CHEAP)
-    assert starts(plan.plan(demand, ["a"], classes(20.0), [], [], 0))[0] == ("a", DEAR)
+    assert starts(plan.plan(demand, ["a"], classes(20.0), [], [], 0))[0] == ("a", EXPENSIVE)
 
 
-def test_a_refused_class_rests_and_others_are_tried() -> None:
+def test_refused_class_is_avoided_during_its_cooldown() -> None:
     demand = plan.Demand("writer", 10.0, 0.0)
     refused = [plan.Refusal("a", CHEAP, 1, 0)]
-    assert starts(plan.plan(demand, ["a"], classes(), [], refused, 1_000))[0] == ("a", DEAR)
-    both = [*refused, plan.Refusal("a", DEAR, 1, 0)]
+    assert starts(plan.plan(demand, ["a"], classes(), [], refused, 1_000))[0] == ("a", EXPENSIVE)
+    both = [*refused, plan.Refusal("a", EXPENSIVE, 1, 0)]
     elsewhere = starts(plan.plan(demand, ["a", "b"], classes(), [], both, 1_000))
     assert {centre for centre, _ in elsewhere} == {"b"}
     later = starts(plan.plan(demand, ["a"], classes(), [], both, plan.COOLDOWN_MS))
     assert later[0] == ("a", CHEAP)
 
 
-def test_refusals_in_a_row_rest_longer_up_to_a_limit() -> None:
-    waits = [plan.Refusal("a", CHEAP, count, 0).until_ms() for count in (1, 2, 3, 50)]
-    assert waits == [30_000, 60_000, 120_000, 600_000]
+def test_consecutive_refusals_extend_the_cooldown_up_to_a_limit() -> None:
+    cooldowns_ms = [plan.Refusal("a", CHEAP, count, 0).until_ms() for count in (1, 2, 3, 50)]
+    assert cooldowns_ms == [30_000, 60_000, 120_000, 600_000]
 
 
-def test_the_dearest_idle_vm_is_released_one_at_a_time() -> None:
+def test_most_expensive_idle_vm_is_released_one_at_a_time() -> None:
     demand = plan.Demand("writer", 2.0, 0.0)
-    here = [*held("a", 3), plan.FleetVm("a-dear", "writer", "a", DEAR, 8, 1.0)]
-    changes = plan.plan(demand, ["a"], classes(), here, [], 0)
+    existing = [*vms("a", 3), plan.FleetVm("a-dear", "writer", "a", EXPENSIVE, 8, 1.0)]
+    changes = plan.plan(demand, ["a"], classes(), existing, [], 0)
     assert [c.name for c in changes if isinstance(c, plan.Release)] == ["a-dear"]
-    busy = [dataclasses.replace(vm, load=1) for vm in here]
+    busy = [dataclasses.replace(vm, load=1) for vm in existing]
     assert plan.plan(demand, ["a"], classes(), busy, [], 0) == []
 
 
-def test_a_leaving_vm_is_replaced_before_it_is_gone() -> None:
+def test_leaving_vm_is_replaced_before_it_stops() -> None:
     demand = plan.Demand("writer", 4.0, 0.0)
-    here = [dataclasses.replace(vm, leaving=True) for vm in held("a", 1)]
-    assert starts(plan.plan(demand, ["a"], classes(), here, [], 0)) == [("a", CHEAP)]
+    existing = [dataclasses.replace(vm, leaving=True) for vm in vms("a", 1)]
+    assert starts(plan.plan(demand, ["a"], classes(), existing, [], 0)) == [("a", CHEAP)]
 
 
 def busy_world(seed: int = 1) -> virtual.World:
-    """Return a world with one engine a data centre and more demand than that."""
+    """Return a world whose demand exceeds its one engine per data centre."""
     world = virtual.build(NODES, engines_each=1, services_each=0, seed=seed)
     texts = {
         "template/desk": config_test.TEMPLATE,
@@ -103,8 +103,8 @@
         world.deliver(host, config_test.config_seen(1, texts))
     world.tell_offers(OFFERS)
     for _ in range(60):
-        asked = virtual.request(world, "c1", data.RequestClass.DRAFT, max_tokens=1_500)
-        world.call("c1", dataclasses.replace(asked, timeout_ms=600_000))
+        request = virtual.request(world, "c1", data.RequestClass.DRAFT, max_tokens=1_500)
+        world.call("c1", dataclasses.replace(request, timeout_ms=600_000))
     return world
 
 
@@ -112,7 +112,7 @@
     return sum(1 for endpoint in world.endpoints.values() if endpoint.alive)
 
 
-def test_vms_are_started_for_demand_and_released_after_it() -> None:
+def test_vms_follow_demand() -> None:
     world = busy_world()
     world.run(60_000)
     assert world.cloud.starts == 6
@@ -122,58 +122,58 @@
     assert engines(world) == 3
 
 
-def deciders(world: virtual.World) -> list[str]:
+def duty_holders(world: virtual.World) -> list[str]:
     return [n for n, h in world.hosts.items() if h.alive and h.node.orders.decides()]
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_lost_answers_start_nothing_twice(seed: int) -> None:
+def test_lost_answers_cause_no_duplicate_starts(seed: int) -> None:
     world = busy_world(seed)
     world.cloud.lose_answers = 0.6
     world.store.faults.lose_answers = 0.5
     world.run(120_000)
     assert world.cloud.starts == 6
-    assert len(deciders(world)) == 1
+    assert len(duty_holders(world)) == 1
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_decider_that_dies_leaves_its_orders_to_the_next(seed: int) -> None:
+def test_orders_of_a_paused_duty_holder_are_carried_out_once(seed: int) -> None:
     world = busy_world(seed)
 
-    def kill_at_order(host: virtual.Host, action: events.Action) -> bool:
+    def pause_at_order(host: virtual.Host, action: events.Action) -> bool:
         if isinstance(action, events.CloudOrder) and host.name == "a1":
             world.pause("a1")
             return True
         return True
 
-    world.interfere = kill_at_order
+    world.interfere = pause_at_order
     world.run(40_000)
     world.interfere = None
     world.resume("a1")
     world.run(60_000)
-    # Every order of the paused decider was given again under its own token, or fenced.
+    # Orders of the paused node are repeated under their own tokens, or fenced.
     assert world.cloud.starts == 6
-    assert len(deciders(world)) == 1
+    assert len(duty_holders(world)) == 1
 
 
-def test_a_former_decider_that_wakes_orders_nothing() -> None:
+def test_resumed_former_duty_holder_is_fenced() -> None:
     world = busy_world()
     world.run(20_000)
-    former = world.hosts[deciders(world)[0]]
-    world.pause(former.name)
+    former_holder = world.hosts[duty_holders(world)[0]]
+    world.pause(former_holder.name)
     world.run(30_000)
-    assert deciders(world) != [former.name]
+    assert duty_holders(world) != [former_holder.name]
     before = dict(world.cloud.answers)
-    world.resume(former.name)
+    world.resume(former_holder.name)
     world.run(30_000)
-    assert [token for token in world.cloud.answers if former.name in token] == list(before)
+    assert [token for token in world.cloud.answers if former_holder.name in token] == list(before)
     newer = events.CloudOrder(1, "newer", False, "none", "", "", "", 9)
     stale = events.CloudOrder(1, "stale", True, "", "writer", "a", CHEAP, 8)
     assert world._carry_out(newer)[0] is events.CloudStatus.DONE
     assert world._carry_out(stale)[0] is events.CloudStatus.FENCED
 
 
-def test_without_the_platform_nothing_is_started_or_released() -> None:
+def test_no_vm_is_started_or_released_during_a_platform_outage() -> None:
     world = busy_world()
     world.store.faults.down = True
     world.run(20_000)
@@ -183,9 +183,9 @@
     assert world.cloud.starts == 6
 
 
-def test_refused_starts_are_made_up_for_elsewhere() -> None:
+def test_refused_starts_are_replaced_in_other_data_centres() -> None:
     world = busy_world()
-    world.cloud.refused = {("a", CHEAP), ("a", DEAR), ("b", CHEAP)}
+    world.cloud.refused = {("a", CHEAP), ("a", EXPENSIVE), ("b", CHEAP)}
     world.run(120_000)
     started = [e.info for e in world.endpoints.values() if "-vm-" in e.info.name]
     assert sum(info.capacity for info in started) >= 6 * 8
--- a/tests/gateway_layout_test.py
+++ b/tests/gateway_layout_test.py
@@ -1,4 +1,4 @@
-"""The gateway's packages know each other one way only, so that each can be read by itself."""
+"""Packages of the gateway have no cyclic imports."""
 
 import pathlib
 import re
@@ -6,8 +6,8 @@
 import plumarch
 
 GATEWAY = pathlib.Path(plumarch.__file__).parent / "gateway"
-IMPORTED = re.compile(r"^from plumarch\.gateway\.(\w+) import", re.MULTILINE)
-KNOWS = {
+IMPORT = re.compile(r"^from plumarch\.gateway\.(\w+) import", re.MULTILINE)
+ALLOWED_IMPORTS = {
     "connections": set(),
     "callers": {"connections"},
     "gossip": set(),
@@ -15,23 +15,23 @@
     "dispatch": {"callers", "connections", "gossip"},
     "duties": {"gossip", "store"},
 }
-"""Which other packages each may import; all may import what the gateway's parts share."""
+"""Packages that each package may import; modules directly in gateway/ are open to all."""
 
 
-def test_packages_of_the_gateway_import_one_way():
+def test_packages_import_only_allowed_packages():
     found = {
         package: {
             name
             for path in (GATEWAY / package).glob("*.py")
             if not path.name.endswith("_test.py")
-            for name in IMPORTED.findall(path.read_text(encoding="utf-8"))
+            for name in IMPORT.findall(path.read_text(encoding="utf-8"))
         }
         - {package}
-        for package in KNOWS
+        for package in ALLOWED_IMPORTS
     }
-    assert found == KNOWS
+    assert found == ALLOWED_IMPORTS
 
 
-def test_each_package_of_the_gateway_is_listed():
+def test_every_package_of_the_gateway_is_listed():
     packages = {path.name for path in GATEWAY.iterdir() if (path / "__init__.py").is_file()}
-    assert packages == set(KNOWS)
+    assert packages == set(ALLOWED_IMPORTS)
--- a/tests/platform_folder_test.py
+++ b/tests/platform_folder_test.py
@@ -1,11 +1,11 @@
-"""The adapter's folder: named like a module of the standard library, and never in its way."""
+"""The adapter in platform/ does not shadow the standard library and stays separate and small."""
 
 import pathlib
 import subprocess
 import sys
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-ADAPTER_WORDS = (
+ADAPTER_TERMS = (
     "import okefenokee",
     "not-executed",
     "prompt-prefix",
@@ -15,7 +15,7 @@
 )
 
 
-def test_the_standard_librarys_platform_is_still_imported_from_the_root():
+def test_import_platform_finds_the_standard_library():
     found = subprocess.run(
         [sys.executable, "-c", "import platform; print(platform.python_version())"],
         cwd=ROOT,
@@ -26,18 +26,18 @@
     assert found.stdout.strip().count(".") == 2
 
 
-def test_the_folder_is_no_package():
+def test_folder_is_no_package():
     assert not (ROOT / "platform" / "__init__.py").exists()
 
 
-def test_nothing_in_the_product_knows_the_platforms_words():
+def test_product_contains_no_terms_of_the_adapter():
     for path in sorted((ROOT / "plumarch").rglob("*.py")):
         text = path.read_text().lower()
-        for word in ADAPTER_WORDS:
-            assert word not in text, f"{path} names {word}"
+        for term in ADAPTER_TERMS:
+            assert term not in text, f"{path} contains {term}"
 
 
-def test_the_adapter_stays_small():
+def test_size_of_the_adapter_is_limited():
     lines = 0
     for path in (ROOT / "platform").rglob("*.py"):
         is_for_tests = path.name.startswith(("standin", "soak")) or path.name.endswith("_test.py")
--- a/tests/poison_work_test.py
+++ b/tests/poison_work_test.py
@@ -1,9 +1,6 @@
-"""Accepted work that ends each engine that begins to run it must not end them all.
+"""Accepted work that crashes engines is quarantined.
 
-A draft that a node has accepted is tried again until its time is over, at any engine that takes it.
-Where engines crash as they begin to read it, each of these tries ends one more, with all that runs
-there: in this session 80 engines ended in 80 seconds, since retries wait two seconds at most and
-nothing counted the engines that were lost.
+Guards against retries that crash one engine after the other until the request times out.
 """
 
 import dataclasses
@@ -16,15 +13,15 @@
 ENGINES = 4
 STEP_MS = 250
 MINUTE_MS = 60_000
-ENDED_BEFORE = 3
+CRASHES_BEFORE_QUARANTINE = 3
 
 
 class Fleet:
-    """A world in which an engine starts for each that ended, as an operator's plan has it."""
+    """World that replaces each crashed engine by a new one."""
 
     def __init__(self) -> None:
         self.world = virtual.build(NODES, engines_each=ENGINES)
-        self.ended: set[str] = set()
+        self.crashed: set[str] = set()
 
     def run(self, for_ms: int) -> None:
         for _ in range(for_ms // STEP_MS):
@@ -32,11 +29,11 @@
             self._replace()
 
     def _replace(self) -> None:
-        gone = [one.info for one in self.world.endpoints.values() if not one.alive]
-        for info in gone:
-            if info.name not in self.ended:
-                self.ended.add(info.name)
-                name = f"{info.data_centre}-later-{len(self.ended)}"
+        dead = [one.info for one in self.world.endpoints.values() if not one.alive]
+        for info in dead:
+            if info.name not in self.crashed:
+                self.crashed.add(info.name)
+                name = f"{info.data_centre}-later-{len(self.crashed)}"
                 self.world.add_endpoint(dataclasses.replace(info, name=name))
         self.world.tell_list()
 
@@ -58,7 +55,7 @@
     return fleet, draft
 
 
-def test_work_that_ends_its_engines_is_tried_seldom_and_other_work_is_done():
+def test_crashing_request_is_quarantined_and_others_complete():
     fleet, draft = poisoned(20 * MINUTE_MS)
     fleet.world.call("a1", draft)
     others = []
@@ -68,30 +65,30 @@
         others.append(fleet.world.call(entry, other))
         fleet.run(1_000)
     fleet.run(MINUTE_MS)
-    assert len(fleet.ended) <= ENDED_BEFORE + 1, len(fleet.ended)
+    assert len(fleet.crashed) <= CRASHES_BEFORE_QUARANTINE + 1, len(fleet.crashed)
     assert all(other.ends == [data.Outcome.DONE] for other in others)
 
 
-def test_work_whose_time_ends_before_the_next_try_is_given_up_at_once():
+def test_request_whose_timeout_precedes_the_next_trial_is_abandoned():
     fleet, draft = poisoned(quarantine.FIRST_TRIAL_MS // 2)
     caller = fleet.world.call("a1", draft)
     fleet.run(6_000)
     assert caller.ends == [data.Outcome.UNKNOWN]
-    assert len(fleet.ended) == ENDED_BEFORE
+    assert len(fleet.crashed) == CRASHES_BEFORE_QUARANTINE
 
 
-def test_ends_are_counted_on_when_the_work_gets_another_home():
+def test_crash_count_survives_a_change_of_home():
     fleet, draft = poisoned(20 * MINUTE_MS)
     fleet.world.call("a1", draft)
     fleet.run(6_000)
-    for name, told in (("a1", ("a1", "b1", "c1")), ("b1", ("b1", "c1"))):
-        fleet.world.reclaim((name,), 3_000, told)
+    for name, notified in (("a1", ("a1", "b1", "c1")), ("b1", ("b1", "c1"))):
+        fleet.world.reclaim((name,), 3_000, notified)
         fleet.run(6_000)
-    assert len(fleet.ended) <= ENDED_BEFORE, len(fleet.ended)
+    assert len(fleet.crashed) <= CRASHES_BEFORE_QUARANTINE, len(fleet.crashed)
 
 
-def test_work_that_outlives_the_loss_of_several_engines_is_done():
-    """Engines that end for another reason take tokens with them that were made before."""
+def test_request_that_makes_progress_survives_several_crashes():
+    """Tokens received before a crash show that the request was not its cause."""
     fleet = Fleet()
     draft = fleet.draft("a1", "long", 20 * MINUTE_MS, tokens=400)
     caller = fleet.world.call("a1", draft)
--- a/tests/publishing_test.py
+++ b/tests/publishing_test.py
@@ -1,4 +1,4 @@
-"""Putting a configuration on the platform: racing operators, lost answers, bad files."""
+"""Publishing a configuration: concurrent operators, lost answers, invalid files."""
 
 import asyncio
 import dataclasses
@@ -16,10 +16,10 @@
 
 @dataclasses.dataclass
 class MemoryPlatform:
-    """The object API in memory, losing the answers of the writes whose turn is listed."""
+    """The object API in memory; the answers of the writes numbered in lost_answers are lost."""
 
     store: objects.ObjectStore
-    lose: set[int] = dataclasses.field(default_factory=set)
+    lost_answers: set[int] = dataclasses.field(default_factory=set)
     writes: int = 0
     down: bool = False
 
@@ -37,7 +37,7 @@
             version = self.store.put(name, value, expected_version)
         except objects.Conflict as error:
             raise errors.PlatformConflict(name) from error
-        if self.writes in self.lose:
+        if self.writes in self.lost_answers:
             raise errors.PlatformAnswerLost(name)
         return version
 
@@ -61,19 +61,19 @@
     return MemoryPlatform(objects.ObjectStore(random.Random(1)))
 
 
-def wanted(name: str = "desk") -> files.Documents:
+def documents(name: str = "desk") -> files.Documents:
     return files.Documents({f"template/{name}": TEMPLATE.replace("desk", name)})
 
 
-def test_the_second_of_two_racing_operators_is_told_who_was_first() -> None:
+def test_conflict_names_the_operator_who_published_first() -> None:
     async def race() -> None:
         where = platform()
         current = await publishing.read_head(where)
-        await publishing.publish(where, current, wanted("one"), "anna", "first")
-        with pytest.raises(publishing.ChangeConflict) as told:
-            await publishing.publish(where, current, wanted("two"), "bert", "second")
-        assert "anna" in str(told.value) and "template/one" in str(told.value)
-        assert "Remedy" in str(told.value)
+        await publishing.publish(where, current, documents("one"), "anna", "first")
+        with pytest.raises(publishing.ChangeConflict) as conflict:
+            await publishing.publish(where, current, documents("two"), "bert", "second")
+        assert "anna" in str(conflict.value) and "template/one" in str(conflict.value)
+        assert "Remedy" in str(conflict.value)
         head = (await publishing.read_head(where)).head
         assert list(head.manifest) == ["template/one"]
 
@@ -81,24 +81,24 @@
 
 
 @pytest.mark.parametrize("lost", [{1}, {2}, {1, 3}, {2, 3}])
-def test_a_lost_answer_neither_fails_nor_doubles_a_change(lost: set[int]) -> None:
+def test_lost_answer_neither_fails_nor_repeats_a_change(lost: set[int]) -> None:
     async def apply() -> None:
         where = platform()
-        where.lose = lost
+        where.lost_answers = lost
         current = await publishing.read_head(where)
-        assert await publishing.publish(where, current, wanted(), "anna", "") == 1
+        assert await publishing.publish(where, current, documents(), "anna", "") == 1
         assert (await publishing.read_head(where)).head.revision == 1
 
     asyncio.run(apply())
 
 
-def test_nothing_is_in_force_when_the_platform_is_out() -> None:
+def test_nothing_is_published_during_a_platform_outage() -> None:
     async def apply() -> None:
         where = platform()
         current = await publishing.read_head(where)
         where.down = True
         with pytest.raises(errors.PlatformUnavailable):
-            await publishing.publish(where, current, wanted(), "anna", "")
+            await publishing.publish(where, current, documents(), "anna", "")
         assert (await publishing.read_head(where)).head.revision == 0
 
     asyncio.run(apply())
@@ -118,7 +118,7 @@
 """
 
 
-def test_all_problems_of_a_file_are_told_at_once_with_their_lines(tmp_path) -> None:  # type: ignore[no-untyped-def]
+def test_validation_reports_all_problems_with_their_lines(tmp_path) -> None:  # type: ignore[no-untyped-def]
     path = tmp_path / "bad.ini"
     path.write_text(BAD)
     problems = files.validate(files.read([str(path)]))
--- a/tests/real_failures_test.py
+++ b/tests/real_failures_test.py
@@ -1,4 +1,4 @@
-"""The promises once over real processes: killed, frozen, refused connections, a reclaim."""
+"""Guarantees with real processes: killed and frozen nodes, refused connections, a reclaim."""
 
 import collections.abc
 import concurrent.futures
@@ -34,7 +34,7 @@
 
 
 def result(system: processes.System, node: str, key: str) -> list[str]:
-    """Return the words of a request's answer, asked of a node."""
+    """Return the words of a request's result, fetched from a node."""
     url = f"{system.url(node)}/v1/requests/{key}/result"
     answer = httpx.get(url, headers=HEADERS, timeout=40)
     assert answer.status_code == 200, answer.text
@@ -58,7 +58,7 @@
     return httpx.post(system.url(node) + TICKETS, json={}, headers=headers, timeout=40)
 
 
-def test_a_killed_node_loses_no_accepted_review(system: processes.System) -> None:
+def test_accepted_review_survives_a_killed_node(system: processes.System) -> None:
     submit(system, "hall-b-1", "whole")
     expected = result(system, "hall-b-1", "whole")
     submit(system, "hall-a-1", "review-1")
@@ -67,7 +67,7 @@
     assert len(expected) == 150
 
 
-def test_a_frozen_node_that_wakes_runs_no_ticket_twice(system: processes.System) -> None:
+def test_frozen_node_that_resumes_runs_no_ticket_twice(system: processes.System) -> None:
     with concurrent.futures.ThreadPoolExecutor() as pool:
         first = pool.submit(ticket, system, "hall-a-1", "ticket-1")
         system.process("hall-a-1").send_signal(signal.SIGSTOP)
@@ -76,19 +76,19 @@
         system.process("hall-a-1").send_signal(signal.SIGCONT)
         answers.append(first.result())
     runs = system.executions().get("okefenokee-release ticket-1", 0)
-    told_not_run = [a.json()["not_run"] for a in answers if a.json().get("not_run")]
+    reported_not_run = [a.json()["not_run"] for a in answers if a.json().get("not_run")]
     assert runs <= 1
-    assert not (runs and told_not_run), [a.text for a in answers]
+    assert not (runs and reported_not_run), [a.text for a in answers]
 
 
-def test_refused_connections_are_retried_elsewhere_once(system: processes.System) -> None:
+def test_refused_connection_is_retried_once_at_another_endpoint(system: processes.System) -> None:
     system.endpoint_processes["hall-a-queue"].send_signal(signal.SIGKILL)
     answer = ticket(system, "hall-a-1", "ticket-2")
     assert answer.status_code == 200, answer.text
     assert system.executions() == {"okefenokee-release ticket-2": 1}
 
 
-def test_a_reclaimed_data_centre_cuts_no_stream_short(system: processes.System) -> None:
+def test_streams_survive_a_reclaimed_data_centre(system: processes.System) -> None:
     system.platform(
         "POST",
         "/control/reclaim",
@@ -111,8 +111,10 @@
     with httpx.stream("POST", url, json=body, headers=headers, timeout=30) as answer:
         for line in answer.iter_lines():
             words += content(line)
-    whole = httpx.post(url, json={**body, "stream": False}, headers=keyed("chat-2"), timeout=40)
-    assert words == whole.json()["choices"][0]["message"]["content"].split()
+    uninterrupted = httpx.post(
+        url, json={**body, "stream": False}, headers=keyed("chat-2"), timeout=40
+    )
+    assert words == uninterrupted.json()["choices"][0]["message"]["content"].split()
 
 
 def keyed(key: str) -> dict[str, str]:
--- a/tests/start_test.py
+++ b/tests/start_test.py
@@ -1,4 +1,4 @@
-"""A gateway's start: no module that only the own interface needs, and no caller turned away."""
+"""Start of the gateway: modules that it imports, and binding before the settings are valid."""
 
 import pathlib
 import socket
@@ -23,7 +23,7 @@
 [store]
 address = 127.0.0.1:5
 """
-NOT_NEEDED = (
+FORBIDDEN_MODULES = (
     "aiohttp",
     "fire",
     "httpx",
@@ -39,7 +39,7 @@
     "plumarch.node",
     "plumarch.recovery",
 )
-LIST_IMPORTED = """
+PRINT_MODULES = """
 import sys
 sys.path[:0] = ["platform", "."]
 import start
@@ -49,13 +49,13 @@
 """
 
 
-def test_the_gateway_imports_nothing_that_only_the_own_interface_needs():
+def test_gateway_does_not_import_modules_of_the_native_interface():
     found = subprocess.run(
-        [sys.executable, "-c", LIST_IMPORTED], cwd=ROOT, capture_output=True, text=True, check=True
+        [sys.executable, "-c", PRINT_MODULES], cwd=ROOT, capture_output=True, text=True, check=True
     )
     imported = set(found.stdout.split())
     assert "plumarch.daemon.gateway" in imported
-    assert not imported & set(NOT_NEEDED)
+    assert not imported & set(FORBIDDEN_MODULES)
 
 
 def free_port() -> int:
@@ -64,17 +64,17 @@
         return probe.getsockname()[1]
 
 
-def test_callers_connect_before_the_settings_are_validated(tmp_path: pathlib.Path):
+def test_callers_can_connect_before_settings_are_validated(tmp_path: pathlib.Path):
     path = tmp_path / "gateway.ini"
     port = free_port()
     path.write_text(SETTINGS.format(port=port))
-    opened = listening.bind_first(str(path), "listen", "callers")
-    assert opened is not None
-    with opened, socket.create_connection(("127.0.0.1", port), timeout=5):
+    listener = listening.bind_first(str(path), "listen", "callers")
+    assert listener is not None
+    with listener, socket.create_connection(("127.0.0.1", port), timeout=5):
         pass
 
 
-def test_settings_that_name_no_address_are_left_to_their_validation(tmp_path: pathlib.Path):
+def test_early_bind_ignores_settings_without_an_address(tmp_path: pathlib.Path):
     path = tmp_path / "gateway.ini"
     for text in ("", "[listen]\n", "no section", "[listen]\ncallers = nowhere\n"):
         path.write_text(text)
@@ -82,7 +82,7 @@
     assert listening.bind_first(str(tmp_path / "missing"), "listen", "callers") is None
 
 
-def test_an_address_that_is_taken_is_left_to_the_second_attempt(tmp_path: pathlib.Path):
+def test_early_bind_ignores_an_address_in_use(tmp_path: pathlib.Path):
     path = tmp_path / "gateway.ini"
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
