--- a/tests/poison_work_test.py
+++ b/tests/poison_work_test.py
@@ -88,7 +88,7 @@
 
 
 def test_request_that_makes_progress_survives_several_crashes():
-    """Tokens received before a crash show that the request was not its cause."""
+    """Guards against quarantining a long request that outlives crashes it did not cause."""
     fleet = Fleet()
     draft = fleet.draft("a1", "long", 20 * MINUTE_MS, tokens=400)
     caller = fleet.world.call("a1", draft)
