--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -122,7 +122,7 @@
     """Return a node's processor time and bytes for the control plane."""
     requests = REQUESTS_S / NODES
     keyed = requests * KEYED_SHARE
-    place = _at(measured, "placement us by endpoints", "375")
+    placement_us = _at(measured, "placement us by endpoints", "375")
     claim = measured["claim"]
     assert isinstance(claim, dict)
     beats = _at(measured, "control bytes a node and second by nodes", "56")
@@ -130,7 +130,7 @@
     watching = NOTICES_S * NOTICE_BYTES + CHANGES_DAY / DAY_S * WORKSPACES * HEAD_BYTES
     claims = keyed * claim["bytes"]
     total = beats + polls + claims
-    cpu = IDLE_CPU_PERCENT + requests * place / 1e4 + keyed * claim["us"] / 1e4
+    cpu = IDLE_CPU_PERCENT + requests * placement_us / 1e4 + keyed * claim["us"] / 1e4
     watcher = total + watching
     copies = requests * WAITING_SHARE
     copied = copies * (_at(measured, "copy", "bytes without body") + BODY_BYTES)
@@ -138,7 +138,7 @@
         (
             "entry node",
             "control, % of a core",
-            f"{IDLE_CPU_PERCENT} at rest + {requests:.0f}/s x {place:.0f} us placement"
+            f"{IDLE_CPU_PERCENT} at rest + {requests:.0f}/s x {placement_us:.0f} us placement"
             f" + {keyed:.2f}/s x {claim['us']:.0f} us claim",
             f"{cpu:.2f}",
             fits(cpu, LIMIT_CPU),
