--- a/plumarch/gateway/gossip/bootstrap.py
+++ b/plumarch/gateway/gossip/bootstrap.py
@@ -1,4 +1,4 @@
-"""Exchanges directories of reachable data centres between coordinators that know different ones."""
+"""Exchanges directories of reachable data centres between coordinators."""
 
 import dataclasses
 from collections.abc import Callable, Iterable
@@ -9,13 +9,13 @@
 from plumarch.peers import gossip
 
 MIN_RESEND_INTERVAL_MS = 1_000
-"""Minimum time between sending the same directory to the same node again."""
+"""Time before the same directory goes to the same node again."""
 
 MAX_CENTRES = 10
-"""Data centres in one datagram: about 105 bytes each, with two seniors."""
+"""Data centres in one datagram."""
 
 UNREACHABLE_LOG_MS = 1_500
-"""Time until an unreachable data centre is logged; a failover takes less."""
+"""Time until an unreachable data centre is logged; longer than a failover."""
 
 Send = Callable[[gossip.Datagram, Iterable[str]], None]
 
@@ -25,9 +25,8 @@
     """Finds the coordinators of other data centres; a member leaves this to its coordinators.
 
     Attributes:
-      send: sends a message to addresses.
-      directories_sent: by node, when the last directory was sent and the digest at that time.
-      unreachable_since_ms: since when each known data centre is unreachable.
+      directories_sent: time and digest of the last directory sent, by node.
+      unreachable_since_ms: by data centre.
       logged: unreachable data centres that were logged.
     """
 
@@ -40,11 +39,7 @@
     logged: set[str] = dataclasses.field(default_factory=set)
 
     def step(self, leaving: bool) -> None:
-        """Send discovery heartbeats to unreachable data centres and update the log and gauges.
-
-        Args:
-          leaving: whether this process is shutting down.
-        """
+        """Contact unreachable data centres and update log and gauges."""
         if self.view.role is tiers.Role.MEMBER:
             self._update_contact([])
             return
@@ -55,7 +50,7 @@
         self._discover(live, leaving)
 
     def _discover(self, live: set[str], leaving: bool) -> None:
-        """Send a discovery heartbeat to the known nodes of unreachable data centres."""
+        """Send a discovery heartbeat to unreachable data centres."""
         view = self.view
         reached = {one.address for one in view.peers.values() if self._is_reached(one, live)}
         due = view.all_centres.due_addresses(live, reached, self.state.clock.now()) - {view.address}
@@ -66,11 +61,7 @@
         return self.view.is_alive(peer) or (peer.incarnation > 0 and peer.data_centre in live)
 
     def compare_digest(self, summary: gossip.CentreSummary, leaving: bool) -> None:
-        """Send the directory to a coordinator elsewhere that knows other data centres.
-
-        Args:
-          leaving: whether this process is shutting down.
-        """
+        """Send the directory to a coordinator elsewhere that knows other data centres."""
         mine = self.view.digest()
         if not summary.centres_digest or summary.centres_digest == mine:
             self.directories_sent.pop(summary.node, None)
@@ -94,11 +85,7 @@
         ]
 
     def handle_directory(self, directory: gossip.CentreDirectory, leaving: bool) -> None:
-        """Learn the nodes in a coordinator's directory, and contact those of new data centres.
-
-        Args:
-          leaving: whether this process is shutting down.
-        """
+        """Learn the nodes in a directory, and contact those of new data centres."""
         for peer in directory.peers:
             self.view.learn(peer.name, peer.address)
         live = self.view.reachable_centres()
@@ -115,28 +102,28 @@
             self.send(self.composer.discovery(leaving), new_addresses)
 
     def send_known_peers(self, peer: peer_node.Peer) -> None:
-        """Send all known nodes to a newly reachable one, in a small fleet.
+        """Send all known nodes to a newly reachable one in a small fleet.
 
-        Heartbeats name only a sample of the peers, so that the last pairs would meet seconds later.
+        Heartbeats name only a sample, so the last pairs would meet seconds later.
         """
         if self.view.estimated_size() <= tiers.FLAT_FLEET:
             known = [gossip.KnownPeer(one.name, one.address) for one in self.view.live()]
             self.send(gossip.CentreDirectory(self.view.node, [], known), [peer.address])
 
     def apply_seniors(self, heartbeat: gossip.Heartbeat) -> None:
-        """Learn the seniors of another data centre from a node in it."""
+        """Learn another data centre's seniors from a node in it."""
         if heartbeat.seniors and heartbeat.data_centre not in self.view.reachable_centres():
             reported = seniors.from_messages(heartbeat.seniors)
             self.view.all_centres.reported(heartbeat.data_centre, reported, self.state.clock.now())
 
     def remember(self, peer: peer_node.Peer) -> None:
-        """Remember a node that is no longer counted, so that it can be contacted again."""
+        """Remember an uncounted node, so that it can be contacted again."""
         if peer.last_seen_ms is not None and not peer.leaving:
             senior = tiers.Senior(peer.seniority(), peer.address)
             self.view.all_centres.remember(peer.data_centre, senior, peer.last_seen_ms)
 
     def _update_contact(self, unreachable: list[str]) -> None:
-        """Log data centres that become unreachable or reachable, and update the contact gauges."""
+        """Log reachability changes of data centres and update the gauges."""
         now = self.state.clock.now()
         known = self.view.all_centres.centres
         self.unreachable_since_ms = {
--- a/plumarch/gateway/gossip/coordination.py
+++ b/plumarch/gateway/gossip/coordination.py
@@ -1,4 +1,4 @@
-"""Aggregates a data centre's figures for summaries, and the fleet's figures for members."""
+"""Aggregates figures for summaries and fleet updates."""
 
 import collections
 import dataclasses
@@ -18,7 +18,7 @@
 from plumarch.routing import endpoint_choice
 
 FULL_INTERVAL = 16
-"""Rounds from one full message to the next; the others hold recent changes only."""
+"""Interval of full messages, in rounds; the others hold recent changes only."""
 
 FULL_SUMMARIES = 3
 """Full summaries in a row once a data centre becomes reachable."""
@@ -26,35 +26,33 @@
 RESYNC_MS = 1_000
 """How long lower bucket levels are adopted from a data centre that became reachable.
 
-By then the coordinators of all data centres have exchanged what was admitted meanwhile. A new
-coordinator does not know what its predecessor had received.
+By then coordinators have exchanged what was admitted meanwhile. A new one does not know what its
+predecessor had received.
 """
 
 USAGE_INTERVAL = 4
-"""Rounds from one summary with usage to the next."""
+"""Interval of usage in summaries, in rounds."""
 
 MAX_LOADS = 60
-"""Endpoint loads in one datagram, heaviest first; about 20 bytes each."""
+"""Endpoint loads in one datagram, heaviest first."""
 
 CENTRE = "centre "
-"""Prefix of a data centre's name where its figures are kept beside those of nodes."""
+"""Prefix of a data centre's name among those of nodes."""
 
 
 @dataclasses.dataclass(slots=True)
 class Coordination:
-    """The aggregates that a coordinator keeps.
+    """A coordinator's aggregates.
 
     Attributes:
       ledger: the node that began the count of what the own data centre admitted.
       spent: units that the own data centre admitted, by workspace.
       own_counted: this node's own spending that `spent` includes.
-      acknowledged: sequence of the last heartbeat or notice of each of its nodes, by name.
-      rounds: fleet updates composed so far.
-      summaries: summaries composed so far.
-      newest: incarnation and sequence of the last summary of each coordinator elsewhere.
-      resync_until_ms: until when each data centre's lower levels are adopted.
+      acknowledged: last heartbeat or notice sequence, by node.
+      newest: incarnation and sequence of the last summary, by coordinator elsewhere.
+      resync_until_ms: until when lower levels are adopted, by data centre.
       full_summaries: how many of the next summaries are full.
-      full_due: whether the next fleet update is full, for a member that just became reachable.
+      full_due: whether the next fleet update is full, for a newly reachable member.
     """
 
     state: fleet_state.FleetState
@@ -90,11 +88,7 @@
     # Other data centres.
 
     def handle_summary(self, summary: gossip.CentreSummary) -> bool:
-        """Apply the summary of a coordinator of another data centre.
-
-        Returns:
-          False for a duplicate or stale summary, which is dropped.
-        """
+        """Apply another data centre's summary; return False if dropped as duplicate or stale."""
         newest = self.newest.get(summary.node, (0, 0))
         if summary.sequence and (summary.incarnation, summary.sequence) <= newest:
             return False
@@ -140,7 +134,7 @@
         return before.senior_received_ms if before is not None else 0
 
     def _usage_reported_ms(self, summary: gossip.CentreSummary, as_of_ms: int) -> dict[int, int]:
-        """Return, for the newest usage windows of a data centre, as of when they were reported."""
+        """Return the report time of a data centre's newest usage windows, by window."""
         before = self.view.centres.get(summary.data_centre)
         known = dict(before.usage_reported_ms) if before is not None else {}
         for one in summary.usage:
@@ -149,10 +143,10 @@
         return {window: known[window] for window in newest}
 
     def _charge(self, summary: gossip.CentreSummary, resync: bool) -> None:
-        """Charge the own buckets for what another data centre admitted.
+        """Charge own buckets for another data centre's admissions.
 
         Args:
-          resync: whether it became reachable, or this node a coordinator, within RESYNC_MS.
+          resync: whether it became reachable, or this node coordinator, within RESYNC_MS.
         """
         sums = {one.workspace: one.spent for one in summary.spending}
         author = f"{summary.node}#{summary.incarnation}"
@@ -175,7 +169,7 @@
         )
 
     def _ledger_from(self, summary: gossip.CentreSummary) -> centre_spending.Ledger:
-        """Return the ledger in which a coordinator elsewhere counts."""
+        """Return the ledger of a coordinator elsewhere."""
         if not summary.ledger:
             return centre_spending.UNNAMED
         begun = tiers.Seniority(summary.ledger[0].incarnation, summary.ledger[0].name)
@@ -185,7 +179,7 @@
     # The ledger of the own data centre.
 
     def continue_ledger(self, ledger: spending_ledger.FollowedLedger) -> None:
-        """Continue the ledger that this node followed as a member, or begin one."""
+        """Continue the ledger followed as a member, or begin one."""
         if ledger.begun_by is None:
             self.ledger = self.view.seniority()
         else:
@@ -194,14 +188,14 @@
         self.own_counted = dict(ledger.counted)
 
     def followed(self) -> spending_ledger.FollowedLedger:
-        """Return the ledger to follow once this node is no longer a coordinator."""
+        """Return the ledger to follow as a member again."""
         self._count_own()
         return spending_ledger.FollowedLedger(self.ledger, dict(self.spent), dict(self.own_counted))
 
     def merge_ledger(self, ledger: spending_ledger.FollowedLedger) -> None:
         """Merge the ledger of a more senior coordinator of the own data centre.
 
-        Both count the same nodes from what each received, so the larger sum is the more complete.
+        Both count the same nodes, so the larger sum is the more complete.
         """
         if ledger.begun_by is None:
             return
@@ -214,13 +208,13 @@
             self.spent[name] = max(self.spent[name], units)
 
     def _count_own(self) -> None:
-        """Count what this node itself admitted."""
+        """Count own admissions."""
         for name, bucket in self.state.quota.buckets.items():
             self.spent[name] += bucket.spent - self.own_counted.get(name, 0.0)
             self.own_counted[name] = bucket.spent
 
     def summary(self) -> gossip.CentreSummary:
-        """Return the summary for the coordinators of other data centres."""
+        """Return the summary for other data centres."""
         view, state = self.view, self.state
         neighbours = [one for one in view.neighbours() if view.is_alive(one)]
         full = self.full_summaries > 0 or self.summaries % FULL_INTERVAL == 0
@@ -266,7 +260,7 @@
         ]
 
     def _usage_age_ms(self) -> int:
-        """Return the time since the least recent heartbeat of a node of the own data centre."""
+        """Return the time since the own data centre's least recent heartbeat."""
         now = self.state.clock.now()
         last_seen = [one.last_seen_ms for one in self.view.neighbours() if one.incarnation]
         return max((now - at for at in last_seen if at is not None), default=0)
@@ -289,7 +283,7 @@
         ]
 
     def _centre_loads(self) -> list[gossip.EndpointLoad]:
-        """Return the load that the own data centre's nodes put on endpoints, heaviest first."""
+        """Return the own data centre's endpoint loads, heaviest first."""
         chooser = self.state.chooser
         sums: dict[str, endpoint_choice.Load] = {}
         sources = [
@@ -308,7 +302,7 @@
         Until roles are settled, nodes of other data centres report individually.
 
         Args:
-          source: the node's name, with or without its incarnation, or a data centre's.
+          source: a node, with or without incarnation, or a data centre.
         """
         if source.startswith(CENTRE):
             return False
@@ -337,7 +331,7 @@
         self.acknowledged[node] = max(sequence, self.acknowledged.get(node, 0))
 
     def fleet_update(self) -> gossip.FleetUpdate:
-        """Return the fleet update for the members of the own data centre."""
+        """Return the update for the own data centre's members."""
         state, quota, view = self.state, self.state.quota, self.view
         fraction = view.fresh_fraction()
         full = self.rounds % FULL_INTERVAL == 0 or self.full_due or fraction != self.last_fraction
@@ -379,7 +373,7 @@
         )
 
     def _fleet_loads(self, full: bool) -> list[gossip.EndpointLoad]:
-        """Return the endpoint loads of all nodes; only recent changes unless full."""
+        """Return all endpoint loads; only recent changes unless full."""
         chooser = self.state.chooser
         loads = {name: chooser.load(name) for name in sorted({*chooser.own, *chooser.others})}
         before = self.load_changes.known.keys() - loads.keys()
@@ -391,10 +385,10 @@
         return load_reports.heaviest(chosen, MAX_LOADS)
 
     def forget(self, node: str) -> None:
-        """Drop the state of a node that is gone."""
+        """Drop a node's state."""
         self.acknowledged.pop(node, None)
 
 
 def _is_from_senior(summary: gossip.CentreSummary) -> bool:
-    """Return whether a summary's author regards itself as its data centre's senior node."""
+    """Return whether the author regards itself as its data centre's senior."""
     return bool(summary.seniors) and summary.seniors[0].name == summary.node
--- a/plumarch/gateway/gossip/gossiper.py
+++ b/plumarch/gateway/gossip/gossiper.py
@@ -1,4 +1,4 @@
-"""Sends and receives the gossip of one node."""
+"""Sends and receives a node's gossip."""
 
 import asyncio
 from collections.abc import Iterable, Mapping
@@ -31,20 +31,20 @@
 
 HEARTBEAT_INTERVAL_MS = 250
 MAX_HEARTBEATS_PER_SECOND = 150
-"""Heartbeats that a node sends, or a coordinator receives; with more senders the interval grows."""
+"""Heartbeats that a node sends, or a coordinator receives."""
 
 MIN_ANSWER_INTERVAL_MS = HEARTBEAT_INTERVAL_MS
-"""Minimum time between two answers to a node that looks for its coordinators."""
+"""Time between two answers to a node that looks for its coordinators."""
 
 CONTACTS_PER_ROUND = 4
-"""Nodes, not yet reached or in other data centres, to which each heartbeat goes as well."""
+"""Nodes, unreached or in other data centres, to which each heartbeat goes as well."""
 
 NOTICE_TOKENS = 1_500.0
-"""Unread tokens, or units charged, from which on a prompt is announced at once."""
+"""Unread tokens, or units charged, from which on a prompt is announced."""
 
 
 class Gossiper(asyncio.DatagramProtocol):
-    """Gossips with the other nodes on behalf of one node."""
+    """Gossips on behalf of one node."""
 
     def __init__(
         self,
@@ -87,7 +87,7 @@
         state.request_permits = self.permits.request_permits
 
     async def start(self) -> None:
-        """Start listening and learn the seeds."""
+        """Listen and learn the seeds."""
         host, port = addresses.split(self.view.address)
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
@@ -100,7 +100,7 @@
         """Replace the seeds.
 
         Args:
-          seeds: IP or IP:port of nodes; a port is ignored, since all nodes listen on the same one.
+          seeds: IP or IP:port of nodes; all listen on the same port, so it is ignored.
         """
         _, port = addresses.split(self.view.address)
         known = {f"{seed.rpartition(':')[0] or seed}:{port}" for seed in seeds}
@@ -115,7 +115,7 @@
     # Sending.
 
     def interval_ms(self) -> float:
-        """Return the time between heartbeats, which grows with the number of senders."""
+        """Return the time between heartbeats; it grows with the number of senders."""
         flat = self.view.role is tiers.Role.FLAT and self.view.size() <= tiers.FLAT_FLEET
         senders = len(self.view.peers) if flat else self.view.reporting_nodes()
         return max(HEARTBEAT_INTERVAL_MS, 1000.0 * senders / MAX_HEARTBEATS_PER_SECOND)
@@ -125,7 +125,7 @@
         self.soon.set()
 
     def start_bootstrap(self) -> None:
-        """Send a full heartbeat at once, for nodes that may have missed earlier ones."""
+        """Send a full heartbeat at once, as peers may have missed earlier ones."""
         self.composer.schedule_full()
         self.send_heartbeat_soon()
 
@@ -141,13 +141,13 @@
             self.soon.clear()
 
     async def run_rounds(self) -> None:
-        """Send summaries and fleet updates, while this node coordinates, until cancelled."""
+        """Send summaries and fleet updates until cancelled."""
         while True:
             self.rounds.step()
             await asyncio.sleep(rounds.ROUND_INTERVAL_MS / 1000.0)
 
     def tick(self) -> None:
-        """Update the role and what is known of peers, then send heartbeats."""
+        """Update role and peers, then send heartbeats."""
         self._decide_role()
         self.view.interval_ms = self.interval_ms()
         self.state.quota.update_age_ms = self._update_age_ms()
@@ -176,10 +176,7 @@
         self.suspects.step()
 
     def _counted_spending(self) -> Mapping[str, float] | None:
-        """Return this node's own spending that the coordinators of its data centre counted.
-
-        None in a small fleet, where each node receives the heartbeats of all others.
-        """
+        """Return own spending that the coordinators counted; None in a small fleet."""
         if self.view.role is tiers.Role.COORDINATOR:
             return self.coordination.own_counted
         if self.view.role is tiers.Role.FLAT and self.view.size() <= tiers.FLAT_FLEET:
@@ -189,8 +186,7 @@
     def _update_age_ms(self) -> float:
         """Return the usual age of what is known of other nodes' spending.
 
-        Large charges reach the coordinators at once, small ones with the next heartbeat; then they
-        need a round between data centres and one to the members.
+        Small charges wait for the next heartbeat, a round between data centres and one to members.
         """
         if self.view.role is tiers.Role.FLAT:
             return self.view.interval_ms
@@ -208,14 +204,14 @@
         return addresses
 
     def _update_addresses(self) -> Iterable[str]:
-        """Return the recipients of updates that all nodes need at once."""
+        """Return recipients of updates that all nodes need."""
         if self.view.role is not tiers.Role.COORDINATOR:
             return self._heartbeat_addresses()
         members = {peer.address for peer in self.view.neighbours()}
         return members | self.rounds.other_coordinators()
 
     def _flat_addresses(self) -> Iterable[str]:
-        """Return all nodes of a small fleet, else the own data centre's and a sample of the others.
+        """Return all nodes of a small fleet, else the own data centre's and a sample of others.
 
         In a large fleet a node without a role is only looking for its coordinators.
         """
@@ -267,7 +263,7 @@
         self._announce_role()
 
     def _announce_role(self) -> None:
-        """Send a heartbeat at once after a role change, at most once per round."""
+        """Send a heartbeat after a role change, at most once per round."""
         now = self.state.clock.now()
         if now - self.role_announced_ms >= rounds.ROUND_INTERVAL_MS:
             self.role_announced_ms = now
@@ -277,7 +273,7 @@
         self.state.quota.set_reachable_fraction(self.view.fresh_fraction())
 
     def announce_prompt(self, sent: fleet_state.SentPrompt) -> None:
-        """Notify peers at once of a long prompt that was sent to an engine."""
+        """Notify peers of a long prompt sent to an engine."""
         load = self.state.chooser.own.get(sent.endpoint)
         if load is None or max(sent.unread_tokens, sent.units) < NOTICE_TOKENS:
             return
@@ -300,7 +296,7 @@
     # Receiving.
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Decode a datagram and dispatch it by type."""
+        """Dispatch a datagram by type."""
         try:
             message = gossip.datagram_decoder.decode(data)
         except msgspec.DecodeError as error:
@@ -330,7 +326,7 @@
                 self.permits.handle_rate_update(message)
 
     def handle_notice(self, notice: gossip.LoadNotice) -> None:
-        """Apply a peer's load at one endpoint, and what it charged."""
+        """Apply a peer's load and charge at one endpoint."""
         peer = self.view.peers.get(notice.node)
         chooser = self.state.chooser
         if (
@@ -346,7 +342,7 @@
             self.coordination.count_reported(notice.node, notice.sequence, charged)
 
     def handle_summary(self, summary: gossip.CentreSummary, sender: str) -> None:
-        """Apply the summary of another data centre; a member forwards it to its coordinators."""
+        """Apply another data centre's summary; a member forwards it to its coordinators."""
         if summary.data_centre == self.state.data_centre:
             return
         if self.view.role is tiers.Role.COORDINATOR:
@@ -374,7 +370,7 @@
         """Apply a coordinator's fleet update.
 
         Args:
-          acknowledged: sequence of the last heartbeat or notice of this node that it includes.
+          acknowledged: sequence of this node's last heartbeat or notice in it.
         """
         if update.data_centre != self.state.data_centre:
             return
@@ -395,7 +391,7 @@
             self.member.adopt_figures(update, acknowledged)
 
     def _adopt_ledger(self, update: gossip.FleetUpdate) -> None:
-        """Merge the ledger of a more senior coordinator, once it was received in full."""
+        """Merge a more senior coordinator's ledger, once received in full."""
         is_more_senior = tiers.Seniority(update.incarnation, update.node) < self.view.seniority()
         if self.view.role is tiers.Role.COORDINATOR and update.full and is_more_senior:
             ledger = spending_ledger.FollowedLedger()
@@ -448,16 +444,13 @@
             self._answer(peer)
 
     def _charge_lost_node(self, data_centre: str) -> None:
-        """Charge what a node may have admitted unseen before its process was replaced.
-
-        For nodes elsewhere their coordinators report what they had counted.
-        """
+        """Charge what a replaced process may have admitted; coordinators report nodes elsewhere."""
         role, in_own_centre = self.view.role, data_centre == self.state.data_centre
         if role is tiers.Role.FLAT or (role is tiers.Role.COORDINATOR and in_own_centre):
             self.state.quota.deduct_lost_share(1.0 / self.view.size())
 
     def _handle_new_peer(self, peer: peer_node.Peer) -> None:
-        """Log a node that was reached for the first time, or again, and send it full state."""
+        """Log a node reached for the first time, or again, and send it full state."""
         self.state.log.write(
             "peer", peer=peer.name, incarnation=peer.incarnation, address=peer.address
         )
@@ -468,19 +461,16 @@
         self.suspects.send_quarantined(peer.address)
 
     def _is_looking(self, in_own_centre: bool) -> bool:
-        """Return whether a node that sent a heartbeat here is looking for its coordinators.
+        """Return whether the sender is looking for its coordinators.
 
         In a large fleet all others send theirs to coordinators of their own data centre.
-
-        Args:
-          in_own_centre: whether it is of the own data centre.
         """
         if in_own_centre:
             return self.view.role is tiers.Role.MEMBER
         return self.view.estimated_size() > tiers.FLAT_FLEET
 
     def _answer(self, peer: peer_node.Peer) -> None:
-        """Send a node that is looking for its coordinators the seniors of its data centre."""
+        """Send the seniors of its data centre to a node that looks for them."""
         now = self.state.clock.now()
         if (
             now - self.last_answer_ms.get(peer.name, -MIN_ANSWER_INTERVAL_MS)
@@ -494,7 +484,7 @@
         """Apply a node's own figures, unless its coordinators report them.
 
         Args:
-          seen_again: whether the same process was unreachable before.
+          seen_again: whether this process was unreachable before.
         """
         role = self.view.role
         in_own_centre = heartbeat.data_centre == self.state.data_centre
@@ -535,7 +525,7 @@
         self._apply_usage(heartbeat)
 
     def _apply_usage(self, heartbeat: gossip.Heartbeat) -> None:
-        """Apply a node's usage; a member keeps it for when it becomes a coordinator."""
+        """Apply usage; a member keeps it in case it becomes a coordinator."""
         if heartbeat.usage:
             counts = {one.window: one.counts for one in heartbeat.usage}
             self.state.usage.apply_node_report(f"{heartbeat.node}#{heartbeat.incarnation}", counts)
--- a/plumarch/gateway/gossip/heartbeats.py
+++ b/plumarch/gateway/gossip/heartbeats.py
@@ -1,4 +1,4 @@
-"""Composes heartbeats: most hold what changed recently, some hold everything."""
+"""Composes full heartbeats and those with recent changes."""
 
 import collections
 import dataclasses
@@ -14,21 +14,21 @@
 from plumarch.peers import gossip, recent_changes
 
 PEERS_INTERVAL = 8
-"""Heartbeats from one with known peers and the build to the next."""
+"""Interval of known peers and the build, in heartbeats."""
 
 MAX_PEERS = 8
 USAGE_INTERVAL = 2
-"""Heartbeats from one with usage to the next, never one with peers."""
+"""Interval of usage, in heartbeats; never one with peers."""
 
 SPEEDS_INTERVAL = 4
-"""Heartbeats from one with engine speeds to the next."""
+"""Interval of engine speeds, in heartbeats."""
 
 USAGE_WINDOWS = 3
 USAGE_RETENTION_MS = 3_000
-"""How long after its end a usage window is in all heartbeats with usage; then in full ones only."""
+"""How long an ended usage window is in all heartbeats with usage; then in full ones only."""
 
 FULL_INTERVAL = 16
-"""Heartbeats from one full one to the next; the others hold recent changes only."""
+"""Interval of full ones, in heartbeats; the others hold recent changes only."""
 
 FULL_HEARTBEATS = 3
 """Full heartbeats in a row once a node becomes reachable."""
@@ -39,12 +39,12 @@
 
 @dataclasses.dataclass(slots=True)
 class DutyStatus:
-    """The state of the duties on a node.
+    """The duties' state on a node.
 
     Attributes:
-      token: the fencing token under which it holds them, or 0.
-      candidate: whether it could take them over now.
-      reported: the newest usage window that was reported.
+      token: their fencing token, or 0 if not held here.
+      candidate: whether it could take them over.
+      reported: the newest reported usage window.
     """
 
     token: int = 0
@@ -54,11 +54,10 @@
 
 @dataclasses.dataclass(slots=True)
 class HeartbeatComposer:
-    """Composes the heartbeats of one node.
+    """Composes one node's heartbeats.
 
     Attributes:
-      heartbeat_count: heartbeats composed so far.
-      full_heartbeats: how many of the next ones are full.
+      full_heartbeats: how many of the next are full.
     """
 
     state: fleet_state.FleetState
@@ -72,16 +71,14 @@
     )
 
     def schedule_full(self) -> None:
-        """Make the next heartbeats full, for a node that just became reachable."""
+        """Make the next heartbeats full, for a newly reachable node."""
         self.full_heartbeats = FULL_HEARTBEATS
 
     def next(self, leaving: bool, counted: Mapping[str, float] | None = None) -> gossip.Heartbeat:
         """Return the next heartbeat.
 
         Args:
-          leaving: whether this process is shutting down.
-          counted: this node's own spending that its coordinators are known to have counted, by
-            workspace; None in a small fleet.
+          counted: own spending that coordinators counted, by workspace; None in a small fleet.
         """
         state = self.state
         full = self.full_heartbeats > 0 or self.heartbeat_count % FULL_INTERVAL == 0
@@ -123,9 +120,9 @@
         )
 
     def discovery_answer(self, leaving: bool, data_centre: str) -> gossip.Heartbeat:
-        """Return the answer to a node that is looking for its coordinators.
+        """Answer a node that looks for its coordinators.
 
-        It has no sequence, so that it is not answered in turn.
+        Without a sequence, so that it is not answered in turn.
 
         Args:
           data_centre: the other node's.
@@ -136,12 +133,12 @@
         )
 
     def discovery(self, leaving: bool) -> gossip.Heartbeat:
-        """Return a heartbeat without figures; its receiver answers with whom to contact."""
+        """Return a heartbeat without figures, answered with whom to contact."""
         heartbeat = self._without_figures(leaving, with_seniors=True)
         return msgspec.structs.replace(heartbeat, sequence=max(1, self.sequence), build=build.NAME)
 
     def _seniors_of(self, data_centre: str) -> list[gossip.KnownPeer]:
-        """Return the known seniors of a data centre, or else the own ones, who may know them."""
+        """Return a data centre's known seniors, or else the own ones, who may know them."""
         view = self.view
         centre = view.centres.get(data_centre)
         found = list(centre.seniors) if centre is not None else []
@@ -179,7 +176,7 @@
         )
 
     def _seniors(self) -> list[gossip.NodeIdentity]:
-        """Return the seniors of the own data centre, in a large fleet."""
+        """Return the own data centre's seniors in a large fleet."""
         if self.view.size() <= tiers.FLAT_FLEET:
             return []
         return seniors.announced(self.view)
@@ -191,7 +188,7 @@
         return [gossip.WindowUsage(number, counts) for number, counts in recent.items()]
 
     def _known_peers(self) -> list[gossip.KnownPeer]:
-        """Return a sample of the peers, and all likely coordinators of each data centre."""
+        """Return sample peers and each data centre's likely coordinators."""
         live = sorted(self.view.live(), key=lambda peer: peer.seniority())
         if len(live) <= MAX_PEERS:
             chosen = live
@@ -206,9 +203,9 @@
 
 
 def usage_only(heartbeat: gossip.Heartbeat) -> gossip.Heartbeat:
-    """Return a coordinator's heartbeat for its likely successors; they do not answer.
+    """Return a coordinator's heartbeat for its likely successors, which do not answer.
 
-    It preserves the usage that only the coordinators counted, should all of them die at once.
+    It preserves usage that only coordinators counted, should all die at once.
     """
     return msgspec.structs.replace(
         heartbeat, spending=[], loads=[], peers=[], sequence=0, speeds=[], versions=[], answers=[]
@@ -216,7 +213,7 @@
 
 
 def window_count(counter: usage.UsageCounter, wall_ms: int, full: bool) -> int:
-    """Return how many usage windows are sent, newest first."""
+    """Return the number of usage windows to send, newest first."""
     if full:
         return USAGE_WINDOWS
     return 1 + (wall_ms % counter.window_ms < USAGE_RETENTION_MS)
--- a/plumarch/gateway/gossip/load_reports.py
+++ b/plumarch/gateway/gossip/load_reports.py
@@ -1,4 +1,4 @@
-"""Conversion of endpoint loads between messages and the chooser."""
+"""Converts endpoint loads to and from messages."""
 
 from collections.abc import Iterable, Mapping
 
@@ -33,7 +33,7 @@
     """Return the loads in messages, by endpoint identifier.
 
     Args:
-      by_name: the current incarnation of each endpoint by its name; earlier builds report the name.
+      by_name: current incarnations by endpoint name, which earlier builds report.
     """
     return {
         by_name.get(report.endpoint, report.endpoint): from_message(report) for report in reports
--- a/plumarch/gateway/gossip/member_updates.py
+++ b/plumarch/gateway/gossip/member_updates.py
@@ -1,4 +1,4 @@
-"""Applies the fleet updates that a member of a large fleet receives."""
+"""Applies fleet updates on a member of a large fleet."""
 
 import collections
 import dataclasses
@@ -11,24 +11,24 @@
 from plumarch.routing import endpoint_choice
 
 FLEET = "fleet"
-"""Source under which the loads of all other nodes are kept."""
+"""Source of all other nodes' loads."""
 
 MAX_SENT_FIGURES = 64
-"""Heartbeats and notices whose figures are kept for late acknowledgements."""
+"""Messages whose figures are kept for late acknowledgements."""
 
 FRACTION_MARGIN = 0.05
 """A coordinator that reaches this much less of the fleet than the followed one is ignored.
 
-It was frozen or cut off, or it has just started; until the followed one's updates are stale.
+It was frozen or cut off, or has just started; until the followed one's updates are stale.
 """
 
 FRESH_MS = 350
-"""How long after its last update a coordinator is followed: three and a half rounds."""
+"""How long after its last update a coordinator is followed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SentFigures:
-    """This node's spending and endpoint loads when it sent a heartbeat or notice."""
+    """Own spending and endpoint loads when a message was sent."""
 
     sequence: int
     spent: dict[str, float]
@@ -37,12 +37,12 @@
 
 @dataclasses.dataclass(slots=True)
 class MemberUpdates:
-    """Combines fleet updates with what this node did since.
+    """Combines fleet updates with own changes since.
 
     Attributes:
-      sent_figures: the figures of the last heartbeats and notices, earliest first.
-      loads: the loads of all nodes, this one included, by coordinator and endpoint.
-      ledger: what the coordinators counted as admitted in the data centre.
+      sent_figures: earliest first.
+      loads: all nodes' loads, by coordinator and endpoint.
+      ledger: the coordinators' count of the data centre's admissions.
     """
 
     state: fleet_state.FleetState
@@ -56,13 +56,13 @@
     )
 
     def record_heartbeat(self, heartbeat: gossip.Heartbeat) -> None:
-        """Record the figures in a heartbeat."""
+        """Record a heartbeat's figures."""
         spent = {name: bucket.spent for name, bucket in self.state.quota.buckets.items()}
         loads = load_reports.from_messages(heartbeat.loads, self.state.registry.by_name)
         self.sent_figures.append(SentFigures(heartbeat.sequence, spent, loads))
 
     def record_notice(self, notice: gossip.LoadNotice) -> None:
-        """Record the figures in a notice on top of those sent before."""
+        """Add a notice's figures to those sent before."""
         before = self.sent_figures[-1] if self.sent_figures else SentFigures(0, {}, {})
         spent = {**before.spent, notice.workspace: notice.spent}
         load = load_reports.from_message(notice.load)
@@ -70,11 +70,7 @@
         self.sent_figures.append(SentFigures(notice.sequence, spent, loads))
 
     def apply_update(self, update: gossip.FleetUpdate) -> bool:
-        """Apply a fleet update, if its author is the coordinator to follow.
-
-        Returns:
-          Whether it was applied.
-        """
+        """Apply an update if its author is the coordinator to follow; return whether it is."""
         author = tiers.Seniority(update.incarnation, update.node)
         now = self.state.clock.now()
         if not self._is_preferred(author, update.fraction, now):
@@ -99,10 +95,10 @@
         return author < last.author
 
     def adopt_figures(self, update: gossip.FleetUpdate, acknowledged: int) -> None:
-        """Adopt the quota levels and endpoint loads of a fleet update.
+        """Adopt an update's quota levels and endpoint loads.
 
         Args:
-          acknowledged: sequence of the last heartbeat or notice of this node that they include.
+          acknowledged: sequence of this node's last heartbeat or notice that they include.
         """
         known = next((one for one in self.sent_figures if one.sequence == acknowledged), None)
         quota = self.state.quota
@@ -124,7 +120,7 @@
     def _adopt_loads(
         self, update: gossip.FleetUpdate, mine: dict[str, endpoint_choice.Load]
     ) -> None:
-        """Keep the loads of the other nodes: those reported less this node's own."""
+        """Keep the reported loads less this node's own."""
         reported = load_reports.from_messages(update.loads, self.state.registry.by_name)
         known = self.loads.get(update.node)
         if known is None and not update.full:
--- a/plumarch/gateway/gossip/permit_exchange.py
+++ b/plumarch/gateway/gossip/permit_exchange.py
@@ -1,9 +1,8 @@
 """Routes permit requests to the node that allocates an endpoint's permits.
 
 This is the senior node of the endpoint's data centre; in a large fleet members send to their own
-senior coordinator, which forwards. During a network partition or a change two nodes may both
-allocate. Each scales by its reachable fraction of the fleet, so that together they stay near the
-rate; no agreement is reached, and a successor takes over no state.
+senior coordinator, which forwards. In a partition two nodes may both allocate, each scaled by its
+reachable fraction of the fleet to stay near the rate; a successor takes over no state.
 """
 
 import dataclasses
@@ -21,23 +20,22 @@
 """Nodes that forward a request: own coordinator, one of the data centre's, its senior."""
 
 MAX_PERMITS = 64
-"""Maximum permits in one answer."""
+"""Permits in one answer."""
 
 MIN_BROADCAST_INTERVAL_MS = 1_000
-"""Minimum time between two broadcasts of the rate of the same endpoint."""
+"""Time between broadcasts of an endpoint's rate."""
 
 Send = Callable[[gossip.Datagram, Iterable[str]], None]
 
 
 @dataclasses.dataclass(slots=True)
 class PermitExchange:
-    """Exchanges permit messages on behalf of one node.
+    """Exchanges one node's permit messages.
 
     Attributes:
-      send: sends a message to addresses.
-      recipients: addresses to which this node sends what all nodes are to know.
-      is_leaving: whether this process is shutting down, and allocates nothing any more.
-      broadcast_ms: when each endpoint's rate was broadcast last, by its identifier.
+      recipients: addresses for what all nodes are to know.
+      is_leaving: whether this process is shutting down and allocates nothing.
+      broadcast_ms: time of the last broadcast, by endpoint identifier.
     """
 
     state: fleet_state.FleetState
@@ -50,7 +48,7 @@
     def request_permits(
         self, endpoint: traffic.Endpoint, request: rate_allocator.PermitRequest
     ) -> None:
-        """Send a request for permits, or handle it if this node allocates them."""
+        """Request permits, or allocate them here."""
         message = gossip.PermitRequest(
             self.view.node,
             self.view.address,
@@ -136,7 +134,7 @@
         self.send(update, self.recipients())
 
     def handle_rate_update(self, message: gossip.RateUpdate) -> None:
-        """Apply a rate that another node observed; a coordinator forwards it if it was new."""
+        """Apply a rate observed elsewhere; a coordinator forwards a new one."""
         endpoint = self.state.registry.endpoints.get(message.endpoint)
         if endpoint is None or not self._is_sound(message):
             return
@@ -150,7 +148,7 @@
     def _is_sound(
         self, message: gossip.PermitRequest | gossip.PermitAnswer | gossip.RateUpdate
     ) -> bool:
-        """Return whether a message's rate is valid; log it if not."""
+        """Return whether a rate is valid; log it if not."""
         if all(request_rate.is_rate(per_s) for per_s in message.per_s):
             return True
         self.state.log.write(
@@ -159,10 +157,10 @@
         return False
 
     def allocator_address(self, data_centre: str) -> str | None:
-        """Return where the permits of a data centre's endpoints are allocated, as far as known.
+        """Return the known address of the node that allocates a data centre's permits.
 
-        Another data centre's node allocates for one without live nodes. None while this node is
-        looking for its coordinators.
+        Another data centre's node allocates for one without live nodes. None while looking for
+        coordinators.
         """
         view = self.view
         if view.role is tiers.Role.MEMBER:
@@ -174,7 +172,7 @@
         return self._senior_address(data_centre)
 
     def _senior_address(self, data_centre: str) -> str | None:
-        """Return the address of the senior node in a small fleet."""
+        """Return the senior node's address in a small fleet."""
         nodes = [(one.seniority(), one.address, one.data_centre) for one in self.view.live()]
         if not self.is_leaving():
             nodes.append((self.view.seniority(), self.view.address, self.view.data_centre))
@@ -182,7 +180,7 @@
         return min(local or nodes)[1] if nodes else None
 
     def _coordinator_address(self, data_centre: str) -> str | None:
-        """Return the address of the senior coordinator of a data centre in a large fleet."""
+        """Return a data centre's senior coordinator's address in a large fleet."""
         centres = self.view.live_centres()
         known = sorted({self.view.data_centre, *centres})
         home = data_centre if data_centre in known else known[0]
@@ -196,7 +194,7 @@
 
 
 def _forwarded(message: gossip.PermitRequest, node: str) -> gossip.PermitRequest:
-    """Return the message that a node sends, with a hop added if it is forwarded."""
+    """Return the message to send, with a hop added if forwarded."""
     if message.node == node:
         return message
     return msgspec.structs.replace(message, hops=message.hops + 1)
--- a/plumarch/gateway/gossip/region_sums.py
+++ b/plumarch/gateway/gossip/region_sums.py
@@ -1,4 +1,4 @@
-"""Aggregates by region: units admitted, and which regions are reachable in part only."""
+"""Units admitted by region, and partially reachable regions."""
 
 import collections
 import dataclasses
@@ -15,8 +15,7 @@
     """Sums by region since the last call.
 
     Attributes:
-      before: units that each source had admitted in all by then; sources as in
-        `workspace_quota.charged_by`.
+      before: units admitted by each source until then; keys as in `workspace_quota.charged_by`.
     """
 
     state: fleet_state.FleetState
@@ -28,7 +27,7 @@
         self.before = dict(self.state.quota.charged_by)
 
     def admitted(self) -> dict[str, float]:
-        """Return the units that the nodes of each region admitted since the last call."""
+        """Return the units admitted in each region since the last call."""
         found: collections.defaultdict[str, float] = collections.defaultdict(float)
         now = dict(self.state.quota.charged_by)
         for source, units in now.items():
@@ -40,7 +39,7 @@
         return {region: max(0.0, units) for region, units in found.items()}
 
     def _data_centre(self, source: str) -> str | None:
-        """Return the data centre of a source of charges, or None if it is no longer known."""
+        """Return the data centre of a source of charges, or None if unknown."""
         if not source:
             return self.state.data_centre
         if source.startswith(coordination.CENTRE):
@@ -49,12 +48,9 @@
         return peer.data_centre if peer is not None else None
 
     def partially_reachable(self, min_fraction: float) -> frozenset[str]:
-        """Return the regions of which less than a fraction of the nodes is reachable.
+        """Return regions of which less than a fraction of the nodes is reachable.
 
-        They include those with a configured data centre that is unknown.
-
-        Args:
-          min_fraction: the fraction of a region's nodes that must be reachable.
+        They include those with a configured but unknown data centre.
         """
         state = self.state
         nodes: collections.Counter[str] = collections.Counter()
@@ -72,7 +68,7 @@
         )
 
     def _known(self) -> dict[str, tuple[int, int]]:
-        """Return the number of nodes, and of reachable ones, of each data centre."""
+        """Return nodes, and reachable ones, by data centre."""
         view = self.view
         live = view.live_centres()
         found = {self.state.data_centre: (1, 1)}
--- a/plumarch/gateway/gossip/rounds.py
+++ b/plumarch/gateway/gossip/rounds.py
@@ -1,4 +1,4 @@
-"""The periodic rounds in which a coordinator sends summaries and fleet updates."""
+"""A coordinator's periodic summaries and fleet updates."""
 
 import dataclasses
 from collections.abc import Callable, Iterable
@@ -11,31 +11,30 @@
 from plumarch.peers import gossip
 
 ROUND_INTERVAL_MS = 100
-"""Time between rounds; a large charge reaches its data centre in one, the others in two."""
+"""Time between rounds."""
 
 SUMMARIES_PER_SECOND = 80
 """Maximum summaries per second that a coordinator sends to other data centres."""
 
 STANDBY_ROUNDS = 4
-"""Rounds from one in which a standby coordinator sends to the next."""
+"""Interval at which a standby coordinator sends, in rounds."""
 
 LATE_ROUND_MS = 1_000
-"""A gap between rounds after which a coordinator pauses until heartbeats have refreshed its state.
+"""Gap between rounds after which a coordinator pauses until heartbeats refresh its state.
 
 It was suspended or had no processor time.
 """
 
 REMOTE_SECOND_INTERVAL_MS = 500
-"""Minimum time between two summaries to the second coordinator of a remote data centre.
+"""Time between summaries to a remote second coordinator, which gets the others forwarded.
 
-Its senior coordinator forwards the others. Should that one freeze, the interval is short enough
-that one lost summary does not make the sender count as unreachable.
+Should the forwarder freeze, one lost summary does not yet make the sender count as unreachable.
 """
 
 MAX_MISSED_ROUNDS = 2.5
 """Rounds after which an unresponsive senior coordinator is assumed to forward nothing.
 
-The second one then receives each summary, before it counts the senders as unreachable.
+The second one then gets each summary, before it counts the senders as unreachable.
 """
 
 Send = Callable[[gossip.Datagram, Iterable[str]], None]
@@ -43,16 +42,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Rounds:
-    """One node's rounds, without effect unless it is a coordinator.
+    """One node's rounds, idle unless it is a coordinator.
 
     Attributes:
-      send: sends a message to addresses.
-      skipped: rounds left to a more senior coordinator since the last one that sent.
-      last_ms: when the last round was, including skipped ones.
+      skipped: rounds left to a more senior coordinator since the last sent.
+      last_ms: time of the last round, including skipped ones.
       paused_until_ms: nothing is sent before then.
-      next_summary_ms: when the next summary is due.
-      summary_ms: the time between two summaries, which grows with the number of data centres.
-      second_ms: when the remote second coordinators were last sent a summary.
+      summary_ms: time between summaries; grows with the number of data centres.
+      second_ms: time of the last summary to remote second coordinators.
     """
 
     state: fleet_state.FleetState
@@ -90,7 +87,7 @@
         return False
 
     def _send_summary(self, now: int) -> None:
-        """Send a summary to the coordinators of other data centres, if one is due."""
+        """Send a summary to other data centres, if due."""
         if now < self.next_summary_ms:
             return
         recipients = self.other_coordinators()
@@ -103,7 +100,7 @@
         self.send(self.sums.summary(), recipients)
 
     def _remote_seconds(self) -> set[str]:
-        """Return the remote second coordinators to which their senior one forwards summaries."""
+        """Return remote second coordinators whose senior forwards summaries."""
         rounds_ms = MAX_MISSED_ROUNDS * max(ROUND_INTERVAL_MS, self.summary_ms)
         earliest_ms = self.state.clock.now() - rounds_ms
         return {
@@ -121,7 +118,7 @@
     def forward(self, summary: gossip.CentreSummary) -> None:
         """Forward a remote summary to the other coordinator of the own data centre.
 
-        Not needed while the interval between summaries is long enough that each goes to both.
+        Not needed while the interval is long enough that each goes to both.
         """
         view = self.view
         if self.summary_ms >= REMOTE_SECOND_INTERVAL_MS:
@@ -136,7 +133,7 @@
             self.send(gossip.MemberUpdate(acknowledged, update), [peer.address])
 
     def other_coordinators(self) -> set[str]:
-        """Return the addresses of other data centres' coordinators, as far as known."""
+        """Return the known addresses of other data centres' coordinators."""
         view = self.view
         addresses: set[str] = set()
         live = view.live_centres()
--- a/plumarch/gateway/gossip/seniors.py
+++ b/plumarch/gateway/gossip/seniors.py
@@ -1,4 +1,4 @@
-"""Conversion of a data centre's seniors between messages and membership."""
+"""Converts seniors to and from messages."""
 
 from collections.abc import Iterable
 
--- a/plumarch/gateway/gossip/snapshots.py
+++ b/plumarch/gateway/gossip/snapshots.py
@@ -1,4 +1,4 @@
-"""Fetches configurations and endpoints from peers with newer ones, and serves them to peers."""
+"""Exchanges newer configurations and endpoints with peers."""
 
 import asyncio
 import dataclasses
@@ -13,30 +13,30 @@
 from plumarch.peers import frames, gossip
 
 FETCH_PAUSE_MS = 120
-"""Delay before a fetch, in which the store usually reports the same change."""
+"""Delay before a fetch; the store usually reports the same change in it."""
 
 FETCH_TIMEOUT_MS = 1_500
 
 MIN_COMPRESSED = 4_096
-"""Minimum size in bytes from which a snapshot is compressed; many peers fetch one at once."""
+"""Bytes from which a snapshot is compressed."""
 
 LEGACY_RETRY_MS = 750
-"""Maximum time until a peer of an earlier build that could not read an answer requests it again.
+"""Time within which a repeated request means that the peer could not read the answer.
 
 A process that restarts at the same IP sends the same request, but later.
 """
 
 MAX_LEGACY_REQUESTS = 512
-"""Peers of earlier builds whose last request is kept."""
+"""Peers of earlier builds whose request is kept."""
 
 ZLIB_LEVEL = 1
 ZLIB_FIRST_BYTE = 0x78
-"""First byte of compressed data; an uncompressed snapshot starts with a MessagePack array."""
+"""First byte of compressed data; no MessagePack array starts with it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Contents:
-    """The versions that an answer was built from, and which parts it includes."""
+    """The versions and parts in an answer."""
 
     configuration: int
     registry_revision: int
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PackedAnswer:
-    """An encoded answer, compressed if it is large enough."""
+    """An encoded answer, maybe compressed."""
 
     contents: Contents
     encoded: bytes
@@ -55,11 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LegacyRequest:
-    """A request from a build that does not declare its snapshot format, and the format sent.
-
-    Attributes:
-      at_ms: when it was received.
-    """
+    """A request that does not declare its snapshot format, and the format sent."""
 
     request: gossip.SnapshotRequest
     in_parts: bool
@@ -67,11 +63,10 @@
 
 
 class SnapshotExchange:
-    """Fetches and serves snapshots on behalf of one node.
+    """Fetches and serves one node's snapshots.
 
     Attributes:
-      packed: the last answer.
-      legacy_requests: the last request of peers that do not declare their snapshot format, by IP.
+      legacy_requests: last requests without a declared snapshot format, by IP.
     """
 
     def __init__(self, state: fleet_state.FleetState) -> None:
@@ -125,7 +120,7 @@
         self.state.adopt_table(routing_table.build(configuration), peer)
 
     def _readable(self, peer: str, encoded: Iterable[msgspec.Raw]) -> list[traffic.Endpoint]:
-        """Return the endpoints that can be decoded, and log the others."""
+        """Return decodable endpoints; log the others."""
         found = []
         for one in encoded:
             try:
@@ -135,7 +130,7 @@
         return found
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer a peer's snapshot request."""
+        """Answer a snapshot request."""
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_MS / 1000.0):
                 request = gossip.request_decoder.decode(
@@ -155,13 +150,12 @@
             writer.close()
 
     def _guess_in_parts(self, peer: str, request: gossip.SnapshotRequest) -> bool:
-        """Return whether a peer that does not declare its snapshot format takes parts.
+        """Return whether a peer that declares no snapshot format takes parts.
 
-        Two earlier builds expect different formats and send the same request. One that repeats its
-        request soon could not read the answer, and gets the other format. The IP identifies a peer.
+        Two earlier builds send the same request; one that repeats it soon gets the other format.
         """
         if not self._is_configuration_newer(request) and not self._are_endpoints_newer(request):
-            # Nothing is newer, so the answer is empty and either format can be read.
+            # An empty answer can be read in either format.
             return True
         now = self.state.clock.now()
         before = self.legacy_requests.pop(peer, None)
@@ -177,7 +171,7 @@
         return in_parts
 
     def _answer(self, request: gossip.SnapshotRequest, in_parts: bool = True) -> bytes:
-        """Return the encoded answer to a request, reusing the last one if nothing changed."""
+        """Return the encoded answer, reusing the last one if nothing changed."""
         if not request.accepts_compressed:
             return gossip.encoder.encode(self._compose(request, in_parts))
         contents = Contents(
@@ -206,7 +200,7 @@
         return self.state.registry.changed_revision > request.registry_revision
 
     def _full(self, request: gossip.SnapshotRequest) -> gossip.FullSnapshot:
-        """Return a snapshot in the format of earlier builds."""
+        """Return a snapshot for earlier builds."""
         table, registry = self.state.table, self.state.registry
         with_configuration = self._is_configuration_newer(request)
         return gossip.FullSnapshot(
@@ -230,7 +224,7 @@
 
 
 def _unpack(answer: bytes) -> gossip.Snapshot:
-    """Return the snapshot in an answer.
+    """Unpack an answer.
 
     Raises:
       PeerProtocolError: it cannot be decompressed or decoded, or exceeds the frame limit.
--- a/plumarch/gateway/gossip/speed_reports.py
+++ b/plumarch/gateway/gossip/speed_reports.py
@@ -1,4 +1,4 @@
-"""Conversion of engine speeds between messages and the chooser."""
+"""Converts engine speeds to and from messages."""
 
 from collections.abc import Callable, Iterable
 
@@ -15,7 +15,7 @@
     """Return messages for the speeds of all services' engines.
 
     Args:
-      counts_in: whether to include a source's reports besides what this node observed.
+      counts_in: whether to include a source's reports besides own ones.
     """
     now = state.clock.now()
     found = []
--- a/plumarch/gateway/gossip/spending_ledger.py
+++ b/plumarch/gateway/gossip/spending_ledger.py
@@ -1,7 +1,6 @@
-"""The count of what a data centre's nodes admitted, continued by successive coordinators.
+"""The count of a data centre's admissions, continued by successive coordinators.
 
-Coordinators send it to their members, since a successor that began at zero would lose what was
-admitted since the last summary, and the fleet would exceed the quota by as much.
+Members receive it, since a successor that began at zero would let the fleet exceed the quota.
 """
 
 import dataclasses
@@ -12,12 +11,12 @@
 
 @dataclasses.dataclass(slots=True)
 class FollowedLedger:
-    """The ledger that a node last received from the coordinators that it follows.
+    """The ledger last received from the followed coordinators.
 
     Attributes:
       begun_by: the coordinator that began it; None if none was received.
       spent: units that the nodes of the data centre admitted, by workspace.
-      counted: this node's own spending that it includes.
+      counted: own spending in it.
     """
 
     begun_by: tiers.Seniority | None = None
--- a/plumarch/gateway/gossip/stale_figures.py
+++ b/plumarch/gateway/gossip/stale_figures.py
@@ -5,7 +5,7 @@
 from plumarch.membership import fleet_view, tiers
 
 LOADS_RETENTION_MS = 2_500
-"""Maximum age of reported loads: about two runs of a typical request."""
+"""Maximum age of reported loads."""
 
 
 def drop_old_loads(state: fleet_state.FleetState, view: fleet_view.FleetView) -> None:
--- a/plumarch/gateway/gossip/suspect_updates.py
+++ b/plumarch/gateway/gossip/suspect_updates.py
@@ -1,7 +1,7 @@
 """Exchange of updates on suspect requests, under which endpoints crashed.
 
-A node publishes a crash at once and repeats the update with later heartbeats, since datagrams are
-lost. In a large fleet coordinators forward it. Without crashes nothing is sent.
+A crash is published at once and again with later heartbeats, since datagrams are lost. In a large
+fleet coordinators forward it.
 """
 
 import dataclasses
@@ -12,13 +12,13 @@
 from plumarch.peers import gossip, suspect_entries
 
 OWN_SENDS = 8
-"""How often this node's own update is sent: over two seconds of heartbeats."""
+"""How often this node's own update is sent."""
 
 FORWARDED_SENDS = 4
 """How often an update of another node is forwarded."""
 
 MAX_SUSPECTS = 8
-"""Requests in one datagram, about 150 bytes each."""
+"""Requests in one datagram."""
 
 MAX_DATAGRAMS = 3
 """Datagrams per heartbeat; the requests with most points go first."""
@@ -50,7 +50,7 @@
     heartbeat_count: int = 0
 
     def publish(self, fingerprint: str) -> None:
-        """Send what this node learned of a request at once, and again with the next heartbeats."""
+        """Send what is known of a request now, and again with the next heartbeats."""
         self.due[fingerprint] = OWN_SENDS
         self._send_due([fingerprint])
 
--- a/plumarch/gateway/gossip/version_reports.py
+++ b/plumarch/gateway/gossip/version_reports.py
@@ -1,4 +1,4 @@
-"""Conversion of version shares and answer counts between messages and a node's state."""
+"""Converts version shares and answer counts to and from messages."""
 
 from collections.abc import Callable, Iterable
 
@@ -8,7 +8,7 @@
 from plumarch.peers import gossip
 
 MAX_ROUTES = 12
-"""Routes and versions in one datagram, most answers first; about 60 bytes each."""
+"""Routes and versions in one datagram, most answers first."""
 
 STATES = {state.value: state for state in rollouts.RolloutState}
 
@@ -35,7 +35,7 @@
     """Return messages for the answers of versions of which a roll-out is running.
 
     Args:
-      counts_in: whether to include a source's counts besides this node's own.
+      counts_in: whether to include a source's counts besides own ones.
     """
     running = {split.service for split in state.splits.running()}
     if not running:
@@ -50,11 +50,7 @@
 
 
 def apply_shares(state: fleet_state.FleetState, reports: Iterable[gossip.VersionShare]) -> bool:
-    """Adopt reported shares of versions.
-
-    Returns:
-      Whether any of them changed.
-    """
+    """Adopt reported shares; return whether any changed."""
     changed = False
     for one in reports:
         if one.state in STATES:
