--- a/plumarch/membership/drain_notices.py
+++ b/plumarch/membership/drain_notices.py
@@ -1,6 +1,6 @@
-"""Endpoints that announced in answers to requests that they drain.
+"""Endpoints that announced in answers that they drain.
 
-An announcement is newer than any entry of the same process, so it overrides a listed ready state.
+An announcement is newer than any entry of the same process, so it overrides a ready one.
 """
 
 import dataclasses
@@ -8,23 +8,22 @@
 from plumarch.core import clock, traffic
 
 RETENTION_MS = 600_000
-"""How long a notice counts after the last answer with it; an endpoint that is still listed as ready
-then is used again."""
+"""How long a notice counts after the last answer with it; then a listed ready endpoint is used."""
 
 MAX_KEPT = 8_192
-"""Maximum number of notices; the oldest are dropped first."""
+"""Maximum notices; the oldest are dropped first."""
 
 
 @dataclasses.dataclass(slots=True)
 class DrainNotice:
-    """An endpoint's announcement that it drains.
+    """An announcement that an endpoint drains.
 
     Attributes:
       id: the incarnation to which the request was sent.
-      alive_ms: time of day at which the process that announced it was certainly alive.
-      announced_ms: time of the last announcement, by the steady clock.
-      listed: its last entry since the announcement, or None.
-      is_gone: whether its entry has vanished since the announcement.
+      alive_ms: time of day at which the announcing process was alive.
+      announced_ms: last announcement, by the steady clock.
+      listed: its last entry since then, or None.
+      is_gone: whether its entry has vanished since then.
     """
 
     id: str
@@ -36,20 +35,18 @@
 
 @dataclasses.dataclass(slots=True)
 class DrainNotices:
-    """The current notices, by the endpoint's own name."""
+    """Current notices, by the endpoint's own name."""
 
     clock: clock.Clock
     known: dict[str, DrainNotice] = dataclasses.field(default_factory=dict)
 
     def note(self, endpoint: traffic.Endpoint, alive_ms: int) -> bool:
-        """Record that an endpoint announced that it drains.
+        """Record that an endpoint drains; return whether the notice is new.
 
         Args:
-          endpoint: the incarnation to which the request was sent; after a restart that is not
-            listed yet, the next process may have answered.
-          alive_ms: time of day at which the connection to the process that answered was opened.
-        Returns:
-          Whether the notice is new.
+          endpoint: the incarnation addressed; after a restart that is not listed yet, the next
+            process may have answered.
+          alive_ms: time of day at which the connection to the answering process was opened.
         """
         name, now = endpoint.stable_name(), self.clock.now()
         before = self.known.get(name)
@@ -64,12 +61,12 @@
         return True
 
     def applied(self, listed: traffic.Endpoint) -> traffic.Endpoint:
-        """Return an endpoint as draining if it announced that, and else as listed."""
+        """Return an endpoint as draining if it announced that, else as listed."""
         notice = self.known.get(listed.stable_name())
         if notice is None:
             return listed
         if notice.is_gone and not listed.born_ms and listed.id == notice.id:
-            # Without a listed start time, a new entry is the only sign of a restart.
+            # Without a start time, a new entry is the only sign of a restart.
             del self.known[listed.stable_name()]
             return listed
         if not listed.may_have_answered(notice.id, notice.alive_ms):
@@ -81,21 +78,17 @@
         return dataclasses.replace(listed, state=traffic.EndpointState.DRAINING)
 
     def vanished(self, endpoint: traffic.Endpoint) -> None:
-        """Record that an endpoint's entry is gone."""
+        """Record that an entry is gone."""
         notice = self.known.get(endpoint.stable_name())
         if notice is not None:
             notice.listed, notice.is_gone = None, True
 
     def in_force(self) -> list[str]:
-        """Return the names of listed endpoints that are draining by a notice."""
+        """Return listed endpoints that drain by a notice."""
         return [name for name, notice in self.known.items() if notice.listed is not None]
 
     def prune(self) -> list[traffic.Endpoint]:
-        """Drop expired notices.
-
-        Returns:
-          The listed entries to which they applied.
-        """
+        """Drop expired notices; return the listed entries to which they applied."""
         now = self.clock.now()
         old = [
             name for name, notice in self.known.items() if now - notice.announced_ms >= RETENTION_MS
--- a/plumarch/membership/fleet_view.py
+++ b/plumarch/membership/fleet_view.py
@@ -1,7 +1,7 @@
 """A node's view of its peers, from heartbeats and fleet updates.
 
 Liveness decides only when nodes act and how much quota they use; safety rests on fencing tokens
-and on quota shares that never add up to more than the quota.
+and quota shares that never add up to more than the quota.
 """
 
 import dataclasses
@@ -11,52 +11,52 @@
 from plumarch.membership import known_centres, peer_node, store_followers, tiers
 
 ALIVE_TIMEOUT_MS = 1_200
-"""Minimum time after the last heartbeat for which a node counts as alive."""
+"""Minimum time after its last heartbeat for which a node counts as alive."""
 
 ALIVE_INTERVALS = 4.5
-"""The same in heartbeat intervals, where these are long."""
+"""The same in heartbeat intervals, where longer."""
 
 RETENTION_MS = 30_000
-"""A node that was not seen for this long no longer counts towards the size of the fleet."""
+"""A node unseen for this long no longer counts towards the size of the fleet."""
 
 TRUSTED_UPDATE_MS = 600
-"""Maximum age of the fleet update by whose fraction a member admits; after it, the member counts on
-its own share only. Updates arrive each 100 ms, or each 400 ms from the second coordinator alone."""
+"""Maximum age of a fleet update by whose fraction a member admits; later it counts on its own share
+only."""
 
 FRESH_SUMMARY_MS = 400
-"""Maximum age of a data centre's summary for quotas; three may be lost. With the longer alive
-timeout, partitioned regions would each spend a full burst first."""
+"""Maximum age of a data centre's summary for quotas. With the longer alive timeout, partitioned
+regions would each spend a full burst first."""
 
 FRESH_INTERVALS = 2.5
-"""Maximum age of a node's last heartbeat for quotas, in heartbeat intervals; one may be lost. With
-the longer alive timeout, both sides of a partition would admit as if each were the fleet."""
+"""Maximum age of a heartbeat for quotas, in its intervals. With the longer alive timeout, both
+sides of a partition would admit as if each were the fleet."""
 
 MIN_FRESH_MS = 625
-"""The same in ms, while this node does not know its heartbeat interval."""
+"""The same in ms, while the interval is unknown."""
 
 SUMMARIES_MISSED = 2.5
 SUMMARY_MS_EACH = 25.0
-"""Time between summaries per data centre (two coordinators, 80 summaries a second). With many data
-centres SUMMARIES_MISSED such intervals replace FRESH_SUMMARY_MS."""
+"""Time between summaries per data centre; with many, SUMMARIES_MISSED such intervals replace
+FRESH_SUMMARY_MS."""
 
 SMALL_FLEET = 12
-"""Maximum size of a fleet in which each node follows the store."""
+"""Maximum fleet size at which each node follows the store."""
 
 
 @dataclasses.dataclass(slots=True)
 class FleetView:
-    """All peers of a node.
+    """A node's peers.
 
     Attributes:
-      data_centre: this node's; "" in flat fleets without data centres.
-      interval_ms: the time between two heartbeats of a node.
-      peers: by name, or by address where the name is not known yet.
-      role: the result of the last decide_role().
-      centres: the last summaries of the other data centres, on a coordinator.
-      fleet_update: the last one from an own coordinator, on a member; None before the first.
+      data_centre: this node's; "" in flat fleets without any.
+      interval_ms: time between a node's heartbeats.
+      peers: by name, or by address while the name is unknown.
+      role: by the last decide_role().
+      centres: last summaries of other data centres, on a coordinator.
+      fleet_update: from an own coordinator, on a member; None before the first.
       names: the key in `peers` of each address.
-      reported_seniors: seniors of the own data centre that a peer reported, and when.
-      all_centres: all data centres that were ever reported, and the seeds.
+      reported_seniors: of the own data centre, by a peer's report, and when.
+      all_centres: all data centres ever reported, and the seeds.
     """
 
     clock: clock.Clock
@@ -76,11 +76,11 @@
     )
 
     def learn(self, name: str, address: str, data_centre: str = "") -> None:
-        """Add a node from a seed list, the store or a peer, unless it is known.
+        """Add an unknown node from a seed list, the store or a peer.
 
         Args:
           name: its name, or its address if only that is known.
-          data_centre: its data centre, or "" if unknown.
+          data_centre: "" if unknown.
         """
         if name == self.node or address == self.address or name in self.peers:
             return
@@ -100,11 +100,7 @@
     def mark_seen(
         self, name: str, incarnation: int, address: str, data_centre: str
     ) -> peer_node.Peer | None:
-        """Record a message from a node.
-
-        Returns:
-          The peer, or None if the message is from a replaced incarnation.
-        """
+        """Record a node's message; return the peer, or None if it is a replaced incarnation."""
         if name == self.node:
             return None
         now = self.clock.now()
@@ -126,11 +122,7 @@
         return peer
 
     def tick(self) -> list[peer_node.Peer]:
-        """Drop peers and summaries that are older than RETENTION_MS.
-
-        Returns:
-          The dropped peers.
-        """
+        """Drop peers and summaries older than RETENTION_MS; return the dropped peers."""
         now = self.clock.now()
         gone = [
             peer
@@ -147,7 +139,7 @@
         return gone
 
     def alive_timeout_ms(self) -> float:
-        """Return for how long after its last message a node counts as alive."""
+        """Return how long after its last message a node counts as alive."""
         return max(ALIVE_TIMEOUT_MS, ALIVE_INTERVALS * self.interval_ms)
 
     def is_alive(self, peer: peer_node.Peer) -> bool:
@@ -163,31 +155,31 @@
         return sorted(found, key=lambda peer: peer.name)
 
     def size(self) -> int:
-        """Return the size of the fleet, this node included."""
+        """Return the fleet's size, this node included."""
         if self.role is tiers.Role.MEMBER and self.fleet_update is not None:
             return max(1, self.fleet_update.nodes)
         return self.estimated_size()
 
     def estimated_size(self) -> int:
-        """Return the size of the fleet regardless of this node's role.
+        """Return the fleet's size regardless of this node's role.
 
-        decide_role() depends on it; a size that followed from the role would let it oscillate.
-        A node that just started knows few peers, so the counts that live peers report matter too.
+        decide_role() depends on it; one that followed from the role would let it oscillate. A new
+        node knows few peers, so the counts that live peers report matter too.
         """
         reported = [one.nodes for one in self.peers.values() if self.is_alive(one)]
         return max([self.counted_size(), *reported])
 
     def counted_size(self) -> int:
-        """Return the size by this node's own count, which it reports to others."""
+        """Return the size by own count, as reported to others."""
         by_name = 1 + len([one for one in self.peers.values() if not self._left(one)])
         elsewhere = sum(centre.nodes for centre in self.centres.values())
         return max(by_name, self.centre_size() + elsewhere, self._nodes_in_update())
 
     def _nodes_in_update(self) -> int:
-        """Return the size in the last fleet update, or 0 if that is too old.
+        """Return the size in the last fleet update, or 0 if too old.
 
-        A member knows few peers directly. Without this, members whose coordinators all fail would
-        take a few nodes for the fleet, admit from full quotas and take the duties.
+        Otherwise members whose coordinators all fail would take the few nodes they know for the
+        fleet, admit from full quotas and take the duties.
         """
         age = self.update_age_ms()
         return (
@@ -197,16 +189,13 @@
         )
 
     def has_full_view(self) -> bool:
-        """Return whether this node receives the state of all nodes.
-
-        In a large fleet only coordinators do.
-        """
+        """Return whether this node receives all nodes' state; in a large fleet coordinators do."""
         if self.role is tiers.Role.FLAT:
             return self.estimated_size() <= tiers.FLAT_FLEET
         return self.role is tiers.Role.COORDINATOR
 
     def centre_size(self) -> int:
-        """Return the number of nodes in the own data centre, this one included."""
+        """Return the own data centre's number of nodes, this one included."""
         return 1 + len([one for one in self.neighbours() if not self._left(one)])
 
     def reporting_nodes(self) -> int:
@@ -216,11 +205,11 @@
         return self.centre_size()
 
     def neighbours(self) -> list[peer_node.Peer]:
-        """Return the peers of the own data centre."""
+        """Return the own data centre's peers."""
         return [one for one in self.peers.values() if one.data_centre == self.data_centre]
 
     def direct_peers(self) -> list[peer_node.Peer]:
-        """Return the peers that no summary covers."""
+        """Return peers that no summary covers."""
         if self.role is not tiers.Role.COORDINATOR:
             return list(self.peers.values())
         return [one for one in self.peers.values() if one.data_centre not in self.centres]
@@ -231,12 +220,12 @@
     def reachable_fraction(self) -> float:
         """Return the fraction of the fleet that is alive, this node included.
 
-        For members and for other data centres it follows from what coordinators report.
+        For members and other data centres it is as coordinators report.
         """
         return self._fraction_within(self.alive_timeout_ms())
 
     def fresh_fraction(self) -> float:
-        """Return the fraction of the fleet that is fresh enough for quotas."""
+        """Return the fraction of the fleet that counts for quotas."""
         return self._fraction_within(self._fresh_ms())
 
     def is_fresh(self, peer: peer_node.Peer) -> bool:
@@ -248,7 +237,7 @@
         return min(self.alive_timeout_ms(), fresh_ms)
 
     def _fraction_within(self, limit_ms: float) -> float:
-        """Return the fraction of the fleet that is reachable, with peers seen within a limit."""
+        """Return the reachable fraction of the fleet, with peers seen within a limit."""
         size = self.size()
         if self.role is tiers.Role.MEMBER:
             age = self.update_age_ms()
@@ -262,7 +251,7 @@
             if self._is_seen_within(one, limit_ms):
                 reachable += 1
             elif one.leaving and self.is_alive(one):
-                # A node that drains admits nothing any more, so no share is kept for it.
+                # A draining node admits nothing, so no share is kept for it.
                 size -= 1
         oldest = self.clock.now() - self._fresh_summary_ms()
         reachable += sum(
@@ -271,26 +260,26 @@
         return min(1.0, reachable / max(size, reachable))
 
     def _fresh_summary_ms(self) -> float:
-        """Return the maximum age of a summary that counts for quotas."""
+        """Return the maximum age of summaries for quotas."""
         rarer_ms = SUMMARIES_MISSED * SUMMARY_MS_EACH * len(self.centres)
         return min(self.alive_timeout_ms(), max(FRESH_SUMMARY_MS, rarer_ms))
 
     def live_centres(self) -> dict[str, tiers.CentreView]:
-        """Return the other data centres with a coordinator that is alive."""
+        """Return other data centres with a live coordinator."""
         now, limit = self.clock.now(), self.alive_timeout_ms()
         return {name: one for name, one in self.centres.items() if now - one.received_ms <= limit}
 
     def reachable_centres(self) -> set[str]:
-        """Return the data centres with a live coordinator or node.
+        """Return data centres with a live coordinator or node.
 
-        For a coordinator they include its own; for others only if a peer in it is alive.
+        A coordinator's own is included; for others only if a peer in it is alive.
         """
         if self.role is tiers.Role.COORDINATOR:
             return {self.data_centre, *self.live_centres()}
         return {one.data_centre for one in self.peers.values() if self.is_alive(one)}
 
     def unreachable_centres(self) -> list[str]:
-        """Return the other data centres seen within RETENTION_MS and not reachable now."""
+        """Return other data centres seen within RETENTION_MS and unreachable now."""
         since_ms = self.clock.now() - RETENTION_MS
         known = self.centres.keys() | self.reachable_centres()
         return [
@@ -300,11 +289,11 @@
         ]
 
     def digest(self) -> int:
-        """Return a digest of the reachable data centres, which coordinators compare."""
+        """Return a digest of reachable data centres, for comparison."""
         return known_centres.digest(self.reachable_centres())
 
     def update_age_ms(self) -> int | None:
-        """Return the age of the last fleet update, or None before the first."""
+        """Return the last fleet update's age, or None before the first."""
         return (
             self.clock.now() - self.fleet_update.received_ms
             if self.fleet_update is not None
@@ -320,8 +309,8 @@
         """Update this node's role."""
         more_senior = [one for one in self.assumed_seniors() if one.seniority < self.seniority()]
         age = self.update_age_ms()
-        # When all coordinators fail, the next seniors take over; the others wait for their first
-        # update for one more timeout before they act alone.
+        # When all coordinators fail, the next seniors take over; others wait one more timeout for
+        # their first update before they act alone.
         waits = age is not None and age <= 2 * self.alive_timeout_ms()
         self.role = tiers.role_of(
             self.seniority(), self.estimated_size(), [one.seniority for one in more_senior], waits
@@ -333,10 +322,10 @@
         return tiers.Seniority(self.incarnation, self.node)
 
     def seniors(self) -> list[tiers.Senior]:
-        """Return the live nodes of the own data centre, the most senior first, this one included.
+        """Return the own data centre's live nodes, most senior first, this one included.
 
-        They are the peers that are alive and the seniors of the last fleet update. Without a fresh
-        update, seniors that this node lost recently are left out.
+        They are live peers and the last fleet update's seniors; without a fresh update, those lost
+        recently are left out.
         """
         found = {
             one.name: tiers.Senior(one.seniority(), one.address)
@@ -353,11 +342,7 @@
         return sorted(found.values(), key=lambda senior: senior.seniority)
 
     def note_reported_seniors(self, seniors: Iterable[tiers.Senior]) -> bool:
-        """Record the seniors that a node of the own data centre reports.
-
-        Returns:
-          Whether one of them was not known.
-        """
+        """Record the own data centre's seniors as reported; return whether one was unknown."""
         known = {senior.seniority.name for senior in self.assumed_seniors()}
         now = self.clock.now()
         is_new = False
@@ -369,7 +354,7 @@
         return is_new
 
     def assumed_seniors(self) -> list[tiers.Senior]:
-        """Return the seniors and those only reported by a peer, which are not forwarded."""
+        """Return the seniors and those only reported, which are not forwarded."""
         now, limit = self.clock.now(), self.alive_timeout_ms()
         for senior in [senior for senior, at in self.reported_seniors.items() if now - at > limit]:
             del self.reported_seniors[senior]
@@ -390,25 +375,25 @@
         return limit < unseen_ms <= tiers.RECENTLY_LOST_TIMEOUTS * limit
 
     def coordinators(self) -> list[tiers.Senior]:
-        """Return the coordinators of the own data centre other than this node."""
+        """Return the own data centre's other coordinators."""
         chosen = self.assumed_seniors()[: tiers.COORDINATORS]
         return [senior for senior in chosen if senior.seniority.name != self.node]
 
     def has_holder(self) -> bool:
-        """Return whether a live node other than this one reports that it holds the duties."""
+        """Return whether another live node reports that it holds the duties."""
         if any(peer.token > 0 for peer in self.live()):
             return True
         return any(centre.token > 0 for centre in self.live_centres().values())
 
     def newest_token(self) -> int:
-        """Return the highest fencing token that another node reported, alive or not."""
+        """Return the highest fencing token reported by another node, alive or not."""
         peers = [peer.token for peer in self.peers.values()]
         return max([0, *peers, *(centre.token for centre in self.centres.values())])
 
     def is_most_senior_candidate(self) -> bool:
         """Return whether this node is the most senior live candidate for the duties.
 
-        In a large fleet only coordinators are, since only they receive the state of all nodes.
+        In a large fleet only coordinators can be, since only they receive all nodes' state.
         """
         if not self.has_full_view():
             return False
@@ -425,10 +410,10 @@
         return all(mine < other for other in others)
 
     def followers(self, reaches_store: bool) -> list[str]:
-        """Return the names of the nodes of the own data centre that should follow the store.
+        """Return the nodes of the own data centre that should follow the store.
 
         Args:
-          reaches_store: whether this node reaches the store.
+          reaches_store: whether this node does.
         """
         live = [
             (one.seniority(), one.reaches_store) for one in self.neighbours() if self.is_alive(one)
@@ -440,13 +425,13 @@
         )
 
     def shares_following(self) -> bool:
-        """Return whether only some nodes follow the store, and gossip its changes to the others."""
+        """Return whether only some nodes follow the store and gossip its changes."""
         return self.size() > SMALL_FLEET
 
     def watches_store(self, data_centre: str) -> bool:
         """Return whether this node follows the store itself.
 
-        Nodes that can't reach the store are not counted; others follow it in their place.
+        Nodes that can't reach the store are replaced by others.
         """
         if not self.shares_following():
             return True
@@ -468,5 +453,5 @@
         )
 
     def addresses(self) -> Iterable[str]:
-        """Return the addresses to which heartbeats are sent."""
+        """Return the recipients of heartbeats."""
         return [peer.address for peer in self.peers.values()]
--- a/plumarch/membership/known_centres.py
+++ b/plumarch/membership/known_centres.py
@@ -1,6 +1,6 @@
-"""All data centres that a node knows of, and the addresses at which to contact each again.
+"""All known data centres, and where to contact each again.
 
-They outlive FleetView's peers, so that partitions that last longer than its retention heal.
+They outlive FleetView's peers, so that longer partitions heal.
 """
 
 import dataclasses
@@ -10,27 +10,25 @@
 from plumarch.membership import tiers
 
 REQUEST_INTERVAL_MS = 500
-"""Initial interval of requests to the seniors of an unreachable data centre."""
+"""Initial interval of requests to an unreachable data centre."""
 
 MAX_REQUEST_INTERVAL_MS = 2_000
-"""Maximum interval; short enough that one lost request does not delay contact for too long."""
+"""Maximum interval; one lost request must not delay contact for long."""
 
 REQUESTS_PER_DOUBLING = 8
-"""Number of requests while the time since the last contact doubles."""
+"""Requests while the time since the last contact doubles."""
 
 RETENTION_MS = 3_600_000
-"""A data centre that was not seen for this long is dropped; it may rejoin by its own seeds."""
+"""A data centre unseen for this long is dropped; it may rejoin by its seeds."""
 
 
 @dataclasses.dataclass(slots=True)
 class KnownCentre:
-    """A data centre, or a single seed of which only the address is known.
+    """A data centre, or a seed of which only the address is known.
 
     Attributes:
-      seniors: its last reported seniors.
-      since_ms: when it was last seen, or first reported if it never was.
-      last_request_ms: when the last request was sent to its seniors.
-      ever_seen: whether it was ever seen.
+      since_ms: when last seen, or first reported if never seen.
+      last_request_ms: last request to its seniors.
     """
 
     seniors: tuple[tiers.Senior, ...]
@@ -39,7 +37,7 @@
     ever_seen: bool = False
 
     def is_due(self, now: int) -> bool:
-        """Return whether a request is due, if it is unreachable."""
+        """Return whether a request is due while unreachable."""
         pause = min(
             MAX_REQUEST_INTERVAL_MS,
             max(REQUEST_INTERVAL_MS, (now - self.since_ms) // REQUESTS_PER_DOUBLING),
@@ -52,8 +50,8 @@
     """All known data centres and seeds.
 
     Attributes:
-      centres: by name; the own one too, after the loss of nodes in it.
-      seeds: by address, as long as the settings list them.
+      centres: by name; the own one too, after it lost nodes.
+      seeds: by address, while the settings list them.
     """
 
     centres: dict[str, KnownCentre] = dataclasses.field(default_factory=dict)
@@ -65,17 +63,13 @@
         self.centres[name] = KnownCentre(seniors, now, last_request_ms, ever_seen=True)
 
     def refresh_seen(self, names: Iterable[str], now: int) -> None:
-        """Record that nodes of known data centres are alive, where these send no summaries."""
+        """Record that known data centres that send no summaries are alive."""
         for name in names:
             if name in self.centres:
                 self.centres[name].since_ms = now
 
     def reported(self, name: str, seniors: tuple[tiers.Senior, ...], now: int) -> bool:
-        """Record what another node reports about an unreachable data centre.
-
-        Returns:
-          Whether the report names a new address.
-        """
+        """Record a report on an unreachable data centre; return whether it names a new address."""
         known = self.centres.get(name)
         if known is None:
             self.centres[name] = KnownCentre(seniors, now)
@@ -85,29 +79,29 @@
         return has_new
 
     def remember(self, name: str, senior: tiers.Senior, last_seen_ms: int) -> None:
-        """Record a node that is dropped from the fleet's view."""
+        """Record a node dropped from the fleet's view."""
         known = self.centres.setdefault(name, KnownCentre((), last_seen_ms, ever_seen=True))
         if senior not in known.seniors and len(known.seniors) < tiers.SENIORS:
             known.seniors = (*known.seniors, senior)
 
     def replace_seeds(self, addresses: Collection[str], now: int) -> None:
-        """Replace the seeds by the current list."""
+        """Replace the seeds."""
         for address in self.seeds.keys() - set(addresses):
             del self.seeds[address]
         for address in addresses:
             self.add_seed(address, now)
 
     def add_seed(self, address: str, now: int) -> None:
-        """Add a seed. Its first request is due later, as heartbeats go there from the start."""
+        """Add a seed; its first request is due later, as heartbeats go there already."""
         senior = tiers.Senior(tiers.Seniority(0, address), address)
         self.seeds.setdefault(address, KnownCentre((senior,), now, last_request_ms=now))
 
     def due_addresses(self, live: Collection[str], known: Collection[str], now: int) -> set[str]:
-        """Return the addresses to which a request is due, and record it as sent.
+        """Return addresses to which a request is due, and record it as sent.
 
         Args:
-          live: the reachable data centres.
-          known: addresses of nodes in one of them.
+          live: reachable data centres.
+          known: addresses of their nodes.
         """
         for name in [
             one for one, kept in self.centres.items() if now - kept.since_ms > RETENTION_MS
@@ -121,10 +115,10 @@
         return {senior.address for one in due for senior in one.seniors}
 
     def unreachable(self, live: Collection[str]) -> list[str]:
-        """Return the names of the data centres that are known and not reachable."""
+        """Return the known data centres that are unreachable."""
         return sorted(name for name in self.centres if name not in live)
 
 
 def digest(names: Iterable[str]) -> int:
-    """Return a checksum of a set of data centres, never 0."""
+    """Return a checksum of data centres, never 0."""
     return zlib.crc32("\n".join(sorted(names)).encode()) or 1
--- a/plumarch/membership/members.py
+++ b/plumarch/membership/members.py
@@ -1,4 +1,4 @@
-"""A node's view of which other nodes are alive.
+"""A node's view of which others are alive.
 
 It only decides when nodes act; the rules in plumarch.recovery hold even if it is wrong.
 """
@@ -8,11 +8,11 @@
 from plumarch.core import context, data, messages
 
 HEARTBEAT_MS = 500
-"""Minimum time between two heartbeats; changes are sent at once."""
+"""Minimum time between heartbeats; changes are sent at once."""
 
 HEARTBEAT_BYTES = 80
 HEARTBEAT_BYTES_PER_S = 1_500
-"""Maximum bandwidth of a node's heartbeats; with many peers the interval grows."""
+"""Maximum bandwidth of a node's heartbeats; the interval grows with the peers."""
 
 SUSPECT_INTERVALS = 3
 GONE_INTERVALS = 5
@@ -24,7 +24,7 @@
     """Another node's incarnation.
 
     Attributes:
-      last_seen_ms: when it was last seen; -1 if the platform confirmed that it is gone.
+      last_seen_ms: -1 if the platform confirmed that it is gone.
     """
 
     node: str
@@ -37,13 +37,13 @@
 
 
 def interval_ms(peers: int) -> int:
-    """Return the heartbeat interval for a number of peers."""
+    """Return the heartbeat interval."""
     afforded = peers * HEARTBEAT_BYTES * 1_000 // HEARTBEAT_BYTES_PER_S
     return max(HEARTBEAT_MS, afforded)
 
 
 class Membership:
-    """The other nodes of a region, by node and incarnation."""
+    """A region's other nodes, by node and incarnation."""
 
     def __init__(self, ctx: context.Context) -> None:
         self.ctx = ctx
@@ -52,13 +52,9 @@
         self.heartbeat_interval_ms = HEARTBEAT_MS
 
     def heard(self, sender: str, beat: messages.Heartbeat) -> bool:
-        """Apply a heartbeat.
+        """Apply a heartbeat; return whether the sender became live.
 
-        A new incarnation replaces the earlier one of the same name at once; stale heartbeats of
-        that one are ignored.
-
-        Returns:
-          Whether the sender became live.
+        A new incarnation replaces the earlier one at once; its stale heartbeats are ignored.
         """
         if self._superseded(sender):
             return False
@@ -93,11 +89,7 @@
                 other.state = data.NodeState.GONE
 
     def mark_gone(self, nodes: tuple[str, ...]) -> list[str]:
-        """Mark incarnations as gone that no longer exist by the platform's list.
-
-        Returns:
-          Those that were not gone before.
-        """
+        """Mark incarnations as gone by the platform's list; return those newly gone."""
         changed = []
         for node in nodes:
             member = self.members.get(node)
@@ -108,11 +100,7 @@
         return changed
 
     def tick(self) -> list[str]:
-        """Update the members' states by the time since their last heartbeats.
-
-        Returns:
-          Those that became gone.
-        """
+        """Update states by the time since the last heartbeats; return those that became gone."""
         now = self.ctx.now()
         gone = []
         for member in self.members.values():
@@ -139,7 +127,7 @@
             del self.members[node]
 
     def state(self, node: str) -> data.NodeState:
-        """Return the state of a node; an unknown one is gone."""
+        """Return a node's state; an unknown one is gone."""
         if node == self.ctx.node:
             return data.NodeState.LEAVING if self.leaving else data.NodeState.LIVE
         member = self.members.get(node)
@@ -148,7 +136,7 @@
     def confirmed_gone(self, node: str) -> bool:
         """Return whether a node can't act any more.
 
-        Proof is the platform's list or a later incarnation of its name; missed heartbeats are none.
+        Proof is the platform's list or a later incarnation, not missed heartbeats.
         """
         member = self.members.get(node)
         if member is not None and member.state is data.NodeState.GONE and member.last_seen_ms < 0:
@@ -156,7 +144,7 @@
         return self._superseded(node)
 
     def live(self, other_than_data_centre: str = "") -> list[str]:
-        """Return the live nodes outside a data centre, this one included, by name."""
+        """Return live nodes outside a data centre, this one included, by name."""
         names = [
             m.node
             for m in self.members.values()
@@ -167,11 +155,11 @@
         return sorted(names)
 
     def reachable(self) -> list[str]:
-        """Return the other nodes that are not gone, by name."""
+        """Return other nodes that are not gone, by name."""
         return sorted(m.node for m in self.members.values() if m.state is not data.NodeState.GONE)
 
     def data_centre(self, node: str) -> str:
-        """Return the data centre of a node, or "" if unknown."""
+        """Return a node's data centre, or "" if unknown."""
         if node == self.ctx.node:
             return self.ctx.data_centre
         member = self.members.get(node)
--- a/plumarch/membership/node_record.py
+++ b/plumarch/membership/node_record.py
@@ -1,7 +1,7 @@
-"""Records of node addresses in the platform's store, by which new nodes bootstrap.
+"""Records of node addresses in the platform's store, for bootstrap.
 
-In a small fleet each node writes its own; in a large one the most senior coordinator of each data
-centre writes the seniors of it.
+In a small fleet each node writes its own; in a large one each data centre's most senior
+coordinator writes its seniors.
 """
 
 import msgspec
@@ -10,11 +10,11 @@
 
 KIND = "plumarch-members"
 CENTRE_PREFIX = "centre-"
-"""Prefix of a data centre's name in the name of its seniors' record."""
+"""Prefix of the name of a data centre's record."""
 
 
 class NodeRecord(msgspec.Struct, frozen=True):
-    """Address of a node.
+    """A node's address.
 
     Attributes:
       address: IP:port to which heartbeats are sent.
@@ -30,7 +30,7 @@
 
 
 def decode(found: records.Record) -> list[NodeRecord] | None:
-    """Return the nodes in a record, or None if it can't be decoded."""
+    """Return a record's nodes, or None if it can't be decoded."""
     try:
         return msgspec.json.decode(found.value, type=list[NodeRecord])
     except msgspec.DecodeError:
--- a/plumarch/membership/peer_node.py
+++ b/plumarch/membership/peer_node.py
@@ -1,4 +1,4 @@
-"""Another node of the fleet, by its heartbeats."""
+"""Another node of the fleet."""
 
 import dataclasses
 
@@ -7,17 +7,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Peer:
-    """Another node.
+    """Another node, by its heartbeats.
 
     Attributes:
       address: IP:port to which heartbeats are sent.
-      incarnation: start time of its process by the time of day, in ms; 0 if never seen.
+      incarnation: start of its process (time of day in ms); 0 if never seen.
       last_seen_ms: by this node's clock; None if never seen.
-      token: the fencing token that it holds, or 0.
+      token: its fencing token, or 0.
       candidate: whether it can take over the duties.
-      reaches_store: whether it reaches the platform's store.
-      nodes: the size of the fleet by its own count.
-      build: the build that it reports, or "".
+      nodes: size of the fleet by its own count.
+      build: as reported, or "".
     """
 
     name: str
@@ -34,5 +33,5 @@
     build: str = ""
 
     def seniority(self) -> tiers.Seniority:
-        """Return its seniority."""
+        """Return its seniority key."""
         return tiers.Seniority(self.incarnation, self.name)
--- a/plumarch/membership/registry.py
+++ b/plumarch/membership/registry.py
@@ -1,7 +1,6 @@
 """Registry of endpoints, from a list-and-watch source or from a peer.
 
-Snapshots and changes of stale revisions are ignored, so the source and peers may overtake one
-another.
+Stale snapshots and changes are ignored, so the source and peers may overtake one another.
 """
 
 import dataclasses
@@ -11,10 +10,10 @@
 from plumarch.membership import drain_notices
 
 LAPSE_MS = 1_400
-"""How long endpoints stay in use after most of a service's entries vanished without notice."""
+"""How long endpoints stay in use after most of a service's entries vanished."""
 
 MIN_LAPSED = 2
-"""Minimum number of vanished endpoints of a service that stay in use."""
+"""Minimum vanished endpoints of a service that stay in use."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -24,9 +23,9 @@
     Attributes:
       id: the endpoint's own name in changes from a source; the incarnation's identifier in changes
         that the registry returns.
-      revision: the source's revision of the change.
+      revision: the source's.
       is_unreadable: whether its entry exists but can't be decoded.
-      is_restarted: whether its process has restarted: its entry exists with another incarnation.
+      is_restarted: whether its entry exists with another incarnation.
     """
 
     id: str
@@ -38,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lapsed:
-    """A ready endpoint whose entry vanished without notice."""
+    """A ready endpoint whose entry vanished unannounced."""
 
     endpoint: traffic.Endpoint
     at_ms: int
@@ -48,19 +47,18 @@
 class Registry:
     """The endpoints, and how fresh they are.
 
-    Entries may lapse during an outage of the source. Where fewer endpoints of a service remain than
-    have just vanished, the vanished ones stay in use for LAPSE_MS.
+    Entries may lapse while the source is down. If fewer endpoints of a service remain than just
+    vanished, these stay in use for LAPSE_MS.
 
     Attributes:
-      endpoints: by identifier; one that announced that it drains is draining here, whatever its
-        entry lists.
-      by_name: the current incarnation of each endpoint, by the endpoint's own name.
-      revision: the source's revision up to which all changes are known.
-      changed_revision: the revision of the last change; other nodes need not fetch later ones.
+      endpoints: by identifier; one that announced a drain is draining, whatever its entry says.
+      by_name: current incarnations, by the endpoint's own name.
+      revision: up to which all changes are known.
+      changed_revision: of the last change; other nodes need not fetch later ones.
       confirmed_ms: when `revision` was last confirmed.
-      source: the last source: "store" or a peer's name.
-      lapsed: endpoints that vanished without notice, by identifier.
-      ready_by_service: cache of ready endpoints, cleared when an endpoint changes.
+      source: the last one: "store" or a peer's name.
+      lapsed: vanished endpoints, by identifier.
+      ready_by_service: cache, cleared when an endpoint changes.
     """
 
     clock: clock.Clock
@@ -84,12 +82,10 @@
         source: str,
         unreadable: frozenset[str] = frozenset(),
     ) -> list[EndpointChange]:
-        """Replace all endpoints, unless the list is stale.
+        """Replace all endpoints, unless the list is stale; return the changes.
 
         Args:
-          unreadable: names of endpoints whose entries can't be decoded.
-        Returns:
-          The changes by it.
+          unreadable: endpoints whose entries can't be decoded.
         """
         if revision < self.revision:
             return []
@@ -114,11 +110,7 @@
     def apply(
         self, changes: Iterable[EndpointChange], revision: int, source: str
     ) -> list[EndpointChange]:
-        """Apply changes up to a revision, unless it is stale.
-
-        Returns:
-          Those that took effect.
-        """
+        """Apply changes up to a revision, unless stale; return those that took effect."""
         if revision < self.revision:
             return []
         applied: list[EndpointChange] = []
@@ -129,7 +121,7 @@
         return applied
 
     def _apply(self, received: EndpointChange) -> list[EndpointChange]:
-        """Apply one change, and return the changes of incarnations by it."""
+        """Apply one change; return the incarnations' changes."""
         changes = []
         before = self.by_name.get(received.id)
         endpoint = self.drains.applied(received.endpoint) if received.endpoint is not None else None
@@ -152,9 +144,9 @@
 
         Args:
           endpoint: the incarnation to which the request was sent.
-          alive_ms: time of day at which the process that answered was certainly alive.
+          alive_ms: time of day at which the answering process was alive.
         Returns:
-          Whether the notice is new or changes the state of a listed endpoint.
+          Whether the notice is new or changes a listed endpoint's state.
         """
         is_new = self.drains.note(endpoint, alive_ms)
         self.lapsed.pop(endpoint.id, None)
@@ -181,7 +173,7 @@
         self.source = source
 
     def _note_end(self, vanished: traffic.Endpoint, change: EndpointChange) -> None:
-        """Record the end of an endpoint, as lapsed if its entry vanished without notice."""
+        """Record an endpoint's end, as lapsed if it vanished unannounced."""
         if change.is_unreadable or change.is_restarted:
             return
         self.drains.vanished(vanished)
@@ -196,7 +188,7 @@
         return now - lapsed.at_ms > LAPSE_MS
 
     def ready(self, service: str) -> list[traffic.Endpoint]:
-        """Return the endpoints of a service that accept new requests, by identifier."""
+        """Return a service's endpoints that accept new requests, by identifier."""
         found = self.ready_by_service.get(service)
         if found is None:
             found = self.ready_by_service[service] = self._listed_as_ready(service)
@@ -216,7 +208,7 @@
         return sorted(found, key=lambda endpoint: endpoint.id)
 
     def _vanished(self, service: str) -> list[traffic.Endpoint]:
-        """Return the endpoints of a service that lapsed just now and are not listed again."""
+        """Return a service's lapsed endpoints that are not listed again."""
         now = self.clock.now()
         return [
             one.endpoint
--- a/plumarch/membership/store_followers.py
+++ b/plumarch/membership/store_followers.py
@@ -1,37 +1,34 @@
 """Which nodes of a large fleet follow the platform's store.
 
-Each change costs one paid call per follower; the other nodes receive it by gossip.
+Each change costs a paid call per follower; others receive it by gossip.
 """
 
 from collections.abc import Iterable
 
 MIN_FOLLOWERS = 5
-"""Minimum followers of a fleet with at least that many reachable data centres; all but one may fail
-at once."""
+"""Minimum followers in as many or more reachable data centres; all but one may fail."""
 
 MAX_PER_CENTRE = 2
-"""Followers of each data centre if fewer data centres are reachable."""
+"""Followers per data centre if fewer are reachable."""
 
 
 def per_centre(data_centres: int) -> int:
-    """Return how many nodes of each data centre follow the store.
+    """Return the number of followers per data centre.
 
     Args:
-      data_centres: the reachable ones, the own one included, so that each side of a partition soon
-        has enough followers.
+      data_centres: reachable ones, with the own, so that each side of a partition has enough.
     """
     return 1 if data_centres >= MIN_FOLLOWERS else MAX_PER_CENTRE
 
 
 def choose(by_seniority: Iterable[tuple[str, bool]], wanted: int) -> list[str]:
-    """Return the names of the followers of a data centre.
+    """Return a data centre's followers.
 
-    The most senior nodes are chosen until enough of them reach the store; those that don't keep
-    trying.
+    The most senior are chosen until enough reach the store; those that don't keep trying.
 
     Args:
-      by_seniority: names of its live nodes and whether they reach the store, most senior first.
-      wanted: the number of followers that reach the store.
+      by_seniority: live nodes and whether they reach the store, most senior first.
+      wanted: followers that reach the store.
     """
     chosen: list[str] = []
     reaching = 0
--- a/plumarch/membership/tiers.py
+++ b/plumarch/membership/tiers.py
@@ -1,7 +1,7 @@
-"""Roles in a large fleet: the seniors of each data centre coordinate, the others are members.
+"""Roles in a large fleet: each data centre's seniors coordinate, the others are members.
 
-Each node decides its role from its own view, without an election. Conflicting views only duplicate
-or delay reports; safety does not depend on roles.
+Each node decides its own role, without an election. Conflicting views only duplicate or delay
+reports; safety does not depend on roles.
 """
 
 import dataclasses
@@ -9,21 +9,20 @@
 from collections.abc import Iterable, Mapping
 
 FLAT_FLEET = 24
-"""Maximum size of a fleet in which each node sends to each other one."""
+"""Maximum size of a fleet in which all nodes send to each other."""
 
 COORDINATORS = 2
-"""Coordinators of each data centre: one and a standby."""
+"""Coordinators per data centre: one and a standby."""
 
 SENIORS = 4
-"""Number of seniors that members know, as replacements for unresponsive coordinators."""
+"""Seniors that members know, as replacements for unresponsive coordinators."""
 
 RECENTLY_LOST_TIMEOUTS = 4
-"""A node counts as recently lost for this many alive timeouts after its last message; later, a
-peer's report that it is a senior is believed again."""
+"""Alive timeouts since its last message for which a lost node is not believed to be a senior."""
 
 
 class Role(enum.Enum):
-    """Role of a node."""
+    """A node's role."""
 
     FLAT = "flat"
     MEMBER = "member"
@@ -32,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Seniority:
-    """Ordering key of nodes: start time (time of day in ms), then name; lower is more senior."""
+    """Ordering key: start time (time of day in ms), then name; lower is more senior."""
 
     incarnation: int
     name: str
@@ -48,20 +47,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CentreView:
-    """The last summary of another data centre.
+    """Another data centre's last summary.
 
     Attributes:
-      nodes: its size.
-      reachable_nodes: how many of them are alive.
-      seniors: the most senior first.
-      token: the highest fencing token that one of its live nodes holds, or 0.
-      candidate: the most senior of its live nodes that can take over the duties, or None.
-      reported: the newest usage window known there to be reported.
-      usage_age_ms: age of the oldest of its nodes' figures when the summary was sent.
+      reachable_nodes: those of `nodes` that are alive.
+      seniors: most senior first.
+      token: the highest fencing token of its live nodes, or 0.
+      candidate: the most senior live node that can take over the duties, or None.
+      reported: the newest usage window known there as reported.
+      usage_age_ms: age of its nodes' oldest figures when the summary was sent.
       received_ms: by this node's clock.
-      usage_reported_ms: as of when usage windows were reported, by window and this node's clock.
-      senior_received_ms: when the last summary of its most senior coordinator arrived, by this
-        node's clock; 0 if none did.
+      usage_reported_ms: report time by this node's clock, by window.
+      senior_received_ms: by this node's clock, from its most senior coordinator; 0 if none.
     """
 
     nodes: int
@@ -78,15 +75,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReceivedFleetUpdate:
-    """The last fleet update from a coordinator of the own data centre.
+    """The last fleet update of an own coordinator.
 
     Attributes:
-      author: the coordinator that sent it.
-      nodes: the size of the fleet.
-      centre_nodes: the size of the own data centre.
-      fraction: the reachable fraction of the fleet.
-      seniors: of the own data centre, the most senior first.
-      followers: names of the nodes of the own data centre that follow the store.
+      nodes: size of the fleet.
+      centre_nodes: size of the own data centre.
+      fraction: reachable fraction of the fleet.
+      seniors: of the own data centre, most senior first.
+      followers: nodes of the own data centre that follow the store.
       received_ms: by this node's clock.
     """
 
@@ -102,12 +98,12 @@
 def role_of(
     mine: Seniority, nodes: int, seniorities: Iterable[Seniority], has_fresh_update: bool
 ) -> Role:
-    """Return the role of a node.
+    """Return a node's role.
 
     Args:
-      mine: the node's own seniority.
-      nodes: the size of the fleet.
-      seniorities: those of live nodes of its data centre; less senior ones are ignored.
+      mine: its seniority.
+      nodes: size of the fleet.
+      seniorities: of live nodes in its data centre; less senior ones are ignored.
       has_fresh_update: whether it receives fleet updates.
     """
     if nodes <= FLAT_FLEET:
