--- a/plumarch/peers/frames.py
+++ b/plumarch/peers/frames.py
@@ -9,12 +9,12 @@
 
 
 def pack(body: bytes) -> bytes:
-    """Return a body as a frame."""
+    """Frame a body."""
     return HEAD.pack(len(body)) + body
 
 
 async def read(reader: asyncio.StreamReader, limit: int) -> bytes:
-    """Read the body of one frame.
+    """Read a frame's body.
 
     Args:
       limit: maximum length in bytes.
--- a/plumarch/peers/gossip.py
+++ b/plumarch/peers/gossip.py
@@ -1,11 +1,10 @@
-"""Messages that the nodes of a fleet exchange by gossip.
+"""Messages that nodes exchange by gossip.
 
-A heartbeat is one MessagePack datagram with the versions that a node has; a peer with older ones
-requests the newer ones over TCP from the same port.
+A heartbeat is a MessagePack datagram with the sender's versions; a peer with older ones requests
+the newer over TCP from the same port.
 
-Builds run side by side while VMs are replaced: fields are only added, at the end of a message and
-with a default that means absence; none is removed or changes its type or meaning
-(docs/design/mixed-builds.md).
+Builds run side by side: fields are only added, at the end and with a default that means absence;
+none is removed or changes its type or meaning (docs/design/mixed-builds.md).
 """
 
 from typing import Protocol
@@ -21,13 +20,13 @@
 
 
 class Spending(msgspec.Struct, array_like=True, frozen=True):
-    """What a node admitted of a workspace's quota since its start, and its level.
+    """What a node admitted of a workspace's quota since its start.
 
     Attributes:
-      settled: whether the level rests on more than the sender's short lifetime.
-      counted: the portion of its admissions that its data centre's coordinators have counted; all
-        of it where nodes report to each other directly; None from a node that doesn't send it.
-      overdrawn: units by which the nodes reachable from the sender have less left than their share.
+      settled: whether its level rests on more than the sender's short lifetime.
+      counted: what its data centre's coordinators have counted of it; all where nodes report to
+        each other; None from a node that doesn't send it.
+      overdrawn: units that the nodes reachable from the sender have less than their share.
     """
 
     workspace: str
@@ -39,7 +38,7 @@
 
 
 class EndpointLoad(msgspec.Struct, array_like=True, frozen=True):
-    """A node's load at an endpoint: running requests, unread prompt tokens."""
+    """A node's running requests and unread prompt tokens at an endpoint."""
 
     endpoint: str
     running: int
@@ -47,21 +46,21 @@
 
 
 class WindowUsage(msgspec.Struct, array_like=True, frozen=True):
-    """Requests that began in a window, by workspace, as counted by one node."""
+    """Requests that began in a window, by workspace, on one node."""
 
     window: int
     counts: dict[str, int]
 
 
 class KnownPeer(msgspec.Struct, array_like=True, frozen=True):
-    """A node that is reachable from the sender."""
+    """A node reachable from the sender."""
 
     name: str
     address: str
 
 
 class NodeIdentity(msgspec.Struct, array_like=True, frozen=True):
-    """One of the seniors of the sender's data centre."""
+    """A senior of the sender's data centre."""
 
     name: str
     incarnation: int
@@ -69,14 +68,14 @@
 
 
 class EngineSpeed(msgspec.Struct, array_like=True, frozen=True):
-    """Speed of a service's engines, as learned by one or several nodes.
+    """Speed of a service's engines, as nodes learned it.
 
     Attributes:
       us_per_token: time to read a prompt token without waiting, in microseconds.
-      seen: number of first tokens that it was learned from.
-      nodes: number of nodes that learned it.
-      units: charged to quotas for what these nodes sent recently, to all services.
-      unread: prompt tokens of it that engines of this service were expected to read.
+      seen: first tokens that it was learned from.
+      nodes: how many learned it.
+      units: charged to quotas for what they sent recently, to all services.
+      unread: prompt tokens of it that this service's engines were expected to read.
     """
 
     service: str
@@ -88,13 +87,13 @@
 
 
 class VersionShare(msgspec.Struct, array_like=True, frozen=True):
-    """Fraction of a service's requests that a version gets, as decided by a holder of the duties.
+    """Fraction of a service's requests for a version, by a holder of the duties.
 
     Attributes:
-      state: of the roll-out, as reported to operators.
+      state: of the roll-out, for operators.
       token: the holder's fencing token.
-      step: number of the decision under it.
-      vetoed: whether a node found the version to be bad.
+      step: number of the decision under the token.
+      vetoed: whether a node found the version bad.
     """
 
     service: str
@@ -107,7 +106,7 @@
 
 
 class VersionAnswers(msgspec.Struct, array_like=True, frozen=True):
-    """Answers of a version on a route since the sender's start, and the bad ones among them."""
+    """Answers of a version on a route since the sender's start, and the bad ones."""
 
     service: str
     version: str
@@ -117,24 +116,24 @@
 
 
 class Heartbeat(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Periodic report of a live node.
+    """A live node's periodic report.
 
     Attributes:
-      incarnation: time of day at which the process started, in ms.
-      registry_revision: of the last change of endpoints that the sender knows.
-      token: the fencing token under which it holds the duties, or 0.
-      candidate: whether it could take the duties over now.
+      incarnation: start of the process (time of day in ms).
+      registry_revision: of the last known change of endpoints.
+      token: its fencing token, or 0.
+      candidate: whether it could take the duties over.
       reported: the newest usage window that the holder reported, or 0.
-      spending: of the workspaces in which it changed recently; in some heartbeats of all.
-      reaches_store: whether the platform's store answered the sender's last call.
-      sequence: number of the heartbeat; a fleet update acknowledges the last one it includes. 0 in
-        an answer to a node that looks for its coordinators.
-      seniors: of the sender's data centre, for nodes that look for its coordinators.
-      nodes: how many nodes there may be in the fleet, by the sender's own count.
-      speeds: what the sender learned of engines; in some heartbeats.
-      versions: the fractions of versions, during a roll-out and some time after.
-      answers: of versions on the sender, during a roll-out.
-      build: of the sender; in some heartbeats, never from builds that don't send it.
+      spending: of workspaces with recent changes; sometimes of all.
+      reaches_store: whether the platform's store answered the last call.
+      sequence: a fleet update acknowledges the last one it includes; 0 in an answer to a node that
+        looks for its coordinators.
+      seniors: of the sender's data centre, for such nodes.
+      nodes: size of the fleet by the sender's own count.
+      speeds: in some heartbeats.
+      versions: during a roll-out and some time after.
+      answers: during a roll-out.
+      build: in some heartbeats, never from builds that don't send it.
     """
 
     node: str
@@ -162,13 +161,13 @@
 
 
 class CentreSpending(msgspec.Struct, array_like=True, frozen=True):
-    """What the nodes of a data centre admitted, as counted by the sender in the summary's ledger.
+    """What a data centre's nodes admitted, as counted in the summary's ledger.
 
     Attributes:
-      spent: units of the workspace's quota since the ledger was begun.
+      spent: units of the workspace's quota since the ledger began.
       level: units left of the whole fleet's quota, by the sender's count.
       settled: whether the level rests on more than the sender's short lifetime.
-      overdrawn: units by which the nodes reachable from the sender have less left than their share.
+      overdrawn: units that the nodes reachable from the sender have less than their share.
     """
 
     workspace: str
@@ -179,26 +178,25 @@
 
 
 class CentreSummary(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """A coordinator's summary of its data centre, for those of other data centres.
+    """A coordinator's summary of its data centre, for coordinators elsewhere.
 
     Attributes:
-      registry_revision: of the last change of endpoints that the sender knows.
-      nodes: how many nodes there may be.
-      reachable_nodes: how many of them are reachable from the sender, including itself.
-      token: the highest fencing token that a live node holds, or 0.
-      candidate: the most senior live node that could take the duties over, as a list of one or
-        none.
+      registry_revision: of the last known change of endpoints.
+      nodes: size of the data centre.
+      reachable_nodes: those reachable from the sender, with itself.
+      token: the highest fencing token of a live node, or 0.
+      candidate: the most senior live node that could take the duties over; a list of one or none.
       reported: the newest usage window reported, as far as known.
-      usage_age_ms: age of the oldest usage among its nodes' reports.
-      spending: of workspaces in which it changed recently; in some summaries of all.
-      loads: at all endpoints where its nodes have requests, the heaviest first.
-      usage: requests that began on its nodes; in some summaries.
-      speeds: what its nodes learned of engines; in some summaries.
-      versions: the fractions of versions, as in heartbeats.
-      answers: of versions on its nodes, during a roll-out.
-      centres_digest: digest of the data centres reachable from the sender, with its own, or 0.
-      sequence: number of the summary since the sender's start; 0 where it is not sent.
-      ledger: the coordinator that began the count of spending, as a list of one or none.
+      usage_age_ms: age of its nodes' oldest usage.
+      spending: of workspaces with recent changes; sometimes of all.
+      loads: of its nodes, heaviest first.
+      usage: in some summaries.
+      speeds: in some summaries.
+      versions: as in heartbeats.
+      answers: during a roll-out.
+      centres_digest: of data centres reachable from the sender, with its own, or 0.
+      sequence: since the sender's start; 0 where it is not sent.
+      ledger: the coordinator that began it; a list of one or none.
     """
 
     node: str
@@ -226,17 +224,17 @@
 
 
 class KnownCentre(msgspec.Struct, array_like=True, frozen=True):
-    """A data centre that is reachable from the sender, and some of its seniors."""
+    """A data centre reachable from the sender, and some of its seniors."""
 
     data_centre: str
     seniors: list[NodeIdentity]
 
 
 class CentreDirectory(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """Nodes reachable from the sender, for a node that reaches others; no proof that it is alive.
+    """Nodes reachable from the sender, for one that reaches others; no proof that it is alive.
 
     Attributes:
-      centres: data centres reachable from the sender, a coordinator.
+      centres: those reachable from the sender, a coordinator.
       peers: all nodes reachable from it, in a small fleet.
     """
 
@@ -250,9 +248,9 @@
 
     Attributes:
       level: units left over all nodes; negative after a large request.
-      share: units left for the nodes reachable from the sender.
+      share: units left for nodes reachable from the sender.
       settled: whether the level rests on more than the sender's short lifetime.
-      spent: what the nodes of the data centre admitted, as counted in the update's ledger.
+      spent: units admitted in the data centre, by the update's ledger.
     """
 
     workspace: str
@@ -263,17 +261,17 @@
 
 
 class FleetUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """A coordinator's report on the whole fleet for the members of its data centre.
+    """A coordinator's report on the fleet for its members.
 
     Attributes:
-      nodes: how many nodes there may be in the fleet.
-      centre_nodes: how many of them are in the own data centre.
-      fraction: the fraction of them that is reachable, directly or as reported.
-      followers: names of the data centre's nodes that follow the store.
-      levels: of workspaces in which something changed recently; in some updates of all.
-      loads: at endpoints where something changed recently; in some updates at all, from all nodes.
-      full: whether endpoints that are not named have no load.
-      versions: the fractions of versions, as in heartbeats.
+      nodes: size of the fleet.
+      centre_nodes: size of the own data centre.
+      fraction: reachable fraction of the fleet, directly or as reported.
+      followers: nodes of the data centre that follow the store.
+      levels: of workspaces with recent changes; sometimes of all.
+      loads: of all nodes, at endpoints with recent changes; sometimes at all endpoints.
+      full: whether endpoints not named have no load.
+      versions: as in heartbeats.
       ledger: as in summaries.
     """
 
@@ -296,12 +294,11 @@
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """A fleet update as sent to one member.
+    """A fleet update for one member.
 
     Attributes:
-      acknowledged: sequence of the member's last heartbeat or notice that the update includes,
-        or 0.
-      update: a FleetUpdate, encoded once for all members.
+      acknowledged: sequence of the member's last heartbeat or notice in it, or 0.
+      update: encoded once for all members.
     """
 
     acknowledged: int
@@ -312,11 +309,11 @@
     """A node's load at an endpoint, sent at once after a long prompt.
 
     Attributes:
-      incarnation: as in its heartbeats; a notice of another one is dropped.
+      incarnation: a notice of another one than in its heartbeats is dropped.
       load: the node's complete load there.
-      sequence: number of the notice, counted with the heartbeats.
-      workspace: the one whose quota was charged, or "".
-      spent: units of it that the node admitted since its start.
+      sequence: counted with the heartbeats.
+      workspace: whose quota was charged, or "".
+      spent: units of it admitted since the node's start.
     """
 
     node: str
@@ -338,12 +335,12 @@
     """Requests permits for an endpoint that announces a request rate, or reports the rate.
 
     Attributes:
-      address: where the answer is sent.
+      address: for the answer.
       endpoint: the incarnation.
-      data_centre: the endpoint's, whose senior node allocates its permits.
-      sequence: of this message on its node and for this endpoint; the answer repeats it.
+      data_centre: the endpoint's; its senior node allocates the permits.
+      sequence: by node and endpoint; the answer repeats it.
       count: permits wanted; 0 for a report.
-      per_s: the last announced rate, as a list of one, or of none without a limit.
+      per_s: the last announced rate; a list of one, or of none without a limit.
       age_ms: age of the announcement.
       hops: nodes that forwarded the message.
     """
@@ -363,11 +360,11 @@
     """Answers a PermitRequest.
 
     Attributes:
-      permits: how many requests may be sent.
+      permits: requests that may be sent.
       per_s: the newest known rate, as in PermitRequest.
-      next_ms: time until the next permit is available.
+      next_ms: time until the next permit.
       wait_ms: time after which a caller may expect one.
-      contenders: nodes that compete for the endpoint's permits.
+      contenders: nodes that compete for the permits.
     """
 
     endpoint: str
@@ -381,7 +378,7 @@
 
 
 class RateUpdate(msgspec.Struct, array_like=True, frozen=True, tag=9):
-    """The start, change or end of an endpoint's announced request rate; broadcast once.
+    """Start, change or end of an endpoint's announced request rate; broadcast once.
 
     Attributes:
       endpoint: the incarnation.
@@ -396,12 +393,11 @@
 
 
 class SnapshotRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Requests what is newer than what the sender has.
+    """Requests what is newer than the sender's versions.
 
     Attributes:
-      accepts_compressed: whether the answer may be compressed.
-      accepts_parts: whether the answer may be a Snapshot. Builds that omit the field accept a
-        Snapshot or a FullSnapshot, depending on the build.
+      accepts_parts: whether the answer may be a Snapshot; builds that omit it accept one format or
+        the other.
     """
 
     configuration: int
@@ -411,12 +407,12 @@
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """What is newer, in elements that can be decoded separately.
+    """What is newer, in separately decodable elements.
 
     Attributes:
-      configuration: a routing_table.Configuration, encoded, as a list of one or none.
-      endpoints: all endpoints, an encoded traffic.Endpoint each.
-      with_endpoints: whether these are newer than what the requesting node has; else none are sent.
+      configuration: an encoded routing_table.Configuration; a list of one or none.
+      endpoints: all, an encoded traffic.Endpoint each.
+      with_endpoints: whether they are newer; else none are sent.
     """
 
     node: str
@@ -427,7 +423,7 @@
 
 
 class FullSnapshot(msgspec.Struct, array_like=True, frozen=True):
-    """What is newer, as earlier builds send and accept it; None for what is not."""
+    """What is newer, for earlier builds; None for what is not."""
 
     node: str
     configuration: routing_table.Configuration | None
@@ -436,16 +432,16 @@
 
 
 class Versions(Protocol):
-    """The versions of configuration and endpoints that a message's sender has."""
+    """A sender's versions of configuration and endpoints."""
 
     @property
     def configuration(self) -> int:
-        """Return the version of the configuration, or -1."""
+        """Return the configuration's version, or -1."""
         ...
 
     @property
     def registry_revision(self) -> int:
-        """Return the revision of the last change of endpoints."""
+        """Return the revision of the endpoints' last change."""
         ...
 
 
@@ -472,7 +468,7 @@
 
 
 def decode_snapshot(encoded: bytes) -> Snapshot:
-    """Decode a Snapshot, or a FullSnapshot of an earlier build.
+    """Decode a Snapshot, or an earlier build's FullSnapshot.
 
     Raises:
       msgspec.DecodeError: it can't be decoded.
@@ -491,5 +487,5 @@
 
 
 def raw(value: object) -> msgspec.Raw:
-    """Encode a value as an element of a message."""
+    """Encode a message's element."""
     return msgspec.Raw(encoder.encode(value))
--- a/plumarch/peers/message_samples.py
+++ b/plumarch/peers/message_samples.py
@@ -25,23 +25,17 @@
     ("MemberUpdate", "update"): "FleetUpdate",
     ("MemberNews", "news"): "FleetNews",
 }
-"""Types of the elements that are encoded by themselves, by message and field, with the names of
-earlier builds."""
+"""Types of separately encoded elements, by message and field, with earlier builds' names."""
 
 
 class Sampler:
-    """Makes values with all their fields set."""
+    """Makes values with all fields set."""
 
     def __init__(self, known: dict[str, type]) -> None:
         self.known = known
 
     def value(self, kind: object, owner: str = "", field: str = "") -> object:
-        """Return a value of a type.
-
-        Args:
-          owner: the message that contains it.
-          field: its name there.
-        """
+        """Return a value of a type, in a field of the owning message."""
         if kind is msgspec.Raw:
             part = self.known[RAW_PARTS[owner, field]]
             return msgspec.Raw(msgspec.msgpack.encode(self.value(part)))
@@ -74,12 +68,12 @@
 
 
 def origin_list(origin: object, element: object) -> object:
-    """Return a sequence of one element, of a field's declared type."""
+    """Return a field's sequence of one element."""
     return (element,) if origin is tuple else [element]
 
 
 def samples() -> dict[str, str]:
-    """Return this build's encoded messages and stored records, in hex, by type name."""
+    """Return this build's encoded messages and records, in hex, by type name."""
     from plumarch.config import routing_table
     from plumarch.core import traffic
     from plumarch.fleet import duty_lease
@@ -114,7 +108,7 @@
 
 
 def main() -> None:
-    """Write the samples of this build."""
+    """Write this build's samples."""
     if len(sys.argv) != 2:
         sys.exit("Name the build: python -m plumarch.peers.message_samples NAME")
     FOLDER.mkdir(exist_ok=True)
--- a/plumarch/peers/recent_changes.py
+++ b/plumarch/peers/recent_changes.py
@@ -1,6 +1,6 @@
-"""Selects the figures that a heartbeat reports: those that changed recently.
+"""Selects recently changed figures for heartbeats.
 
-Datagrams are lost now and then, so each change is sent several times.
+Datagrams may be lost, so each change is sent several times.
 """
 
 import dataclasses
@@ -8,26 +8,22 @@
 from typing import Generic, TypeVar
 
 SEND_COUNT = 4
-"""Number of heartbeats that report a change."""
+"""Heartbeats that report a change."""
 
 
 Figure = TypeVar("Figure")
-"""A value that is sent again when it differs from the last one sent."""
+"""A value sent again when it differs from the last one sent."""
 
 
 @dataclasses.dataclass(slots=True)
 class RecentChanges(Generic[Figure]):
-    """The figures as last sent, and how often each is still to be sent."""
+    """Figures as last sent, and how often each is still to be sent."""
 
     known: dict[str, Figure] = dataclasses.field(default_factory=dict)
     left: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def select(self, figures: Mapping[str, Figure]) -> set[str]:
-        """Return the names of the figures that the next heartbeat reports.
-
-        Args:
-          figures: all current figures, by name.
-        """
+        """Return the names of figures for the next heartbeat, of all current ones."""
         for name in [name for name in self.known if name not in figures]:
             del self.known[name]
             self.left.pop(name, None)
--- a/plumarch/peers/suspect_entries.py
+++ b/plumarch/peers/suspect_entries.py
@@ -1,15 +1,15 @@
-"""Encoded form of suspect requests, in messages and in the store."""
+"""Encoded suspects, in messages and in the store."""
 
 import msgspec
 
 from plumarch.limits import quarantine
 
 MAX_SENT_CRASHES = 4
-"""Newest crashes of a request that a datagram reports; enough to quarantine it."""
+"""Newest crashes of a request in a datagram; enough to quarantine it."""
 
 
 class ReportedCrash(msgspec.Struct, array_like=True, frozen=True):
-    """An endpoint that crashed while it ran a request; at_ms is the time of day."""
+    """A crash while the endpoint ran a request; at_ms is the time of day."""
 
     endpoint: str
     at_ms: int
@@ -17,7 +17,7 @@
 
 
 class ReportedSuspect(msgspec.Struct, array_like=True, frozen=True):
-    """What the sender knows of a request; fields as in quarantine.Suspect."""
+    """A request's state; fields as in quarantine.Suspect."""
 
     fingerprint: str
     crashes: list[ReportedCrash]
@@ -30,7 +30,7 @@
     """Encode a suspect.
 
     Args:
-      crashes: how many of the newest crashes are included.
+      crashes: how many of the newest to include.
     """
     chosen = [
         ReportedCrash(crash.endpoint, crash.at_ms, crash.points)
@@ -42,7 +42,7 @@
 
 
 def from_message(one: ReportedSuspect) -> quarantine.Suspect:
-    """Decode a suspect; the points of a crash are limited to those of an early one."""
+    """Decode a suspect; a crash's points are limited to those of an early one."""
     crashes = tuple(
         quarantine.Crash(crash.endpoint, crash.at_ms, min(crash.points, quarantine.EARLY_POINTS))
         for crash in one.crashes
--- a/plumarch/peers/tolerant.py
+++ b/plumarch/peers/tolerant.py
@@ -1,6 +1,6 @@
-"""Reads messages of other builds that are partly unreadable, leaving out the unreadable portion.
+"""Reads messages of other builds, leaving out unreadable portions.
 
-It is used only after the ordinary decoder refused a message, so that it costs nothing otherwise.
+Used only after the ordinary decoder refused a message, to cost nothing otherwise.
 """
 
 import dataclasses
@@ -34,7 +34,7 @@
     """A datagram without its unreadable portion.
 
     Attributes:
-      unreadable: names of the fields that lack something.
+      unreadable: fields that lack something.
     """
 
     datagram: Any
@@ -42,9 +42,9 @@
 
 
 def read(data: bytes) -> PartialDatagram:
-    """Return the readable portion of a datagram.
+    """Return a datagram's readable portion.
 
-    Unreadable elements of a list are left out; an unreadable field with a default gets it.
+    Unreadable list elements are left out; an unreadable field gets its default.
 
     Raises:
       msgspec.DecodeError: the type is unknown, or a required field is unreadable.
--- a/plumarch/peers/wire.py
+++ b/plumarch/peers/wire.py
@@ -1,8 +1,7 @@
 """Messages between nodes over TCP: authenticated, length-limited MessagePack frames.
 
-Both ends prove that they know the shared key. Each frame then carries a keyed digest over its
-number and content, so that others cannot add, change or replay one. Frames may be lost with a
-connection.
+Both ends prove that they know the shared key. A keyed digest over each frame's number and content
+prevents others from adding, changing or replaying one. Frames may be lost with a connection.
 """
 
 import asyncio
@@ -25,7 +24,7 @@
 """Maximum bytes of a frame."""
 
 QUEUE_LIMIT = 20_000
-"""Maximum messages queued for one peer; further ones are dropped."""
+"""Maximum messages queued for a peer; further ones are dropped."""
 
 HANDSHAKE_S = 5.0
 RECONNECT_S = 0.25
@@ -36,7 +35,7 @@
 
 
 class Hello(msgspec.Struct, frozen=True):
-    """The first frame of each side: its identity and nonce."""
+    """Each side's first frame: identity and nonce."""
 
     version: int
     identity: str
@@ -44,7 +43,7 @@
 
 
 class Proof(msgspec.Struct, frozen=True):
-    """The second frame of each side: a digest that only a holder of the key can compute."""
+    """Each side's second frame: a digest that proves the key."""
 
     digest: bytes
 
@@ -92,10 +91,7 @@
     """Authenticate both ends by the shared key.
 
     Args:
-      reader: the connection's reading end.
-      writer: the connection's writing end.
-      secret: the shared key.
-      identity: this node's identity.
+      identity: this node's.
       role: b"client" for the end that connected, b"server" for the other.
     Returns:
       The session; its identity is the other end's.
@@ -130,7 +126,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Outgoing:
-    """The queue of one peer, and the task that sends it."""
+    """A peer's queue and the task that sends it."""
 
     address: str
     waiting: collections.deque[tuple[str, bytes]]
@@ -139,13 +135,13 @@
 
 
 class WireTransport:
-    """Sends messages to peers by name and receives theirs.
+    """Exchanges messages with peers by name.
 
     Args:
-      identity: this node's identity.
-      secret: the key that all nodes share.
-      receive: called with each message's sender and the message.
-      dropped: called with the reason when a message or connection is dropped.
+      identity: this node's.
+      secret: shared by all nodes.
+      receive: called with a message's sender and the message.
+      dropped: called with the reason of a dropped message or connection.
     """
 
     def __init__(
@@ -165,16 +161,12 @@
         self.sent_bytes = 0
 
     async def listen(self, host: str, port: int) -> int:
-        """Start to receive.
-
-        Returns:
-          The port in use.
-        """
+        """Start to receive; return the port in use."""
         self.server = await asyncio.start_server(self._serve, host, port)
         return int(self.server.sockets[0].getsockname()[1])
 
     def add_peer(self, name: str, address: str) -> None:
-        """Set a peer's address; a changed one is used from now on."""
+        """Set a peer's address."""
         known = self.outgoing.get(name)
         if known is not None and known.address == address:
             return
