--- a/plumarch/core/addresses.py
+++ b/plumarch/core/addresses.py
@@ -5,12 +5,11 @@
 LAST_PORT = 65_535
 
 BACKLOG = 1024
-"""Length of a listening socket's accept queue. A full queue drops SYN packets, which are
-retransmitted only after a second or more."""
+"""Limit of a listening socket's accept queue; a full one drops SYN packets."""
 
 
 def split(address: str) -> tuple[str, int]:
-    """Split an address into host and port; strips the brackets of an IPv6 host.
+    """Split an address into host and port, without the brackets of IPv6.
 
     Raises:
       ValueError: the port is not a number.
@@ -20,7 +19,7 @@
 
 
 def is_ip_port(address: str) -> bool:
-    """Return whether an address is a literal IP with a valid port."""
+    """Return whether this is a literal IP with a valid port."""
     try:
         host, port = split(address)
         ipaddress.ip_address(host)
--- a/plumarch/core/backoff.py
+++ b/plumarch/core/backoff.py
@@ -6,18 +6,18 @@
 from plumarch.core import clock
 
 MAX_DOUBLINGS = 8
-"""Keeps the power of two small after thousands of failures."""
+"""Limit of the doublings of a pause."""
 
 MIN_JITTER = 0.5
-"""Lower bound of the jitter, which keeps nodes from retrying at the same moment."""
+"""Lower bound of the jitter, which spreads the retries of nodes."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Backoff:
-    """Pause lengths after consecutive failures.
+    """Pauses after consecutive failures.
 
     Attributes:
-      first_ms: upper bound of the first pause; doubles with each further failure.
+      first_ms: upper bound of the first pause; doubles with each failure.
       max_ms: cap on that bound.
     """
 
@@ -25,11 +25,7 @@
     max_ms: float
 
     def pause_ms(self, failures: int, rng: random.Random) -> float:
-        """Draw the pause before the next call.
-
-        Args:
-          failures: number of consecutive failures, at least 1.
-        """
+        """Draw the pause after this many consecutive failures (at least 1)."""
         doublings = min(failures - 1, MAX_DOUBLINGS)
         pause = min(self.max_ms, self.first_ms * (1 << doublings))
         return pause * rng.uniform(MIN_JITTER, 1.0)
@@ -37,7 +33,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Retries:
-    """Independent retry state for several kinds of work.
+    """Independent retry state by kind of work.
 
     Attributes:
       failures: consecutive failures by kind.
@@ -51,7 +47,7 @@
     not_before_ms: dict[str, float] = dataclasses.field(default_factory=dict)
 
     def is_due(self, kind: str) -> bool:
-        """Return whether this kind of work may be tried now."""
+        """Return whether this work may be tried now."""
         return self.clock.now() >= self.not_before_ms.get(kind, 0)
 
     def failed(self, kind: str) -> None:
@@ -61,6 +57,6 @@
         self.not_before_ms[kind] = self.clock.now() + pause_ms
 
     def done(self, kind: str) -> None:
-        """Record a success and reset the backoff."""
+        """Reset the backoff after a success."""
         self.failures.pop(kind, None)
         self.not_before_ms.pop(kind, None)
--- a/plumarch/core/clock.py
+++ b/plumarch/core/clock.py
@@ -5,7 +5,7 @@
 
 
 class Clock(Protocol):
-    """A source of the current time."""
+    """A source of time."""
 
     def now(self) -> int:
         """Return milliseconds since an arbitrary fixed origin; never decreases."""
@@ -13,42 +13,42 @@
 
 
 COUNTS_SUSPENSIONS = hasattr(time, "CLOCK_BOOTTIME")
-"""Whether the host has a clock that includes time spent suspended."""
+"""Whether a host clock includes suspensions."""
 
 CLOCK_ID = time.CLOCK_BOOTTIME if COUNTS_SUSPENSIONS else time.CLOCK_MONOTONIC
 
 
 class MonotonicClock:
-    """The host's monotonic clock, including time spent suspended where the host supports it.
+    """The host's monotonic clock, including suspensions where the host supports it.
 
-    Leases, deadlines and the age of received state must expire as they do on other machines.
+    Leases and deadlines must expire as they do on other machines.
     """
 
     def now(self) -> int:
-        """Return milliseconds of the host's monotonic clock."""
+        """Return milliseconds."""
         return time.clock_gettime_ns(CLOCK_ID) // 1_000_000
 
 
 class RunningClock:
-    """The host's monotonic clock without time spent suspended."""
+    """The host's monotonic clock without suspensions."""
 
     def now(self) -> int:
-        """Return milliseconds, excluding suspensions."""
+        """Return milliseconds."""
         return time.monotonic_ns() // 1_000_000
 
 
 class ManualClock:
-    """A clock that is advanced explicitly, for tests and virtual time."""
+    """A clock that is advanced explicitly."""
 
     def __init__(self, start_ms: int = 0) -> None:
         self.time_ms = start_ms
 
     def now(self) -> int:
-        """Return the current virtual time in milliseconds."""
+        """Return virtual milliseconds."""
         return self.time_ms
 
     def advance_to(self, time_ms: int) -> None:
-        """Advance to time_ms; earlier times are ignored."""
+        """Advance to time_ms, ignoring earlier times."""
         self.time_ms = max(self.time_ms, time_ms)
 
 
--- a/plumarch/core/context.py
+++ b/plumarch/core/context.py
@@ -1,4 +1,4 @@
-"""Dependencies shared by all components of a node: clock, random numbers, identity, outbox."""
+"""Dependencies shared by a node's components."""
 
 import dataclasses
 import random
@@ -11,7 +11,7 @@
     """A node's identity, clock, random numbers and pending actions.
 
     Attributes:
-      node: identity of this node, "name#incarnation".
+      node: identity, "name#incarnation".
       rng: the only source of randomness, seeded by the caller.
       outbox: actions not yet collected by the shell.
     """
@@ -24,7 +24,7 @@
     calls: int = 0
 
     def now(self) -> int:
-        """Return the time in milliseconds."""
+        """Return milliseconds."""
         return self.clock.now()
 
     def act(self, action: events.Action) -> None:
@@ -36,7 +36,7 @@
         self.outbox.append(events.Send(node, message))
 
     def count(self, name: str, workspace: str = "", label: str = "", amount: float = 1) -> None:
-        """Increment a counter of the metrics."""
+        """Increment a counter."""
         self.outbox.append(events.Count(name, workspace, label, amount))
 
     def note(
@@ -52,8 +52,8 @@
 
         Args:
           kind: category, one word.
-          why: the reason, one short sentence.
-          key: idempotency key, if the request itself is not available.
+          why: one short sentence.
+          key: idempotency key, if the request is not available.
         """
         request_id = request.id if request else ""
         workspace = request.workspace if request else ""
@@ -77,5 +77,5 @@
 
 
 def name_of(node: str) -> str:
-    """Return the configured name in a node identity, without the incarnation."""
+    """Return the name in a node identity, without incarnation."""
     return node.partition("#")[0]
--- a/plumarch/core/data.py
+++ b/plumarch/core/data.py
@@ -54,14 +54,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A caller's request as parsed by the node that accepted it.
+    """A caller's request as parsed by the accepting node.
 
     Attributes:
       id: globally unique; contains the accepting node's incarnation.
       key: idempotency key, or "".
-      minted_epoch: slot epoch in which plumarch issued the key; 0 for a caller's own key.
+      minted_epoch: slot epoch in which plumarch issued the key; 0 for a caller's own.
       fingerprint: hash of the content, to detect a key reused for another request.
-      timeout_ms: caller's time limit, counted from acceptance.
+      timeout_ms: caller's limit, counted from acceptance.
       seed: sampling seed, so that a resumed answer continues the same text.
     """
 
@@ -87,7 +87,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """The complete answer of a plain service, or the final state of a stream."""
+    """The answer of a plain service, or a stream's final state."""
 
     status: int = 200
     content_type: str = "application/json"
@@ -111,7 +111,7 @@
       address: base URL.
       capacity: maximum concurrent requests.
       price: VM price per hour in the platform's currency.
-      checks_fencing: whether it rejects orders with a stale fencing token.
+      checks_fencing: whether it rejects stale fencing tokens.
     """
 
     name: str
@@ -130,7 +130,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Offer:
-    """A VM class on sale in a data centre, with its price per hour."""
+    """A VM class on sale in a data centre; price per hour."""
 
     name: str
     data_centre: str
@@ -163,8 +163,8 @@
 
     Attributes:
       home: the node permitted to dispatch the request.
-      attempt: number of the home among all that the request has had; lower ones are stale.
-      copied: whether the request's class is copied to another data centre.
+      attempt: sequence number of the home; lower ones are stale.
+      copied: whether the class is copied to another data centre.
     """
 
     workspace: str
@@ -186,9 +186,9 @@
 
     Attributes:
       epoch: fencing token, incremented with each change of owner.
-      uncertain_epoch: keys issued before this epoch may have run unrecorded; 0 if none may.
-      records: permissions stored here because the successor did not acknowledge them.
-      writer: unique per write, so that a writer recognises its own after a lost answer.
+      uncertain_epoch: keys issued before it may have run unrecorded; 0 if none.
+      records: permissions that the successor did not acknowledge.
+      writer: unique per write, to recognise it after a lost answer.
     """
 
     epoch: int
@@ -201,7 +201,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LatencyTarget:
-    """Latency targets of a workspace for a class, in milliseconds; 0 for no target."""
+    """Latency targets of a workspace for a class, in ms; 0 for none."""
 
     first_token_ms: int = 0
     between_tokens_ms: int = 0
@@ -210,10 +210,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A plain service that a workspace may call.
+    """A plain service of a workspace.
 
     Attributes:
-      not_repeatable: "METHOD /path/prefix" patterns of calls that must run at most once.
+      not_repeatable: "METHOD /path/prefix" patterns of calls that run at most once.
     """
 
     name: str
@@ -227,8 +227,8 @@
 
     Attributes:
       token_digest: SHA-256 of the callers' token, in hexadecimal.
-      data_centres: where its requests may run; empty means anywhere.
-      vm_classes: VM classes that may be ordered for it.
+      data_centres: where its requests may run; empty for anywhere.
+      vm_classes: VM classes that may be ordered.
     """
 
     name: str
@@ -244,7 +244,7 @@
 
 
 class NodeState(enum.StrEnum):
-    """State of an entry node as seen by another."""
+    """State of an entry node."""
 
     JOINING = "joining"
     LIVE = "live"
@@ -255,7 +255,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Considered:
-    """An endpoint evaluated by placement, and its score (lower is better)."""
+    """An endpoint considered by placement; lower scores are better."""
 
     endpoint: str
     score: float
@@ -264,7 +264,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Decision:
-    """A recorded decision, with its reason and the candidates."""
+    """A recorded decision with its candidates."""
 
     at_ms: int
     node: str
--- a/plumarch/core/errors.py
+++ b/plumarch/core/errors.py
@@ -6,7 +6,7 @@
 
 
 class SettingsError(PlumarchError):
-    """Settings or configuration files are invalid; the message lists every problem."""
+    """Settings or configuration files are invalid; the message lists all problems."""
 
 
 class PlatformError(PlumarchError):
@@ -14,15 +14,15 @@
 
 
 class PlatformUnavailable(PlatformError):
-    """The call never reached the platform; nothing was written. Retry later."""
+    """The call never reached the platform. Retry later."""
 
 
 class PlatformAnswerLost(PlatformError):
-    """The call may or may not have taken effect. Read the object back before acting."""
+    """The call may have taken effect. Read the object back before acting."""
 
 
 class PlatformConflict(PlatformError):
-    """The object changed since it was read. Read it again before retrying."""
+    """The object changed since it was read. Read it again."""
 
 
 class PlatformAbsent(PlatformError):
@@ -30,11 +30,11 @@
 
 
 class PlatformRevisionExpired(PlatformError):
-    """The platform no longer keeps changes since that revision. List again, then watch."""
+    """The platform no longer keeps that revision's changes. List again, then watch."""
 
 
 class BudgetExceeded(PlatformError):
-    """This process used up its budget of platform calls. Wait for the next interval."""
+    """The process used up its budget of platform calls. Wait for the next interval."""
 
 
 class PeerProtocolError(PlumarchError):
@@ -46,10 +46,10 @@
 
 
 class NotDelivered(EndpointError):
-    """The call failed before its first byte was written, or was rejected: it can't have run.
+    """The call failed before its first byte, or was rejected: it can't have run.
 
     Attributes:
-      backoff_ms: backoff requested by an endpoint that rejects the call; 0 if none.
+      backoff_ms: backoff requested with a rejection; 0 if none.
     """
 
     def __init__(self, why: str, backoff_ms: float = 0.0) -> None:
@@ -62,12 +62,12 @@
 
 
 class PlatformNonsense(PlatformError):
-    """The platform's answer can't be parsed. The last valid state stays in force; see the log."""
+    """The platform's answer can't be parsed. The last valid state stays in force."""
 
 
 class StaleToken(PlatformError):
-    """A higher fencing token was used. Stop acting and read who holds the duty."""
+    """A higher fencing token was used. Read who holds the duty."""
 
 
 class NoneToBeHad(PlatformError):
-    """No reclaimable VMs are available in that data centre. Order others, or wait."""
+    """The data centre has no reclaimable VMs. Order others, or wait."""
--- a/plumarch/core/event_loop.py
+++ b/plumarch/core/event_loop.py
@@ -1,8 +1,4 @@
-"""An event loop whose timers include time spent suspended.
-
-With asyncio's default loop a suspension would extend every timeout. Here overdue timers fire when
-the loop first wakes after the machine resumes.
-"""
+"""An event loop whose timers include suspensions, which would otherwise extend every timeout."""
 
 import asyncio
 import time
@@ -18,11 +14,11 @@
     """Selector event loop on a clock that includes suspensions."""
 
     def time(self) -> float:
-        """Return seconds of the host's monotonic clock."""
+        """Return seconds."""
         return time.clock_gettime(clock.CLOCK_ID)
 
 
 def run(work: Coroutine[Any, Any, Result]) -> Result:
-    """Run a coroutine to completion on a new loop."""
+    """Run a coroutine on a new loop."""
     with asyncio.Runner(loop_factory=SteadyEventLoop) as runner:
         return runner.run(work)
--- a/plumarch/core/events.py
+++ b/plumarch/core/events.py
@@ -1,4 +1,4 @@
-"""Inputs (events) and outputs (actions) of a node's decision logic, which does no I/O itself."""
+"""Events into and actions out of a node's decision logic, which does no I/O."""
 
 import dataclasses
 import enum
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Periodic timer event, due every TICK_MS milliseconds."""
+    """Periodic timer, every TICK_MS milliseconds."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
     """A caller's request arrived.
 
     Attributes:
-      position: number of tokens that the caller already has (Last-Event-ID).
+      position: tokens that the caller already has (Last-Event-ID).
     """
 
     watcher_id: str
@@ -74,7 +74,7 @@
     """An endpoint completed an attempt.
 
     Attributes:
-      recomputed: tokens, of prompt and answer, that the endpoint had to compute again.
+      recomputed: tokens of prompt and answer computed again.
     """
 
     request_id: str
@@ -88,8 +88,8 @@
     """An endpoint call failed.
 
     Attributes:
-      delivered: False only if no byte of the request was written.
-      broken: whether the connection broke, as when the endpoint crashes.
+      delivered: False only if no byte was written.
+      broken: whether the connection broke, as in a crash.
       backoff_ms: backoff requested by the endpoint; 0 if none.
     """
 
@@ -106,7 +106,7 @@
     """The head of an endpoint's answer arrived.
 
     Attributes:
-      per_s: announced limit on requests per second from all nodes together, or None.
+      per_s: announced limit on requests per second from all nodes, or None.
     """
 
     request_id: str
@@ -145,7 +145,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CloudAnswer:
-    """The answer to a CloudOrder, with the name of a started VM."""
+    """The answer to a CloudOrder."""
 
     call_id: int
     status: CloudStatus
@@ -154,14 +154,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OffersSeen:
-    """The cloud's current VM offers and prices."""
+    """The cloud's current VM offers."""
 
     offers: tuple[data.Offer, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointsSeen:
-    """The platform's list of endpoint VMs, possibly stale."""
+    """The platform's list of endpoints, possibly stale."""
 
     endpoints: tuple[data.Endpoint, ...]
 
@@ -175,7 +175,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReclaimNotice:
-    """The cloud will reclaim VMs (endpoints or entry nodes) after left_ms."""
+    """The cloud will reclaim VMs (endpoints or nodes) after left_ms."""
 
     names: tuple[str, ...]
     left_ms: int
@@ -183,14 +183,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodesGone:
-    """Node incarnations that no longer exist by the platform's list."""
+    """Node incarnations gone from the platform's list."""
 
     nodes: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigSeen:
-    """A configuration was read from the platform."""
+    """A configuration read from the platform."""
 
     revision: int
     manifest: dict[str, str]
@@ -240,9 +240,9 @@
     """Dispatch a request to an endpoint.
 
     Attributes:
-      tokens: tokens generated so far, after which the endpoint continues.
-      import_from: address of an endpoint that can export the request's KV cache, or "".
-      fencing_token: epoch of the slot that granted the request; 0 if none did.
+      tokens: tokens so far, after which the endpoint continues.
+      import_from: endpoint that can export the request's KV cache, or "".
+      fencing_token: epoch of the slot that granted the request; 0 if none.
     """
 
     request: data.Request
@@ -272,7 +272,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformPut:
-    """Write an object if its version matches; version 0 requires that it does not exist."""
+    """Write an object if its version matches; 0 if it must not exist."""
 
     call_id: int
     name: str
@@ -285,7 +285,7 @@
     """Start a VM for a target, or release one by name.
 
     Attributes:
-      token: idempotency token of the order.
+      token: idempotency token.
       fencing_token: epoch of the deciding node; the cloud rejects lower ones.
     """
 
@@ -301,7 +301,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TellAccepted:
-    """Notify a caller that its request was accepted under a key."""
+    """Notify a caller of acceptance under a key."""
 
     watcher_id: str
     request_id: str
@@ -321,7 +321,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TellEnd:
-    """Send a caller the final answer; retry_after_ms is 0 if a retry is pointless."""
+    """Send the final answer; retry_after_ms is 0 if a retry is pointless."""
 
     watcher_id: str
     request_id: str
@@ -333,14 +333,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Note:
-    """Record a decision for operators."""
+    """Record a decision."""
 
     decision: data.Decision
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Count:
-    """Increment a counter of the metrics."""
+    """Increment a counter."""
 
     name: str
     workspace: str = ""
@@ -350,7 +350,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observe:
-    """Add a duration in milliseconds to a histogram of the metrics."""
+    """Add milliseconds to a histogram."""
 
     name: str
     workspace: str
--- a/plumarch/core/file_problems.py
+++ b/plumarch/core/file_problems.py
@@ -1,11 +1,11 @@
-"""Problems found in settings and configuration files."""
+"""Problems in settings and configuration files."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One problem in a file, with its location and remedy."""
+    """A problem in a file, with its remedy."""
 
     file: str
     line: int
--- a/plumarch/core/hashing.py
+++ b/plumarch/core/hashing.py
@@ -17,24 +17,17 @@
 
 
 def rendezvous(subject: str, names: Iterable[str]) -> list[str]:
-    """Order names by rendezvous hashing (highest random weight) for a subject.
+    """Order candidates for a subject by rendezvous hashing, best first.
 
-    Args:
-      subject: the item to assign, for example a slot's name.
-      names: the candidates.
-    Returns:
-      The candidates, best first. Removing one reassigns only its own subjects.
+    Removing a name reassigns only its own subjects.
     """
     return sorted(names, key=lambda name: (-digest(subject, name), name))
 
 
 def rendezvous_top(subject: int, names: Iterable[str], count: int) -> list[str]:
-    """Return the top names by rendezvous hashing of an already hashed subject.
+    """Return the top names for a subject that is already a 64-bit hash.
 
-    Cheaper than rendezvous(), for the request path; the two order names differently.
-
-    Args:
-      subject: 64-bit hash of the item to assign.
+    Cheaper than rendezvous(), but in another order.
     """
     prefix = subject.to_bytes(8, "big")
     ranked = [(-xxhash.xxh3_64_intdigest(prefix + name.encode()), name) for name in names]
--- a/plumarch/core/messages.py
+++ b/plumarch/core/messages.py
@@ -1,7 +1,4 @@
-"""Messages between entry nodes; times are durations in milliseconds.
-
-Messages may be lost, delayed, duplicated or reordered, and handlers must tolerate that.
-"""
+"""Messages between nodes, possibly lost, duplicated or reordered; times are durations in ms."""
 
 import enum
 
@@ -11,16 +8,16 @@
 
 
 class Message(msgspec.Struct, frozen=True, tag=True):
-    """Base of all peer messages."""
+    """Base of peer messages."""
 
 
 class Heartbeat(Message, frozen=True):
-    """Periodic message with a node's state, owned slots, reclaim notices and demand.
+    """A node's periodic state and demand.
 
     Attributes:
       owned: pairs of slot number and epoch.
-      leaving: VMs (endpoints or nodes) under a reclaim notice, with milliseconds left.
-      demand: target, capacity in use or queued for, and the part of it in urgent classes.
+      leaving: reclaimed VMs (endpoints or nodes), with milliseconds left.
+      demand: target, capacity in use or queued for, and the urgent part of it.
     """
 
     data_centre: str
@@ -33,7 +30,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """A slot owner's answer about a key. After MOVED the sender repeats the request."""
+    """A slot owner's answer. After MOVED the sender repeats the request."""
 
     GRANTED = "granted"
     EXISTS = "exists"
@@ -46,7 +43,7 @@
 
 
 class Claim(Message, frozen=True):
-    """Requests permission to dispatch, or with refuse set, to settle the key as refused."""
+    """Requests permission to dispatch; with refuse, settles the key as refused."""
 
     slot: int
     workspace: str
@@ -70,7 +67,7 @@
 
 
 class Lookup(Message, frozen=True):
-    """Requests a key's record from the slot's owner; read-only."""
+    """Requests a key's record from the slot's owner."""
 
     slot: int
     workspace: str
@@ -87,7 +84,7 @@
 
 
 class Settle(Message, frozen=True):
-    """Reports to the slot's owner how a granted request ended."""
+    """Reports to the slot's owner how a request ended."""
 
     slot: int
     workspace: str
@@ -99,7 +96,7 @@
 
 
 class SettleAnswer(Message, frozen=True):
-    """Answers a Settle with the record in force, held by owner and successor."""
+    """Answers a Settle with the record held by owner and successor."""
 
     request_id: str
     verdict: Verdict
@@ -107,7 +104,7 @@
 
 
 class Rehome(Message, frozen=True):
-    """Requests that the sender become the home of a repeatable request."""
+    """Requests to become the home of a repeatable request."""
 
     slot: int
     workspace: str
@@ -144,14 +141,14 @@
 
 
 class NoTable(Message, frozen=True):
-    """Rejects a Replicate: the sender has no table for the slot and epoch."""
+    """Rejects a Replicate: no table for the slot and epoch."""
 
     slot: int
     epoch: int
 
 
 class TableCopy(Message, frozen=True):
-    """Sends a slot's full table to a candidate for successor."""
+    """Sends a slot's table to a candidate for successor."""
 
     slot: int
     epoch: int
@@ -168,7 +165,7 @@
 
 
 class CopyPut(Message, frozen=True):
-    """Requests that a node in another data centre hold a copy of an accepted request."""
+    """Requests that another data centre's node hold a copy of a request."""
 
     request: data.Request
     attempt: int
@@ -182,16 +179,16 @@
 
 
 class CopyDrop(Message, frozen=True):
-    """Releases the copy of a request that has ended."""
+    """Releases the copy of an ended request."""
 
     request_id: str
 
 
 class Adopt(Message, frozen=True):
-    """Offers a request in progress, with its tokens so far, to a new home.
+    """Offers a request in progress to a new home.
 
     Attributes:
-      import_from: address of the engine that runs it and can export its KV cache, or "".
+      import_from: engine that can export its KV cache, or "".
       import_attempt: attempt number at that engine.
       points: suspicion of crashing endpoints, as in limits.quarantine.
     """
@@ -208,14 +205,14 @@
 
 
 class Adopted(Message, frozen=True):
-    """Confirms that the sender is the new home of the request."""
+    """Confirms that the sender is the new home."""
 
     request_id: str
     attempt: int
 
 
 class Subscribe(Message, frozen=True):
-    """Requests tokens from the home of a request, starting at a position."""
+    """Requests tokens from a request's home, starting at a position."""
 
     request_id: str
     watcher_id: str
@@ -223,7 +220,7 @@
 
 
 class Chunk(Message, frozen=True):
-    """Tokens of a request for one watcher, starting at position."""
+    """Tokens for one watcher, starting at position."""
 
     request_id: str
     watcher_id: str
@@ -232,7 +229,7 @@
 
 
 class Ended(Message, frozen=True):
-    """The final answer for one watcher; total is its number of tokens."""
+    """The final answer for one watcher; total counts its tokens."""
 
     request_id: str
     watcher_id: str
@@ -243,7 +240,7 @@
 
 
 class NotHere(Message, frozen=True):
-    """Rejects a Subscribe: the sender is not the home; home names it if known."""
+    """Rejects a Subscribe; names the home if known."""
 
     request_id: str
     watcher_id: str
@@ -263,11 +260,11 @@
 
 
 class ConfigGive(Message, frozen=True):
-    """Sends a configuration, in full or as a difference to a base revision.
+    """Sends a configuration, in full or as a difference.
 
     Attributes:
-      base: revision that the difference applies to; 0 for a full configuration.
-      manifest: document name to digest, for all or only changed documents; "" if removed.
+      base: revision that the difference applies to; 0 if full.
+      manifest: digest by name, of all or only changed documents; "" if removed.
       documents: texts that the receiver may lack, by digest.
     """
 
--- a/plumarch/core/records.py
+++ b/plumarch/core/records.py
@@ -1,14 +1,14 @@
-"""Plumarch's own objects in the platform's store, and orders under a fencing token."""
+"""Plumarch's own objects in the platform's store."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """An object of plumarch's own, opaque to the platform.
+    """An object of plumarch's own.
 
     Attributes:
-      revision: revision of its last change; 0 if it does not exist yet.
+      revision: revision of its last change; 0 if it does not exist.
     """
 
     name: str
@@ -18,10 +18,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unreadable:
-    """An object in the store that can't be parsed and is ignored.
+    """An object that can't be parsed and is ignored.
 
     Attributes:
-      name: name of the object; "" if unreadable too.
+      name: its name; "" if unreadable.
       revision: revision of its last change, or 0.
     """
 
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineOrder:
-    """Desired number of firm or reclaimable endpoints of a service in a data centre."""
+    """Desired number of firm or reclaimable endpoints of a service."""
 
     service: str
     data_centre: str
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lease:
-    """The holder of a duty and its fencing token."""
+    """A duty's holder and fencing token."""
 
     holder: str
     token: int
--- a/plumarch/core/retry_after.py
+++ b/plumarch/core/retry_after.py
@@ -6,10 +6,7 @@
 
 
 def milliseconds(seconds: str) -> float:
-    """Parse seconds and return milliseconds, or 0 if invalid or not positive.
-
-    Dates count as invalid, since the clocks of two machines may disagree.
-    """
+    """Parse into milliseconds; 0 if invalid, or a date, since clocks may disagree."""
     try:
         found = float(seconds) * 1000.0
     except ValueError:
--- a/plumarch/core/rollouts.py
+++ b/plumarch/core/rollouts.py
@@ -1,14 +1,11 @@
-"""Roll-outs, which move a service's requests to another version.
-
-Times are in milliseconds; shares are fractions of the service's requests.
-"""
+"""Roll-outs of service versions; times in milliseconds, shares as fractions of requests."""
 
 import dataclasses
 import enum
 
 
 class RolloutState(enum.Enum):
-    """Progress of a roll-out, as shown to operators."""
+    """Progress of a roll-out."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -20,9 +17,8 @@
     """An operator's order to move a service to a version.
 
     Attributes:
-      version: version to move to; its endpoints start beside the current ones.
-      duration_ms: time limit for completing it, after which it is rolled back.
-      state: last reported state of this version; None for a new order.
+      duration_ms: time limit, after which it is rolled back.
+      state: last reported state; None for a new order.
     """
 
     service: str
@@ -34,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RolloutChange:
-    """A new, changed or deleted (order None) roll-out order."""
+    """A new, changed or deleted (order None) order."""
 
     service: str
     order: RolloutOrder | None
@@ -42,11 +38,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionSplit:
-    """The share of a service's requests for a version, as decided by the duty holder.
+    """The share of a service's requests for a version.
 
     Attributes:
       token: the duty holder's fencing token; a higher one takes precedence.
-      step: sequence number of the decision under that token.
+      step: sequence number under that token.
       vetoed: whether a node found the version bad; it gets no more requests.
     """
 
@@ -59,7 +55,7 @@
     vetoed: bool = False
 
     def is_later_than(self, other: "VersionSplit") -> bool:
-        """Return whether this decision supersedes another one."""
+        """Return whether this supersedes another decision."""
         return (self.token, self.step) > (other.token, other.step)
 
     def may_use(self) -> bool:
--- a/plumarch/core/suspension.py
+++ b/plumarch/core/suspension.py
@@ -1,18 +1,14 @@
-"""Detection of times when this process did not run, by the delay of a periodic check.
-
-A timeout that spans a suspension says nothing about the peer.
-"""
+"""Detection of suspensions of this process, across which a timeout says nothing about the peer."""
 
 import dataclasses
 
 from plumarch.core import clock
 
 CHECK_INTERVAL_MS = 100
-"""Interval between checks; also how late a suspension may be noticed."""
+"""Interval between checks."""
 
 MIN_MS = 400
-"""Shortest gap between checks that counts as a suspension; load alone causes shorter ones. Half
-of the connect timeout within a data centre."""
+"""Shortest gap that counts as a suspension; load alone causes shorter ones."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -30,7 +26,7 @@
     total_ms: int = 0
 
     def check(self) -> None:
-        """Record that the process is running."""
+        """Record that the process runs."""
         now = self.clock.now()
         if self.checked_ms is not None and now - self.checked_ms >= MIN_MS:
             self.resumed_ms = now
--- a/plumarch/core/token_bucket.py
+++ b/plumarch/core/token_bucket.py
@@ -25,9 +25,9 @@
         return self.level
 
     def take(self, count: float) -> None:
-        """Remove tokens; the level may go negative."""
+        """Remove tokens."""
         self.level -= count
 
     def next_ms(self) -> float:
-        """Return the time from the last refill until one token is available, in ms."""
+        """Return ms from the last refill until one token is available."""
         return max(0.0, 1.0 - self.level) * 1000.0 / self.per_s
--- a/plumarch/core/traffic.py
+++ b/plumarch/core/traffic.py
@@ -1,7 +1,4 @@
-"""Routes, services, workspaces and endpoints of the gateway.
-
-Times are in milliseconds, sizes in bytes, prices as fractions of a firm VM's.
-"""
+"""The gateway's traffic: times in milliseconds, sizes in bytes, prices relative to a firm VM's."""
 
 import dataclasses
 import enum
@@ -33,13 +30,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Services and limits for requests that match a host and path prefix.
+    """Services and limits for a host and path prefix.
 
     Attributes:
-      target_ms: target time to the answer, or to a stream's first event.
-      target_gap_ms: target for the longest gap between events of a stream.
+      target_ms: target time to the answer or first event.
+      target_gap_ms: target for the longest gap between events.
       priority: 0 is the most urgent.
-      max_attempts: maximum number of endpoints tried for one request.
+      max_attempts: maximum number of endpoints tried.
     """
 
     name: str
@@ -64,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineModel:
-    """Capacity of an engine of a service.
+    """Capacity of an engine.
 
     Attributes:
       slots: maximum concurrent requests.
@@ -80,7 +77,7 @@
 
     Attributes:
       prices: price per second of a firm endpoint, by data centre.
-      spot_price: price of a reclaimable endpoint as a fraction of a firm one's.
+      spot_price: fraction of a firm endpoint's price.
     """
 
     minimum: int
@@ -108,7 +105,7 @@
     Attributes:
       counts_tokens: whether the quota is in tokens rather than requests.
       plain_tokens: tokens charged for a request without a token count.
-      rate: quota in units per second; 0 for no limit.
+      rate: units per second; 0 for no limit.
       burst: units above the rate that may be spent at once.
     """
 
@@ -123,7 +120,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Size limits and timeouts for callers."""
+    """Callers' size limits and timeouts."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -135,16 +132,14 @@
 class Endpoint:
     """One incarnation of an endpoint, as last reported by the registry.
 
-    State about endpoints is keyed by id, so that it does not outlive the process.
-
     Attributes:
       id: identifier of the incarnation; addresses may be reused.
       address: IP:port.
       slots: maximum concurrent requests.
       leaves_in_ms: time left when it announced its shutdown, or None.
-      version: software version; several may serve at once during a roll-out.
-      born_ms: start of the process by its own time of day; 0 if not announced.
-      name: the endpoint's name across restarts; "" if equal to the id.
+      version: software version.
+      born_ms: start of the process by its time of day; 0 if not announced.
+      name: name across restarts; "" if equal to the id.
     """
 
     id: str
@@ -160,17 +155,16 @@
     name: str = ""
 
     def stable_name(self) -> str:
-        """Return the endpoint's name, which is stable across restarts."""
+        """Return the name across restarts."""
         return self.name or self.id
 
     def may_have_answered(self, sent_to: str, alive_ms: int) -> bool:
-        """Return whether an answer received for this name may come from this incarnation.
+        """Return whether an answer for this name may come from this incarnation.
 
-        The process may have restarted since the request's registry entry. An incarnation born
-        after the connection was established did not send the answer.
+        It does not if the process started after the connection was established.
 
         Args:
-          sent_to: identifier of the incarnation that the request was sent to.
+          sent_to: identifier of the incarnation that was sent the request.
           alive_ms: time of day at which the connection was established.
         """
         return self.id == sent_to or 0 < self.born_ms <= alive_ms
@@ -178,18 +172,15 @@
 
 DIGITS = "0123456789abcdefghijklmnopqrstuvwxyz"
 START_DIGITS = 5
-"""Digits of the start time in an identifier, kept short for gossip; they wrap after 17 hours."""
+"""Digits of the start time in an identifier; they wrap after 17 hours."""
 
 
 def incarnation(name: str, born_ms: int) -> str:
-    """Return the identifier of an endpoint's incarnation.
-
-    Identifiers are distinct but not ordered, since the time of day may step back; the revision of
-    the registry entry gives the order.
+    """Return the identifier of an incarnation; the registry entry's revision gives the order.
 
     Args:
       name: the endpoint's name.
-      born_ms: start of its process by time of day; if 0, the name alone is the identifier.
+      born_ms: start by time of day, which may step back; 0 for the name alone.
     """
     if not born_ms:
         return name
@@ -202,7 +193,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A segment of a prompt that several requests may share, in order."""
+    """A prompt segment that several requests may share."""
 
     id: str
     tokens: int
