--- a/plumarch/gateway/dispatch/announced_rates.py
+++ b/plumarch/gateway/dispatch/announced_rates.py
@@ -1,4 +1,4 @@
-"""Applies the request rates that endpoints announce, using `limits.rate_permits`."""
+"""Applies the request rates that endpoints announce."""
 
 from plumarch.core import request_rate, traffic
 from plumarch.gateway import fleet_state
@@ -6,10 +6,10 @@
 from plumarch.limits import rate_allocator
 
 PERMIT_WAIT_MS = 150.0
-"""Time that a request waits for permits: a round trip to another region by way of a coordinator."""
+"""Time that a request waits for permits."""
 
 MAX_WAITS = 3
-"""Permit waits per request: other requests may use the permits that arrive."""
+"""Permit waits per request: others may use the permits that arrive."""
 
 
 def observe(
@@ -21,11 +21,10 @@
 ) -> None:
     """Set the rate limit that an answer announces, or lift it if a run's answer announces none.
 
-    An invalid value changes nothing, and neither does a rejection without a rate.
+    An invalid value, or a rejection without a rate, changes nothing.
 
     Args:
-      sent_ms: when the request was sent.
-      has_run: whether the endpoint ran it.
+      has_run: whether the endpoint ran the request.
     """
     if signals.rate_limit:
         per_s = request_rate.per_second(signals.rate_limit)
@@ -79,11 +78,7 @@
 async def wait_for_answer(
     state: fleet_state.FleetState, endpoint: traffic.Endpoint, time_left_ms: float
 ) -> bool:
-    """Wait for the answer to a pending request for permits.
-
-    Returns:
-      Whether a request may be sent to the endpoint now.
-    """
+    """Wait for pending permits and return whether a request may be sent now."""
     if state.permits.is_request_pending(endpoint):
         await state.permit_answers.wait(endpoint.id, max(0.0, min(PERMIT_WAIT_MS, time_left_ms)))
     return state.permits.may_send(endpoint)
--- a/plumarch/gateway/dispatch/attempts.py
+++ b/plumarch/gateway/dispatch/attempts.py
@@ -16,10 +16,10 @@
 """Connect timeout within a region."""
 
 CONNECT_ROUND_TRIPS = 2.0
-"""Round trips added to the timeout in another region: one for the latency, one for its variance."""
+"""Round trips added to the timeout in another region."""
 
 LOCAL_TARGET_FRACTION = 0.5
-"""Fraction of the target within which an expected answer keeps a request in its region."""
+"""Fraction of the target within which a request stays in its region."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -29,12 +29,11 @@
     Attributes:
       tried: endpoints that it was sent to or that could not be connected to.
       sends: number of endpoints that bytes were sent to.
-      unresolved: sends after which the request may have run.
-      last_event_id: of the last event that the caller received, here or by its own header.
-      first_ms: time from the request's arrival to the first byte of the answer, or None.
-      events: number of events relayed to the caller.
+      unresolved: sends after which it may have run.
+      last_event_id: of the caller's last event, here or by its own header.
+      first_ms: time from arrival to the answer's first byte, or None.
+      events: number of events relayed.
       without_permit: the preferred endpoint, if only a permit for it is missing.
-      permit_waits: number of waits for permits.
     """
 
     tried: set[str] = dataclasses.field(default_factory=set)
@@ -50,10 +49,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """A connection to an endpoint on which a request was sent.
+    """A connection on which a request was sent.
 
     Attributes:
-      sent_request: the record of the send.
       first_ms: time from the send to the first event, or None before that.
       round_trip_ms: round trip added by another region.
     """
@@ -68,7 +66,7 @@
 
 
 class NotRun(errors.ExchangeError):
-    """An endpoint did not run the request: it rejected it, or received no byte of it.
+    """An endpoint rejected the request, or received no byte of it.
 
     Attributes:
       status: of its answer, or None if it received nothing.
@@ -82,7 +80,7 @@
 def choose(
     state: fleet_state.FleetState, admitted: admission.Admitted, progress: Progress
 ) -> endpoint_choice.Choice | None:
-    """Choose an endpoint with free capacity that was not tried yet, or None."""
+    """Choose an untried endpoint with free capacity, or None."""
     ready = [one for one in state.registry.ready(admitted.service) if one.id not in progress.tried]
     accepting = state.backoff.without(ready)
     repeated = bool(progress.tried)
@@ -121,9 +119,9 @@
     candidates: list[traffic.Endpoint],
     terms: locality_choice.Terms,
 ) -> endpoint_choice.Choice | None:
-    """Choose among endpoints with free capacity, without those that a permit is missing for."""
+    """Choose an endpoint, skipping those that a permit is missing for."""
     choice = _choose_preferred(state, admitted, candidates, terms)
-    # An announced rate is shared by all nodes, so this node's own sends don't show what is left.
+    # All nodes share an announced rate, so this node's own sends don't show what is left.
     if choice is None or announced_rates.may_send(state, choice.endpoint):
         return choice
     state.measures.permits.add(admitted.service, "missing")
@@ -136,7 +134,7 @@
 def _terms(
     state: fleet_state.FleetState, admitted: admission.Admitted, repeated: bool
 ) -> locality_choice.Terms:
-    """Return the time limits of a request, by its route's target and its deadline."""
+    """Return the time limits by the route's target and the deadline."""
     target_ms = admitted.route.target_ms
     return locality_choice.Terms(
         time_left_ms=admitted.ends_ms - state.clock.now(),
@@ -191,9 +189,9 @@
 def retry_delay_ms(state: fleet_state.FleetState, admitted: admission.Admitted) -> float:
     """Return the delay in ms after which a caller without an endpoint should try again.
 
-    It is the first of these that applies: until the first backoff ends if all endpoints back off,
-    until a permit is due if all announce a rate, until capacity is free, in the region if it has
-    endpoints; and until new endpoints have booted if none is ready or all are too distant.
+    The first that applies: until a backoff ends if all endpoints back off, until a permit is due if
+    all announce a rate, until capacity is free, in the region if it has endpoints; and until new
+    endpoints have booted if none is ready or all are too distant.
     """
     time_left_ms = admitted.ends_ms - state.clock.now()
     backoff_ms = backoff_left_ms(state, admitted)
@@ -220,7 +218,7 @@
 
 
 def backoff_left_ms(state: fleet_state.FleetState, admitted: admission.Admitted) -> int:
-    """Return the time in ms until the first endpoint's backoff ends; 0 if one has none."""
+    """Return ms until the first backoff ends; 0 if an endpoint has none."""
     return state.backoff.first_left_ms(state.registry.ready(admitted.service))
 
 
@@ -230,13 +228,13 @@
     progress: Progress,
     choice: endpoint_choice.Choice,
 ) -> Attempt:
-    """Send a request to an endpoint over a new connection.
+    """Send a request over a new connection.
 
     It counts as load before it connects, so that concurrent requests choose other endpoints.
 
     Raises:
       ConnectFailed: no byte was sent.
-      TimeoutError: the caller's deadline has passed, and no byte was sent.
+      TimeoutError: the deadline has passed, and no byte was sent.
     """
     check_time(state, admitted)
     state.chooser.begin(choice)
@@ -338,7 +336,7 @@
 def _check_accepts_requests(
     state: fleet_state.FleetState, endpoint: traffic.Endpoint, has_permit: bool
 ) -> None:
-    """Check that an endpoint still accepts requests once the connection is up.
+    """Check that a connected endpoint still accepts requests.
 
     Args:
       has_permit: whether a permit was used for this send.
@@ -364,7 +362,7 @@
 
 
 def connect_timeout_ms(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> float:
-    """Return the connect timeout in ms, which is longer to another region."""
+    """Return the connect timeout in ms, longer to another region."""
     beyond_ms = state.distances.beyond_region_ms(endpoint.data_centre)
     return CONNECT_TIMEOUT_MS + CONNECT_ROUND_TRIPS * beyond_ms
 
@@ -392,7 +390,7 @@
     request = admitted.request
     headers = admission.forwarded_headers(names, request.headers, admitted.workspace)
     time_left = admitted.ends_ms - state.clock.now()
-    # The round trip is deducted: an answer sent after that misses the deadline.
+    # The round trip is deducted: the answer must arrive by the deadline.
     time_left = max(1, int(time_left - state.distances.beyond_region_ms(endpoint.data_centre)))
     headers.append((names.deadline_ms, str(time_left).encode()))
     headers.append((names.instance, endpoint.stable_name().encode()))
@@ -438,7 +436,7 @@
 
 
 def _leave_reason(progress: Progress, choice: endpoint_choice.Choice) -> str:
-    """Return why a request is sent to another region, or "" if it isn't."""
+    """Return why a request leaves its region, or ""."""
     if choice.leave_reason is None:
         return ""
     return "repeat" if progress.tried - {choice.endpoint.id} else choice.leave_reason.value
@@ -485,13 +483,13 @@
 
 
 def answer_headers(head: h11.Response, names: dialect.Dialect) -> list[tuple[bytes, bytes]]:
-    """Return an endpoint's headers without those that are internal."""
+    """Return an endpoint's headers without internal ones."""
     dropped = dialect.not_for_callers(names)
     return [(bytes(name), bytes(value)) for name, value in head.headers if name not in dropped]
 
 
 def count_began(state: fleet_state.FleetState, admitted: admission.Admitted) -> None:
-    """Count the request as started in its workspace's usage."""
+    """Count the request in its workspace's usage."""
     if admitted.workspace is not None:
         state.usage.started(admitted.workspace.name, state.wall.now())
 
--- a/plumarch/gateway/dispatch/buffered_answers.py
+++ b/plumarch/gateway/dispatch/buffered_answers.py
@@ -1,4 +1,4 @@
-"""Reads complete answers into memory before they are relayed, within the node's memory budget."""
+"""Reads complete answers into the node's memory budget before they are relayed."""
 
 import asyncio
 
@@ -11,10 +11,10 @@
 from plumarch.limits import memory_account
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
-"""Limit of a buffered answer; a longer one fails as the endpoint's fault."""
+"""Limit of a buffered answer."""
 
 ROOM_WAIT_MS = 2_000.0
-"""Time that an answer waits for memory; an endpoint aborts one that is unread for some seconds."""
+"""Time that an answer waits for memory; endpoints abort unread answers after some seconds."""
 
 HEAD_RESERVATION_BYTES = 2_048
 """Reserved for the head that is sent with the body."""
@@ -23,7 +23,7 @@
 def new_reservation(
     attempt: attempts.Attempt, admitted: admission.Admitted
 ) -> memory_account.Reservation:
-    """Return an empty reservation for the bytes of an answer."""
+    """Return an empty reservation for an answer."""
     return memory_account.Reservation(
         attempt.exchange,
         admitted.workspace_name(),
@@ -40,8 +40,8 @@
 ) -> bytes:
     """Read an answer's body.
 
-    A stated length is reserved at once: answers that reserve in steps could deadlock.
-    An answer to HEAD states a length without having a body.
+    A stated length is reserved at once: reserving in steps could deadlock. An answer to HEAD states
+    a length without a body.
 
     Raises:
       ConnectionBroken: the connection ended early, or the answer exceeds MAX_ANSWER_BYTES.
@@ -73,7 +73,7 @@
     reservation: memory_account.Reservation,
     size: int,
 ) -> None:
-    """Reserve memory, waiting for other reservations to be released if needed.
+    """Reserve memory, waiting for releases if needed.
 
     Raises:
       NoMemory: no memory became free in time.
@@ -82,7 +82,7 @@
         return
     source.pause()
     try:
-        # Bytes that arrived already stay in memory while the answer waits.
+        # Bytes that arrived stay in memory while the answer waits.
         if not memory.resize(reservation, reservation.size + source.unparsed):
             raise errors.NoMemory(
                 f"no memory for {source.unparsed} bytes received from the endpoint"
--- a/plumarch/gateway/dispatch/endpoint_outcomes.py
+++ b/plumarch/gateway/dispatch/endpoint_outcomes.py
@@ -1,4 +1,4 @@
-"""Reports the outcome of requests to the endpoint statistics in `routing`, and logs changes."""
+"""Reports outcomes to the endpoint statistics in `routing`."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -18,21 +18,19 @@
 )
 
 PROMISED_NOT_RUN = frozenset({408, 421, 429, 503})
-"""Statuses of an answer that may promise that the request did not run."""
+"""Statuses that may promise that the request did not run."""
 
 OVERLOADED = frozenset({429, 503})
-"""Statuses by which an endpoint rejects a request for its load."""
+"""Statuses of a rejection for load."""
 
 MISDIRECTED = 421
-"""Status of a process that is not the endpoint named in a request, and did not run it."""
+"""Status of a process that is not the endpoint named, and did not run the request."""
 
 REJECTION_WEIGHT = 0.3
-"""Weight of a rejection as a failure if the endpoint seems to have free capacity: it may run
-requests of other nodes that were not reported yet."""
+"""Weight of a rejection as a failure if capacity seems free: reports of other nodes lag."""
 
 MIN_COMPARED = 2
-"""Endpoints of a region that are compared with each other only; fewer are compared with remote ones
-too."""
+"""Minimum endpoints of a region to compare without remote ones."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -40,7 +38,6 @@
     """A request that was sent to an endpoint.
 
     Attributes:
-      demand: the load that it adds.
       number: from `Latencies.sent`, or None if the expected latency is unknown.
     """
 
@@ -50,7 +47,7 @@
 
 
 def demand_of(admitted: admission.Admitted) -> endpoint_limits.Demand:
-    """Return the load that a request adds to an endpoint."""
+    """Return the load that a request adds."""
     return endpoint_limits.demand(
         admitted.prompt_tokens,
         admitted.max_output_tokens,
@@ -62,10 +59,10 @@
 def preferred(
     state: fleet_state.FleetState, endpoints: Sequence[traffic.Endpoint], repeated: bool
 ) -> list[traffic.Endpoint]:
-    """Return the preferred ones of the endpoints with free capacity.
+    """Return the preferred endpoints with free capacity.
 
     Args:
-      repeated: whether the request failed at another endpoint already.
+      repeated: whether the request failed elsewhere already.
     """
     quick = _without_slow(state, endpoints)
     return state.health.best(quick, state.chooser.running, repeated)
@@ -74,9 +71,9 @@
 def _without_slow(
     state: fleet_state.FleetState, endpoints: Sequence[traffic.Endpoint]
 ) -> list[traffic.Endpoint]:
-    """Return the endpoints without the slow outliers of their region.
+    """Return the endpoints without their region's slow outliers.
 
-    Remote endpoints are mostly idle, and would make all local ones look slow.
+    Remote endpoints are mostly idle, and would make local ones look slow.
     """
     latencies, running = state.health.latencies, state.chooser.running
     local, remote = locality_choice.local_and_remote(endpoints, state.distances)
@@ -90,7 +87,7 @@
     admitted: admission.Admitted,
     endpoints: Sequence[traffic.Endpoint],
 ) -> float:
-    """Return how long a request waits after a crash in its service, in ms; 0 without a crash."""
+    """Return how long a request waits after a crash in its service, in ms; 0 without one."""
     crash = state.limits.crashes.recent(admitted.service)
     if crash is None:
         return 0.0
@@ -108,7 +105,7 @@
     admitted: admission.Admitted,
     choice: endpoint_choice.Choice,
 ) -> SentRequest:
-    """Record a request that was sent to an endpoint."""
+    """Record a request that was sent."""
     demand = demand_of(admitted)
     endpoint = choice.endpoint
     state.limits.sent(endpoint, demand)
@@ -142,7 +139,7 @@
     sent_ms: int,
     head: h11.Response,
 ) -> None:
-    """Apply the signals in the head of an answer to its endpoint.
+    """Apply the signals of an answer to its endpoint.
 
     Args:
       sent_ms: when the request was sent; the answering process was running by then.
@@ -157,7 +154,7 @@
     alive_ms = state.wall.now() - now + sent_ms
     backoff_ms = 0
     if signals.backoff_ms and head.status_code in OVERLOADED:
-        # An endpoint that rejects requests looks idle, and would be chosen first again.
+        # A rejecting endpoint looks idle, and would be chosen first again.
         backoff_ms = state.backoff.note_retry_after(endpoint, alive_ms, signals.backoff_ms)
         state.measures.backoffs.add(endpoint.service)
     listed = state.registry.endpoints.get(endpoint.id)
@@ -178,7 +175,7 @@
     if head.status_code == MISDIRECTED:
         # Another process has the address: its drain signal isn't the endpoint's.
         return
-    # The store may be unreachable while a draining endpoint says so in its answers.
+    # The store may be unreachable while an endpoint drains.
     if signals.draining and state.registry.note_draining(endpoint, alive_ms):
         state.measures.leaving_announced.add(endpoint.service)
 
@@ -205,14 +202,14 @@
         return
     running = max(0, state.chooser.running(one.endpoint.id) - 1)
     if running < one.endpoint.slots:
-        # It rejects below its capacity and looks idle, so that it would be preferred otherwise.
+        # It rejects below its capacity, looks idle and would be preferred.
         state.health.failure(one.endpoint.id, REJECTION_WEIGHT)
     state.limits.rejected(one.endpoint, running, one.demand.is_engine)
     _log_limit(state, one.endpoint)
 
 
 def lost(state: fleet_state.FleetState, one: SentRequest) -> None:
-    """Record a connection that ended while its request ran."""
+    """Record a connection that ended during its run."""
     running = state.chooser.running(one.endpoint.id)
     elsewhere = _elsewhere(state, one.endpoint)
     endpoint = _current(state, one.endpoint)
@@ -220,24 +217,23 @@
 
 
 def connect_failed(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> None:
-    """Record a failed connection to an endpoint."""
+    """Record a failed connection."""
     elsewhere = _elsewhere(state, endpoint)
     endpoint = _current(state, endpoint)
     _note_crash(state, endpoint, state.limits.connect_failed(endpoint, elsewhere))
 
 
 def ended(state: fleet_state.FleetState, one: SentRequest) -> None:
-    """Record that a request has ended at an endpoint."""
+    """Record the end of a request at an endpoint."""
     state.limits.ended(one.endpoint, one.demand)
     if one.number is not None:
         state.health.latencies.ended(one.endpoint.id, one.number)
 
 
 def _current(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> traffic.Endpoint:
-    """Return an endpoint with its current state, which may have changed since the choice.
+    """Return an endpoint's current state.
 
-    One that is no longer listed counts as draining, unless its entry lapsed or its name is listed
-    again.
+    An unlisted one counts as draining, unless its entry lapsed or its name is listed again.
     """
     listed = state.registry.endpoints.get(endpoint.id)
     if listed is not None:
--- a/plumarch/gateway/dispatch/endpoint_signals.py
+++ b/plumarch/gateway/dispatch/endpoint_signals.py
@@ -1,7 +1,4 @@
-"""Reads the response headers in which an endpoint reports its own state.
-
-Invalid values are ignored.
-"""
+"""Reads the headers in which an endpoint reports its own state, ignoring invalid values."""
 
 import dataclasses
 
@@ -14,7 +11,7 @@
 """Values of the drain header that mean no."""
 
 MAX_LOGGED_CHARACTERS = 40
-"""Characters of a header's value that are logged; a valid one is shorter."""
+"""Limit of the logged characters of a header's value."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -22,10 +19,9 @@
     """State that an endpoint reports in an answer.
 
     Attributes:
-      draining: whether it shuts down soon.
-      backoff_ms: the backoff that it requests from this node; 0 if none.
-      retry_after: the value of its Retry-After header, "" if absent.
-      rate_limit: the value of its request rate header, "" if absent.
+      backoff_ms: the backoff requested from this node; 0 if none.
+      retry_after: its Retry-After header, "" if absent.
+      rate_limit: its request rate header, "" if absent.
     """
 
     draining: bool = False
@@ -41,11 +37,11 @@
 
 
 NONE = Signals()
-"""Signals of an answer without any of the headers."""
+"""Signals of an answer without these headers."""
 
 
 def of(head: h11.Response, names: dialect.Dialect) -> Signals:
-    """Return the signals in the head of an answer."""
+    """Return the signals in an answer's head."""
     draining = dialect.header_value(head.headers, names.leaving) not in NOT_DRAINING
     seconds = dialect.header_value(head.headers, retry_after.HEADER.encode())
     rate_limit = dialect.header_value(head.headers, names.rate_limit)
--- a/plumarch/gateway/dispatch/event_stream.py
+++ b/plumarch/gateway/dispatch/event_stream.py
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One complete event: its bytes with the blank line, and its id or ""."""
+    """A complete event: its bytes with the blank line, and its id or ""."""
 
     raw: bytes
     id: str
@@ -23,11 +23,7 @@
     buffered: bytes = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Add bytes.
-
-        Returns:
-          The events that are complete now, in order.
-        """
+        """Add bytes and return the events that are complete now."""
         self.buffered += data
         events: list[Event] = []
         while True:
@@ -55,7 +51,6 @@
 
     Args:
       previous: the id relayed last, or "" at the start.
-      current: the id of the next event.
     """
     if not previous.isdigit() or not current.isdigit():
         return True
--- a/plumarch/gateway/dispatch/interrupted_runs.py
+++ b/plumarch/gateway/dispatch/interrupted_runs.py
@@ -1,7 +1,7 @@
-"""Finds out by a probe connection whether an endpoint crashed when a connection to it ended.
+"""Probes whether an endpoint crashed when a connection to it ended.
 
-Its runs count as crashed with it if it refuses the probe, or if its entry shows a restart soon
-after: a supervisor that keeps the port open accepts connections while the endpoint is down.
+It crashed if it refuses the probe, or if its entry shows a restart soon after, since a supervisor
+may keep the port open.
 """
 
 import asyncio
@@ -16,18 +16,18 @@
 from plumarch.limits import quarantine
 
 CRASH_RETENTION_MS = 1_000
-"""Time after a crash in which an endpoint is not probed; no process restarts sooner."""
+"""Time after a crash in which an endpoint is not probed again."""
 
 RESTART_RETENTION_MS = 10_000
-"""Time in which a restart explains an interrupted run; the store lists it some seconds late."""
+"""Time in which a restart explains an interrupted run; the store lists it late."""
 
 MAX_UNCONFIRMED = 64
-"""Limit of the interrupted runs kept per endpoint that may have restarted; the latest stay."""
+"""Limit of the interrupted runs kept per endpoint; the latest stay."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InterruptedRun:
-    """A run whose connection ended before its answer was complete.
+    """A run whose connection ended early.
 
     Attributes:
       points: quarantine points for the request if its endpoint crashed.
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Probe:
-    """A pending probe of an endpoint, and the runs that were interrupted there."""
+    """A pending probe of an endpoint, and its interrupted runs."""
 
     task: asyncio.Task[None]
     runs: list[InterruptedRun]
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnconfirmedRuns:
-    """Runs interrupted at an endpoint that accepted a connection at `at_ms`."""
+    """Interrupted runs of an endpoint that accepted a connection at `at_ms`."""
 
     endpoint: traffic.Endpoint
     runs: list[InterruptedRun]
@@ -63,7 +63,7 @@
     Attributes:
       doubts: runs at endpoints that answered the probe, by endpoint identifier.
       questions: pending probes, by endpoint identifier.
-      crashed_ms: when recent crashes were found, by endpoint identifier.
+      crashed_ms: when crashes were found, by endpoint identifier.
     """
 
     def __init__(self, state: fleet_state.FleetState) -> None:
@@ -74,7 +74,7 @@
         state.endpoint_restarted = self.apply_restart
 
     def record(self, admitted: admission.Admitted, attempt: attempts.Attempt) -> None:
-        """Record a run whose endpoint closed the connection, and probe the endpoint."""
+        """Record an interrupted run and probe its endpoint."""
         endpoint = attempt.choice.endpoint
         now = self.state.clock.now()
         run = InterruptedRun(
@@ -93,7 +93,7 @@
         return now - self.crashed_ms.get(endpoint, -CRASH_RETENTION_MS) < CRASH_RETENTION_MS
 
     async def wait_for_probe(self, endpoint: str) -> None:
-        """Wait for the pending probe of an endpoint, if any."""
+        """Wait for an endpoint's pending probe, if any."""
         probe = self.probes.get(endpoint)
         if probe is not None:
             await asyncio.wait({probe.task})
@@ -131,7 +131,7 @@
         )
 
     def apply_restart(self, endpoint: str) -> None:
-        """Count the runs interrupted at an endpoint as crashed, since its process restarted."""
+        """Count an endpoint's interrupted runs as crashed, since its process restarted."""
         found = self.unconfirmed.pop(endpoint, None)
         if found is not None and self.state.clock.now() - found.at_ms < RESTART_RETENTION_MS:
             self._record_crashes(found.endpoint, found.runs)
@@ -141,7 +141,7 @@
         self.crashed_ms = {name: at for name, at in self.crashed_ms.items() if at >= oldest}
 
     def _record_crashes(self, endpoint: traffic.Endpoint, runs: list[InterruptedRun]) -> None:
-        """Record an endpoint's crash against the requests that it ran."""
+        """Record a crash against the requests that ran."""
         state = self.state
         state.log.write(
             "endpoint_ended",
@@ -158,7 +158,7 @@
 
 
 def _points(attempt: attempts.Attempt, now: int) -> int:
-    """Return the quarantine points of a run's request if its endpoint crashed."""
+    """Return the quarantine points if the run's endpoint crashed."""
     if attempt.first_ms is None:
         return quarantine.EARLY_POINTS
     running_ms = now - attempt.sent_ms - attempt.first_ms
--- a/plumarch/gateway/dispatch/request_run.py
+++ b/plumarch/gateway/dispatch/request_run.py
@@ -1,6 +1,6 @@
 """Makes attempts at a request until an endpoint answers or the request is given up.
 
-A request given up gets 503 with Retry-After if it certainly did not run, otherwise 502 or 504.
+The final answer is 503 with Retry-After if it certainly did not run, otherwise 502 or 504.
 """
 
 import asyncio
@@ -25,38 +25,38 @@
 from plumarch.routing import endpoint_choice, return_times
 
 CALLER_DISCONNECTED = 499
-"""Logged as the status if the caller disconnected before the answer was complete."""
+"""Logged as the status if the caller disconnected early."""
 
 ANSWER_TIMEOUT_TARGETS = 1.6
-"""Timeout of a repeatable request at one endpoint, in multiples of the route's target."""
+"""Timeout of a repeatable request at one endpoint, in multiples of the target."""
 
 MIN_STREAM_TIMEOUT_MS = 2_000.0
-"""Minimum timeout of a resumable stream for an endpoint's next event."""
+"""Minimum timeout for a resumable stream's next event."""
 
 MAX_EXPECTED_TARGETS = 1.3
 """A stream is rejected if its first event is expected later, in multiples of the target."""
 
 MIN_QUEUED_FRACTION = 0.3
-"""Fraction of the prompt tokens before the first event that belong to other requests; below it no
-stream is rejected, as its own length makes it late."""
+"""Minimum fraction of prompt tokens before the first event that belong to other requests; below it
+a stream is late by its own length and is not rejected."""
 
 RESUME_WAIT_MS = 5_000.0
-"""Time that an abandoned stream waits for free capacity once its caller reads again."""
+"""Time that an abandoned stream waits for free capacity."""
 
 RESUME_CHECK_MS = 100.0
-"""First interval between its tries; doubles, since each try writes a log line."""
+"""First interval between its tries; doubles to limit log lines."""
 
 TRIAL_RETRY_MS = 5_000.0
-"""Retry delay of a quarantined request whose trial was not granted to this node."""
+"""Retry delay of a quarantined request without a trial."""
 
 SERVER_ERRORS = 500
 SERVER_ERROR_WEIGHT = 0.3
-"""Weight of an endpoint's own 5xx as a failure of the endpoint."""
+"""Weight of an endpoint's 5xx as its failure."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """How a request ended, for logs and metrics."""
+    """How a request ended."""
 
     status: int
     reason: str
@@ -68,7 +68,7 @@
     refusal: admission.Refusal,
     id_header: bytes,
 ) -> None:
-    """Send a rejection or failure by the gateway itself."""
+    """Send the gateway's own rejection or failure."""
     headers = [(b"content-type", b"text/plain")]
     request_id = request.header(id_header)
     if request_id:
@@ -81,7 +81,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BufferedAnswer:
-    """An endpoint's answer with its complete body."""
+    """An endpoint's complete answer."""
 
     head: h11.Response
     body: bytes
@@ -122,7 +122,7 @@
             self._retain_failed(None)
 
     def _retain_failed(self, reservation: memory_account.Reservation | None) -> None:
-        """Keep the reservation of a failed answer, and release the previous one."""
+        """Keep a failed answer's reservation, and release the previous one."""
         if self.failed_reservation is not None:
             self.state.memory.resize(self.failed_reservation, 0)
         self.failed_reservation = reservation
@@ -158,7 +158,7 @@
                 return self._give_up(self.progress.last_fault, 502)
 
     async def _may_begin(self) -> bool:
-        """Return whether the request isn't quarantined, or this node may try it once more."""
+        """Return whether the request isn't quarantined, or is granted a trial."""
         state, fingerprint = self.state, self.admitted.fingerprint
         if state.quarantine.find_quarantined(fingerprint) is None:
             return True
@@ -171,7 +171,7 @@
         return False
 
     async def _received_permit(self) -> bool:
-        """Wait for a permit if only that is missing, and return whether it arrived."""
+        """Wait for a permit if only that is missing; return whether it arrived."""
         progress = self.progress
         endpoint = progress.without_permit
         if endpoint is None or progress.permit_waits >= announced_rates.MAX_WAITS:
@@ -181,7 +181,7 @@
         return await announced_rates.wait_for_answer(self.state, endpoint, time_left_ms)
 
     async def _wait_until_read(self) -> None:
-        """Wait until the caller of an abandoned stream has read everything."""
+        """Wait until an abandoned stream's caller has read everything."""
         await self.reply.drained()
         self.is_abandoned = False
         self.resumes_until_ms = self.state.clock.now() + RESUME_WAIT_MS
@@ -195,7 +195,7 @@
         return self.state.clock.now() < self.resumes_until_ms
 
     def _is_expected_late(self, choice: endpoint_choice.Choice) -> bool:
-        """Return whether load is expected to make a first send miss its target by far.
+        """Return whether load makes a first send miss its target by far.
 
         A prompt that is late by its own length is sent.
         """
@@ -214,11 +214,7 @@
         return True
 
     async def _attempt(self, choice: endpoint_choice.Choice) -> Outcome | None:
-        """Try one endpoint.
-
-        Returns:
-          The outcome, or None if this endpoint did not answer.
-        """
+        """Try one endpoint; None if it did not answer."""
         state, progress = self.state, self.progress
         try:
             attempt = await attempts.send(state, self.admitted, progress, choice)
@@ -273,7 +269,7 @@
         return None
 
     def _record_failure(self, attempt: attempts.Attempt) -> None:
-        """Record a failure of the endpoint, unless this process was suspended meanwhile."""
+        """Record the endpoint's failure, unless this process was suspended meanwhile."""
         state = self.state
         if attempts.was_suspended(state, attempt):
             return
@@ -281,7 +277,7 @@
         version_outcomes.note(state, self.admitted, attempt, failed=True)
 
     def _record_answer(self) -> None:
-        """Record that an endpoint answered the request without a crash."""
+        """Record an answer without a crash."""
         state, fingerprint = self.state, self.admitted.fingerprint
         was_quarantined = state.quarantine.find_quarantined(fingerprint) is not None
         if state.quarantine.record_answer(fingerprint):
@@ -290,7 +286,7 @@
                 state.publish_suspect(fingerprint)
 
     def _log_broken(self, attempt: attempts.Attempt, why: str) -> None:
-        """Log a broken run with the facts that tell a crash from an invalid answer."""
+        """Log a broken run with facts that distinguish a crash from an invalid answer."""
         state, endpoint = self.state, attempt.choice.endpoint
         state.log.write(
             "broken",
@@ -305,7 +301,7 @@
         )
 
     def _note_abandoned(self, attempt: attempts.Attempt) -> None:
-        """Record a run that was abandoned for a slow caller; it is no failure of the endpoint."""
+        """Record a run abandoned for a slow caller, not as the endpoint's failure."""
         self.is_abandoned = True
         self.progress.tried.discard(attempt.choice.endpoint.id)
         self.state.measures.streams.add("let_go")
@@ -318,11 +314,7 @@
         )
 
     async def _may_retry_elsewhere(self, last: str) -> bool:
-        """Return whether another endpoint may be tried, and spend the retry budget for it.
-
-        Args:
-          last: the endpoint that was tried last.
-        """
+        """Return whether another endpoint may be tried, and spend the retry budget for it."""
         route = self.admitted.route
         if self.progress.sends == 0:
             return True
@@ -337,7 +329,7 @@
     async def _is_quarantined(self, last: str) -> bool:
         """Return whether too many endpoints crashed under this request.
 
-        The probe of the last endpoint is awaited only if its crash would decide.
+        The last endpoint's probe is awaited only if it decides.
         """
         known, fingerprint = self.state.quarantine, self.admitted.fingerprint
         if known.points(fingerprint) + quarantine.EARLY_POINTS >= quarantine.QUARANTINE_POINTS:
@@ -364,7 +356,7 @@
         return await self._relay_buffered(attempt, head)
 
     def _answer_timeout_ms(self, attempt: attempts.Attempt) -> float:
-        """Return the timeout in ms for the endpoint, which is longer in another region."""
+        """Return the endpoint's timeout in ms, longer in another region."""
         route = self.admitted.route
         left = self.admitted.ends_ms - self.state.clock.now()
         if not route.repeatable() or self.progress.sends >= route.max_attempts:
@@ -375,7 +367,7 @@
         return min(left, wanted + attempt.round_trip_ms) if wanted > 0 else left
 
     async def _relay_buffered(self, attempt: attempts.Attempt, head: h11.Response) -> Outcome:
-        """Relay an answer once it is complete, so that no broken one is begun."""
+        """Relay an answer only once it is complete."""
         reservation = buffered_answers.new_reservation(attempt, self.admitted)
         try:
             method = self.admitted.request.method
@@ -391,7 +383,7 @@
                 raise errors.ConnectionBroken(
                     f"stream can't be resumed: endpoint answered {head.status_code}"
                 )
-            # The connection counts these bytes as unread from here on.
+            # The connection counts these bytes as unread now.
             self.state.memory.resize(reservation, 0)
             return self._send_buffered(BufferedAnswer(head, body))
         finally:
@@ -426,7 +418,7 @@
         return Outcome(503, reason)
 
     def fail(self, outcome: Outcome) -> Outcome:
-        """Send a failure of a request that may have run, or abort an answer that has begun."""
+        """Fail a request that may have run, or abort an answer that has begun."""
         if self.reply.started:
             self.reply.abort()
             return outcome
@@ -436,4 +428,4 @@
 
 
 class RetryElsewhere(errors.ExchangeError):
-    """The endpoint answered with a server error, and another one may succeed."""
+    """The endpoint answered with a server error; another may succeed."""
--- a/plumarch/gateway/dispatch/stream_relay.py
+++ b/plumarch/gateway/dispatch/stream_relay.py
@@ -1,7 +1,4 @@
-"""Relays event streams to callers that may read more slowly than the endpoint sends.
-
-If the caller's buffer is full, the run is abandoned and resumed later, or the endpoint is paused.
-"""
+"""Relays event streams; for a slow caller, the run is abandoned or the endpoint paused."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,14 +11,14 @@
 from plumarch.limits import memory_account
 
 PAUSE_LIMIT_MS = 5_000.0
-"""Longest pause for a slow caller; an endpoint aborts an unread answer after some seconds."""
+"""Longest pause; an endpoint aborts an unread answer after some seconds."""
 
 MAX_EVENT_BYTES = 1_048_576
-"""Limit of an event's size in bytes."""
+"""Limit of an event in bytes."""
 
 
 class RunAbandoned(errors.ExchangeError):
-    """The run was abandoned because the caller doesn't read; the stream may be resumed."""
+    """The caller doesn't read; the stream may be resumed."""
 
 
 class CallerTooSlow(errors.ExchangeError):
@@ -104,10 +101,7 @@
             raise errors.ConnectionBroken(f"event {event.id} came after {last}")
 
     def _may_abandon(self) -> bool:
-        """Return whether the stream may be resumed later, and spend the retry budget for it.
-
-        The budget bounds the sends that a slow caller causes.
-        """
+        """Return whether the stream may be resumed later, which spends the retry budget."""
         route = self.admitted.route
         if not route.repeatable() or not self.progress.last_event_id.isdigit():
             return False
@@ -116,13 +110,13 @@
         return self.state.budget.take(self.admitted.service)
 
     def _reserve(self, reservation: memory_account.Reservation, size: int) -> None:
-        """Reserve memory for bytes that wait for the caller or for the end of an event."""
+        """Reserve memory for bytes that wait for the caller or an event's end."""
         if not self.state.memory.resize(reservation, size):
             self.reply.disconnect("no_memory")
             raise CallerTooSlow(f"no memory for {size} bytes of a stream")
 
     async def _pause(self, attempt: attempts.Attempt) -> None:
-        """Pause reading from the endpoint until the caller has read everything."""
+        """Pause the endpoint until the caller has read everything."""
         attempt.exchange.pause()
         try:
             async with asyncio.timeout(PAUSE_LIMIT_MS / 1000.0):
@@ -160,10 +154,10 @@
     attempt: attempts.Attempt,
     began_before: bool,
 ) -> None:
-    """Record the first token of an attempt, once.
+    """Record an attempt's first token, once.
 
     Args:
-      began_before: whether an earlier attempt began the caller's answer.
+      began_before: whether an earlier attempt began the answer.
     """
     if attempt.saw_first_token:
         return
--- a/plumarch/gateway/dispatch/version_outcomes.py
+++ b/plumarch/gateway/dispatch/version_outcomes.py
@@ -9,9 +9,9 @@
 
 
 def is_on_trial(state: fleet_state.FleetState, endpoint: traffic.Endpoint) -> bool:
-    """Return whether an endpoint runs the new version of a roll-out in progress.
+    """Return whether an endpoint runs a roll-out's new version.
 
-    Its latency is kept out of the estimates for the others.
+    Its latency is kept out of the others' estimates.
     """
     split = state.splits.of(endpoint.service)
     if split is None or split.state is not rollouts.RolloutState.RUNNING:
@@ -25,7 +25,7 @@
     attempt: attempts.Attempt,
     failed: bool,
 ) -> None:
-    """Count an answer or a failure, unless this process was suspended meanwhile."""
+    """Count an outcome, unless this process was suspended meanwhile."""
     if attempts.was_suspended(state, attempt):
         return
     endpoint = attempt.choice.endpoint
