--- a/plumarch/node/adoption.py
+++ b/plumarch/node/adoption.py
@@ -1,4 +1,4 @@
-"""Moving requests to a new home, from a leaving or a lost node."""
+"""Moving requests from a leaving or lost node to a new home."""
 
 from plumarch.core import context, data, messages
 from plumarch.membership import members
@@ -7,12 +7,12 @@
 
 RESEND_MS = 300
 ADOPT_TIMEOUT_MS = 1_200
-"""Time without an answer after which another adopter is chosen."""
+"""Time after which another adopter is chosen."""
 
 RETRY_MS = 1_000
 
 STOP_GRACE_MS = 2_000
-"""At a planned stop, requests that need longer than this are handed over."""
+"""At a planned stop, requests that need longer are handed over."""
 
 
 class Adoption:
@@ -42,8 +42,6 @@
         self.leaves_at_ms = 0
         self.data_centre_leaves = False
 
-    # Handing requests over.
-
     def leave(self, left_ms: int, whole_data_centre: bool) -> None:
         """Start handing over this node's requests.
 
@@ -112,7 +110,7 @@
         self.ctx.send(run.adopter, message)
 
     def adopted(self, sender: str, m: messages.Adopted) -> None:
-        """Release a request to its new home and redirect its readers there."""
+        """Release a request to its new home."""
         run = self.table.active.get(m.request_id)
         if run is None or m.attempt <= run.home_attempt:
             return
@@ -130,10 +128,8 @@
                     watcher.watcher_id, watcher.position, run.request, sender, m.attempt
                 )
 
-    # Adopting requests.
-
     def adopt(self, sender: str, m: messages.Adopt) -> None:
-        """Become the home of a request offered by its current home."""
+        """Become the home of an offered request."""
         if self.membership.leaving:
             return
         request = m.request
@@ -171,7 +167,7 @@
             self.ctx.send(sender, messages.Adopted(request.id, m.attempt))
 
     def adopt_copies_of(self, node: str) -> None:
-        """Become the home of a lost node's requests, from the copies held here."""
+        """Become the home of a lost node's requests, from copies held here."""
         for copy in self.copies.of_home(node):
             request = copy.request
             if request.id in self.table.active or self.membership.leaving:
@@ -188,7 +184,7 @@
             self.home.request_rehome(run)
 
     def rehome_answered(self, m: messages.RehomeAnswer) -> None:
-        """Handle the slot owner's answer to a change of home."""
+        """Handle the answer to a change of home."""
         if self.home.late_records.is_pending(m.request_id):
             self.home.late_records.handle_answer(m)
             return
@@ -221,7 +217,7 @@
         copy = self.copies.held.get(run.request.id)
         in_progress = record.state is data.KeyState.GRANTED
         if in_progress and self.membership.state(record.home) is data.NodeState.GONE:
-            # That home is lost as well.
+            # That home is lost too.
             run.home_attempt = record.attempt + 1
             self.home.request_rehome(run)
             return
@@ -240,13 +236,13 @@
             self.follower.follow_record(watcher.watcher_id, watcher.position, record, run.request)
 
     def _answer_is_lost(self, record: data.KeyRecord) -> bool:
-        """Return whether a request completed but its answer was lost with its home."""
+        """Return whether a completed request's answer was lost with its home."""
         if record.state is not data.KeyState.DONE or record.reply is not None:
             return False
         return self.membership.state(record.home) is data.NodeState.GONE
 
     def handle_timeout(self, inquiry: inquiries.Inquiry) -> None:
-        """Run an accepted request although no slot owner answered."""
+        """Run an accepted request without an answer of a slot owner."""
         run = self.table.active.get(inquiry.subject)
         if run is not None and run.phase is runs.Phase.CLAIMING:
             self._start_unrecorded(run)
--- a/plumarch/node/dispatch.py
+++ b/plumarch/node/dispatch.py
@@ -1,4 +1,4 @@
-"""Queueing, dispatch to endpoints, and handling of their answers."""
+"""Queueing, dispatch to endpoints, and their answers."""
 
 import collections
 from collections.abc import Callable
@@ -10,29 +10,29 @@
 from plumarch.routing import placement
 
 QUEUE_WAIT_MS = {data.RequestClass.LOOKUP: 100, data.RequestClass.CHAT: 2_000}
-"""Maximum time in the queue by class; other classes have no limit."""
+"""Maximum time in the queue; other classes have no limit."""
 
 BACKOFF_MS = 20
 BACKOFF_LIMIT_MS = 2_000
 
 TOKEN_MS = 30
-"""Assumed time between tokens until the run's own is known."""
+"""Assumed time between tokens until a run's own is known."""
 
 MIN_FREE_FRACTION = 0.15
-"""Fraction of capacity kept free from workspaces that already use their share."""
+"""Fraction of capacity kept from workspaces that use their share."""
 
 LINGER_MS = 2_000
-"""How long the endpoint call of a run that moved to another home stays open."""
+"""How long the endpoint call of a moved run stays open."""
 
 LEAVE_MARGIN_MS = 1_000
-"""Minimum margin for letting a request finish at a leaving endpoint."""
+"""Minimum margin for a request to finish at a leaving endpoint."""
 
 EndCallback = Callable[[runs.Run, data.Outcome, str, data.Reply | None], None]
 RefuseCallback = Callable[[runs.Run, data.Reason], None]
 
 
 class Dispatch:
-    """Requests of this home that are queued for or running on an endpoint."""
+    """Requests queued for or running on an endpoint."""
 
     on_end: EndCallback
     on_refuse: RefuseCallback
@@ -55,7 +55,7 @@
         self.delayed: dict[str, runs.Run] = {}
         self.running: collections.Counter[tuple[str, str]] = collections.Counter()
         self.lingering: list[tuple[int, str, int]] = []
-        # Whether capacity may have become free since the queue was last processed.
+        # Whether capacity may have become free since the queue was processed.
         self.dirty = False
 
     def _allowed(self, workspace: str) -> frozenset[str]:
@@ -69,8 +69,6 @@
             return None
         return data.Reason.NO_ENDPOINT
 
-    # Queueing.
-
     def enqueue(self, run: runs.Run, bounded: bool = True) -> bool:
         """Queue a run for an endpoint.
 
@@ -83,7 +81,7 @@
         run.phase = runs.Phase.QUEUED
         run.queued_ms = self.ctx.now()
         if run.points >= quarantine.QUARANTINE_POINTS and not run.not_before_ms:
-            # It was quarantined at its previous home.
+            # Quarantined at its previous home.
             self._delay_quarantined(run)
             return True
         cost = float(request.prompt_tokens + request.max_tokens) or 1.0
@@ -109,7 +107,7 @@
         return True
 
     def pump(self) -> None:
-        """Dispatch queued requests for which an endpoint has capacity."""
+        """Dispatch queued requests to free capacity."""
         if not self.dirty:
             return
         self.dirty = False
@@ -143,7 +141,7 @@
     def _must_leave_capacity(self, run: runs.Run) -> bool:
         """Return whether the remaining capacity is reserved for other workspaces.
 
-        It keeps a workspace that floods the endpoints from delaying the others' requests.
+        A workspace that floods the endpoints must not delay the others' requests.
         """
         request = run.request
         total, used = self.placer.owned_capacity(request)
@@ -192,10 +190,8 @@
             )
         )
 
-    # Endpoint events.
-
     def _current(self, request_id: str, attempt: int) -> runs.Run | None:
-        """Return the run of an endpoint's event, or None if the event is stale."""
+        """Return the run of an endpoint's event, or None if stale."""
         run = self.table.active.get(request_id)
         if run is not None and run.phase is runs.Phase.RUNNING and run.attempt() == attempt:
             return run
@@ -204,7 +200,7 @@
         return None
 
     def tokens(self, event: events.EndpointTokens) -> None:
-        """Append new tokens of the attempt in progress; duplicates are ignored."""
+        """Append new tokens, ignoring duplicates."""
         run = self._current(event.request_id, event.attempt)
         if run is None:
             return
@@ -244,7 +240,7 @@
             run.superseded = 0
 
     def done(self, event: events.EndpointDone) -> None:
-        """Handle the completion of the attempt in progress."""
+        """Handle a completed attempt."""
         run = self._current(event.request_id, event.attempt)
         if run is None:
             return
@@ -264,13 +260,13 @@
         self.on_end(run, data.Outcome.DONE, "", reply)
 
     def failed(self, event: events.EndpointFailed) -> None:
-        """Handle the failure of the attempt in progress."""
+        """Handle a failed attempt."""
         run = self._current(event.request_id, event.attempt)
         if run is not None:
             self._failed(run, event)
 
     def rate_announced(self, event: events.EndpointRate) -> None:
-        """Apply the rate limit announced with the attempt's answer, or its absence."""
+        """Apply the rate limit of an answer, or its absence."""
         run = self._current(event.request_id, event.attempt)
         if run is None:
             return
@@ -314,7 +310,7 @@
     def _delay_quarantined(self, run: runs.Run) -> None:
         """Retry a suspect after the quarantine's pause, or end it if its timeout comes first.
 
-        Each try may crash another endpoint, with all requests that run there.
+        Each try may crash another endpoint and the requests there.
         """
         trials = (run.points - quarantine.QUARANTINE_POINTS) // quarantine.EARLY_POINTS
         pause_ms = quarantine.pause_ms(trials)
@@ -333,7 +329,7 @@
         self.delayed[run.request.id] = run
 
     def engine_of(self, run: runs.Run) -> str:
-        """Return the address of the engine that a run is on, or ""."""
+        """Return the address of a run's engine, or ""."""
         endpoint = self.placer.endpoints.get(run.endpoint)
         if endpoint is None or endpoint.kind is not data.EndpointKind.ENGINE:
             return ""
@@ -342,8 +338,8 @@
     def linger(self, run: runs.Run) -> None:
         """Release a run that continues at another home.
 
-        Its endpoint call stays open for LINGER_MS, since aborting it would drop the KV cache that
-        the next engine imports.
+        Its endpoint call stays open for LINGER_MS: an abort would drop the KV cache that the next
+        engine imports.
         """
         if run.phase is runs.Phase.RUNNING and run.endpoint:
             self._free(run)
@@ -365,10 +361,8 @@
             run.endpoint = ""
         self._end_superseded(run)
 
-    # Leaving endpoints.
-
     def endpoint_leaves(self, name: str, left_ms: int) -> None:
-        """Move runs off an endpoint under a reclaim notice, the costliest to recompute first."""
+        """Move runs off a leaving endpoint, the costliest to recompute first."""
         there = [run for run in self.table.active.values() if run.endpoint == name]
         there.sort(key=lambda run: (-recompute_cost(run), run.request.id))
         now = self.ctx.now()
@@ -382,7 +376,7 @@
             self._move(run)
 
     def _move(self, run: runs.Run) -> None:
-        """Continue a run at another endpoint; without capacity it stays until the next tick."""
+        """Continue a run at another endpoint, once one has capacity."""
         allowed = self._allowed(run.request.workspace)
         tried = frozenset({run.endpoint})
         target, considered = self.placer.choose(run.request, allowed, tried)
@@ -426,12 +420,12 @@
 
 
 def recompute_cost(run: runs.Run) -> int:
-    """Return the number of tokens to recompute if a run started over."""
+    """Return the tokens to recompute if a run started over."""
     return run.request.prompt_tokens + len(run.tokens)
 
 
 def remaining_ms(run: runs.Run, now: int) -> int:
-    """Estimate a run's remaining time from its time per token so far."""
+    """Estimate a run's remaining time from its time per token."""
     made = len(run.tokens)
     token_ms = TOKEN_MS
     if made > 1 and run.last_token_ms > run.started_ms:
--- a/plumarch/node/followers.py
+++ b/plumarch/node/followers.py
@@ -9,16 +9,16 @@
 from plumarch.recovery import inquiries, keys
 
 FOLLOW_LIMIT = 5_000
-"""Maximum followed callers; further ones are asked to retry."""
+"""Maximum followed callers; others must retry."""
 
 RESUBSCRIBE_MS = 1_000
-"""Time without a message from the home after which the subscription is sent again."""
+"""Time without a message before subscribing again."""
 
 LOST_HOME_MS = 10_000
-"""Time for which the holder of its copy may take over a lost home's request."""
+"""Time in which its copy's holder may take over a lost home's request."""
 
 GIVE_UP_MS = 45_000
-"""Time without a home after which the outcome is reported as unknown."""
+"""Time without a home before the outcome is reported as unknown."""
 
 RerunCallback = Callable[[data.Request, data.KeyRecord, str, int], None]
 
@@ -28,10 +28,10 @@
     """A caller and the request that it reads.
 
     Attributes:
-      request: the request as sent by the caller, if it sent one.
-      record: the key's last reported record; None during a lookup.
+      request: as sent by the caller, if it sent one.
+      record: the key's last record; None during a lookup.
       last_seen_ms: time of the home's last message or of the last check.
-      home_lost_ms: since when the request has had no home, or 0.
+      home_lost_ms: since when the request has no home, or 0.
     """
 
     watcher_id: str
@@ -46,7 +46,7 @@
 
 
 class Followers:
-    """Local callers with requests at other homes."""
+    """Local callers of requests at other homes."""
 
     on_rerun: RerunCallback
 
@@ -66,7 +66,7 @@
         self.follows: dict[str, Follow] = {}
 
     def attach(self, event: events.Attach) -> None:
-        """Look up a key's request and read it for a caller."""
+        """Look up and read a key's request."""
         follow = Follow(event.watcher_id, event.workspace, event.key, event.position)
         if self._add(follow):
             self._look_up(follow)
@@ -86,7 +86,7 @@
     def follow_home(
         self, watcher_id: str, position: int, request: data.Request, home: str, attempt: int
     ) -> None:
-        """Continue reading a request that moved to another home."""
+        """Continue reading a moved request."""
         record = data.KeyRecord(
             request.workspace,
             request.key,
@@ -184,7 +184,7 @@
             self.ctx.send(record.home, message)
 
     def chunk(self, sender: str, m: messages.Chunk) -> None:
-        """Forward tokens that the caller lacks; subscribe again after a gap."""
+        """Forward missing tokens; subscribe again after a gap."""
         follow = self._reading(sender, m.watcher_id, m.request_id)
         if follow is None or follow.record is None:
             return
@@ -210,7 +210,7 @@
         follow.position += len(tokens)
 
     def ended(self, sender: str, m: messages.Ended) -> None:
-        """Forward the final answer once the caller has all tokens."""
+        """Forward the final answer after all tokens."""
         follow = self._reading(sender, m.watcher_id, m.request_id)
         if follow is None or follow.record is None:
             return
@@ -220,7 +220,7 @@
         self._end(follow, m.outcome, m.reason, m.reply)
 
     def not_here(self, sender: str, m: messages.NotHere) -> None:
-        """Switch to the home named in the answer, or start waiting for a new one."""
+        """Switch to the home in the answer, or wait for a new one."""
         follow = self._reading(sender, m.watcher_id, m.request_id)
         if follow is None or follow.record is None:
             return
@@ -246,12 +246,12 @@
         self.readers.send_end(follow.watcher_id, request_id, outcome, reason, reply)
 
     def caller_gone(self, watcher_id: str) -> None:
-        """Stop reading for a caller that disconnected."""
+        """Stop reading for a disconnected caller."""
         self.follows.pop(watcher_id, None)
         self.owner_requests.forget(inquiries.Kind.LOOKUP, watcher_id)
 
     def tick(self) -> None:
-        """Renew subscriptions to unresponsive homes, and handle lost ones."""
+        """Renew subscriptions to unresponsive homes; handle lost ones."""
         now = self.ctx.now()
         for follow in list(self.follows.values()):
             if follow.record is not None and now - follow.last_seen_ms >= RESUBSCRIBE_MS:
--- a/plumarch/node/home.py
+++ b/plumarch/node/home.py
@@ -1,4 +1,4 @@
-"""Lifecycle of a request at its home, from the claim of its key to its end."""
+"""A request at its home, from its claim to its end."""
 
 import dataclasses
 
@@ -19,23 +19,23 @@
 SETTLE_TIMEOUT_MS = 30_000
 
 COPY_RESEND_MS = 300
-"""Time without an answer after which the copy is sent to another node."""
+"""Time after which a copy is sent to another node."""
 
 COPY_TRIES = 3
-"""Nodes tried for a copy before the request is accepted without one."""
+"""Nodes tried for a copy before accepting without one."""
 
 COPY_RETRY_MS = 2_000
-"""Interval of further tries to place a copy of such a request."""
+"""Interval of further tries for such a request."""
 
 ABANDON_MS = 10_000
-"""Time without a reader after which a keyed stream is cancelled."""
+"""Time without readers after which a keyed stream is cancelled."""
 
 UNCOPIED = "no node in another data centre could be reached to hold a copy"
 UNRECORDED = "the owner of the key's slot could not be reached"
 
 
 class Home:
-    """The requests whose home is this node."""
+    """Requests whose home is this node."""
 
     def __init__(
         self,
@@ -63,10 +63,8 @@
         dispatcher.on_refuse = self.refuse
         follower.on_rerun = self.rerun
 
-    # Arrival.
-
     def start(self, event: events.Arrived) -> None:
-        """Start handling a caller's request."""
+        """Start a caller's request."""
         request = event.request
         run = runs.Run(request, self.ctx.now())
         run.watchers[event.watcher_id] = runs.Watcher(event.watcher_id, "", event.position)
@@ -118,7 +116,7 @@
         return keys.issue(slot, epoch, unique), epoch
 
     def _reason_against(self, run: runs.Run) -> data.Reason | None:
-        """Return why a new request is refused immediately, or None."""
+        """Return why a request is refused immediately, or None."""
         if self.table.full():
             return data.Reason.RUN_TABLE_FULL
         return self.dispatcher.reason_against(run)
@@ -129,8 +127,6 @@
         self._count_refusal(run)
         self.readers.end(run)
 
-    # Claims.
-
     def _claim(self, run: runs.Run, refuse: bool) -> None:
         request = run.request
         kind = inquiries.Kind.REFUSE if refuse else inquiries.Kind.CLAIM
@@ -151,7 +147,7 @@
         self.owner_requests.submit(kind, request.id, message, min(timeout_ms, request.timeout_ms))
 
     def claim_answered(self, m: messages.ClaimAnswer) -> None:
-        """Handle the slot owner's answer to a claim."""
+        """Handle the answer to a claim."""
         kind = inquiries.Kind.REFUSE if m.refuse else inquiries.Kind.CLAIM
         inquiry = self.owner_requests.resolve(kind, m.request_id, m.verdict)
         run = self.table.get(m.request_id)
@@ -175,7 +171,7 @@
             self._not_granted(run, data.Reason.NO_PERMISSION)
 
     def _late_grant(self, run: runs.Run | None, m: messages.ClaimAnswer) -> None:
-        """Settle a key whose grant arrived after the request was given up without running."""
+        """Settle a key granted after the request was given up."""
         if run is None or m.refuse or m.verdict is not messages.Verdict.GRANTED:
             return
         if run.phase is runs.Phase.ENDED and not run.handed_over and not run.recorded:
@@ -192,14 +188,14 @@
             self._accept(run)
 
     def _join_existing(self, run: runs.Run, record: data.KeyRecord) -> None:
-        """Attach the callers to the request that already has the key."""
+        """Attach the callers to the request that has the key."""
         self.ctx.note(run.request, "join", record.home, f"the key is known: {record.state}")
         self.table.remove(run.request.id)
         for watcher in run.watchers.values():
             self.follower.follow_record(watcher.watcher_id, watcher.position, record, run.request)
 
     def _not_granted(self, run: runs.Run, reason: data.Reason) -> None:
-        """Continue without a grant if the request is repeatable, else end it."""
+        """Continue a repeatable request without a grant; end any other."""
         if run.request.repeatable:
             run.weakened = UNRECORDED
             self.ctx.count("weakened", run.request.workspace, "unrecorded")
@@ -214,8 +210,6 @@
             outcome = data.Outcome.NOT_RUN if run.own_key else data.Outcome.UNKNOWN
             self.end(run, outcome, reason)
 
-    # Copies in other data centres.
-
     def _request_copy(self, run: runs.Run) -> None:
         now = self.ctx.now()
         run.copy_requested_ms = now
@@ -232,7 +226,7 @@
         self.ctx.send(run.copy_holder, messages.CopyPut(run.request, run.home_attempt))
 
     def _renew_copy(self, run: runs.Run) -> None:
-        """Announce the new home to the copy's holder, or choose another holder."""
+        """Announce the new home to the copy's holder, or choose another."""
         holder = run.copy_holder
         fit = holder in self.membership.live(other_than_data_centre=self.ctx.data_centre)
         if holder and fit:
@@ -251,7 +245,7 @@
         self._accept(run)
 
     def copy_answered(self, sender: str, m: messages.CopyAck) -> None:
-        """Handle the answer to a request to hold a copy."""
+        """Handle the answer to a copy."""
         run = self.table.active.get(m.request_id)
         if run is None:
             if m.held:
@@ -280,12 +274,10 @@
         if not self.dispatcher.enqueue(run):
             self.refuse(run, data.Reason.QUEUE_FULL)
 
-    # Refusals.
-
     def refuse(self, run: runs.Run, reason: data.Reason) -> None:
-        """Refuse a request; "not run" is reported only once it is certain and recorded."""
+        """Refuse a request; "not run" is reported only once certain and recorded."""
         run.refusal = reason
-        # It must not be dispatched while its refusal is being recorded.
+        # It must not be dispatched meanwhile.
         self.dispatcher.forget(run)
         if run.handed_over:
             self.end(run, data.Outcome.UNKNOWN, reason)
@@ -314,8 +306,6 @@
         else:
             self.end(run, data.Outcome.UNKNOWN, reason)
 
-    # Completion.
-
     def end(
         self,
         run: runs.Run,
@@ -323,7 +313,7 @@
         reason: str = "",
         reply: data.Reply | None = None,
     ) -> None:
-        """End a run: answer its readers, settle its key and release its copy."""
+        """Answer a run's readers, settle its key and release its copy."""
         if run.phase is runs.Phase.ENDED:
             return
         self.dispatcher.forget(run)
@@ -372,7 +362,7 @@
         self.owner_requests.submit(inquiries.Kind.SETTLE, request.id, message, timeout_ms)
 
     def settle_answered(self, m: messages.SettleAnswer) -> None:
-        """Handle the slot owner's answer to a Settle."""
+        """Handle the answer to a Settle."""
         inquiry = self.owner_requests.resolve(inquiries.Kind.SETTLE, m.request_id, m.verdict)
         run = self.table.get(m.request_id)
         if inquiry is None or run is None or run.phase is not runs.Phase.REFUSING:
@@ -391,14 +381,8 @@
         elif run.phase is runs.Phase.REFUSING:
             self.end(run, data.Outcome.UNKNOWN, run.refusal or data.Reason.NO_OWNER)
 
-    # Cancellation and other callers.
-
     def cancel(self, request_id: str) -> bool:
-        """Cancel a request at its home.
-
-        Returns:
-          Whether it was in progress here.
-        """
+        """Cancel a request and return whether it was in progress here."""
         run = self.table.active.get(request_id)
         if run is None:
             return False
@@ -425,7 +409,7 @@
     def rerun(
         self, request: data.Request, record: data.KeyRecord, watcher_id: str, position: int
     ) -> None:
-        """Become the home of a repeatable request whose home is gone."""
+        """Become the home of a repeatable request that lost its home."""
         run = runs.Run(
             dataclasses.replace(request, id=record.request_id),
             self.ctx.now(),
@@ -445,12 +429,12 @@
             self.dispatcher.enqueue(run, bounded=False)
 
     def request_rehome(self, run: runs.Run) -> None:
-        """Request that the slot's owner make this node the home of a run."""
+        """Request to become the home of a run."""
         message = late_records.rehome_message(run)
         self.owner_requests.submit(inquiries.Kind.REHOME, run.request.id, message)
 
     def rehomed(self, run: runs.Run) -> None:
-        """Start a run that this node became the home of."""
+        """Start a run rehomed to this node."""
         run.recorded = True
         run.acceptance_sent = True
         if run.waits():
--- a/plumarch/node/late_records.py
+++ b/plumarch/node/late_records.py
@@ -1,7 +1,6 @@
 """Key records of requests that were accepted while the slot's owner was unreachable.
 
-Callers find a request's home through the record of its key, so the home keeps requesting the
-record until it is written or the request ends.
+Callers find the home through the record, so it is requested until written or the request ends.
 """
 
 from plumarch.core import context, messages
@@ -9,15 +8,15 @@
 from plumarch.recovery import inquiries, keys
 
 RECORD_TIMEOUT_MS = 30_000
-"""Timeout of one request for a record, after which it is sent again; longer than a takeover."""
+"""Timeout of a request for a record; longer than a takeover."""
 
 RETRY_PAUSE_MS = 2_000
-"""Pause after an owner failed to replicate the record; equal to ledger.OPERATION_TIMEOUT_MS, for
-which the owner leaves the key pending."""
+"""Pause after an owner failed to replicate the record, for which it leaves the key pending; equal
+to ledger.OPERATION_TIMEOUT_MS."""
 
 
 def rehome_message(run: runs.Run) -> messages.Rehome:
-    """Build the message that makes this node the home in a run's record."""
+    """Build the message that records this node as home."""
     request = run.request
     return messages.Rehome(
         keys.slot_of(request.workspace, request.key),
@@ -31,7 +30,7 @@
 
 
 class LateRecords:
-    """Pending requests for records of accepted requests."""
+    """Pending requests for records."""
 
     def __init__(
         self, ctx: context.Context, owner_requests: inquiries.Inquiries, table: runs.RunTable
@@ -41,7 +40,7 @@
         self.table = table
 
     def request_record(self, run: runs.Run, delay_ms: int = 0) -> None:
-        """Request a record that names this node as home, now or from a later owner."""
+        """Request a record that names this node as home."""
         message = rehome_message(run)
         self.owner_requests.submit(
             inquiries.Kind.RECORD, run.request.id, message, RECORD_TIMEOUT_MS, delay_ms
@@ -56,7 +55,7 @@
         return (inquiries.Kind.RECORD, request_id) in self.owner_requests.open
 
     def handle_answer(self, m: messages.RehomeAnswer) -> None:
-        """Handle the slot owner's answer."""
+        """Handle the answer."""
         inquiry = self.owner_requests.resolve(inquiries.Kind.RECORD, m.request_id, m.verdict)
         run = self.table.active.get(m.request_id)
         if inquiry is None or run is None:
@@ -72,14 +71,14 @@
             self.request_record(run, RETRY_PAUSE_MS)
 
     def handle_timeout(self, run: runs.Run) -> None:
-        """Request the record again, since the run is still in progress."""
+        """Request the record again."""
         self.ctx.note(run.request, "record", "", "no owner of the key's slot has answered yet")
         self.request_record(run)
 
 
 def must_settle(run: runs.Run) -> bool:
-    """Return whether to report a run's end to the slot's owner although it has no record.
+    """Return whether to settle a run without a record.
 
-    Only a run that was accepted may have run here.
+    Only an accepted run may have run here.
     """
     return run.waits() and run.acceptance_sent
--- a/plumarch/node/node.py
+++ b/plumarch/node/node.py
@@ -1,4 +1,4 @@
-"""Decision logic of an entry node, without I/O: events in, actions out.
+"""Decision logic of an entry node, without I/O.
 
 docs/SEAMS.md shows how to drive a node.
 """
@@ -16,26 +16,26 @@
 from plumarch.routing import placement
 
 TICK_MS = 50
-"""Interval at which the shell must deliver a Tick."""
+"""Interval of the shell's Ticks."""
 
 CONFIG_REQUEST_INTERVAL_MS = 1_000
 LEAVING_RETENTION_MS = 60_000
 
 WATCHERS = 2
-"""Nodes per data centre that watch the platform; the others get its state from peers."""
+"""Nodes per data centre that watch the platform for the others."""
 
 NOTICE_SLACK_MS = 2_000
-"""Minimum reduction of the time left for a repeated notice to count as a change."""
+"""Minimum reduction of the time left for a repeated notice to count."""
 
 
 class Node:
     """One entry node.
 
     Args:
-      identity: "name#incarnation"; the incarnation must be higher after each restart.
+      identity: "name#incarnation"; the incarnation must increase with each restart.
       rng: the only source of randomness.
-      peers: configured names of the other entry nodes.
-      address: its address for peers, announced in heartbeats.
+      peers: configured names of the other nodes.
+      address: its address for peers.
     """
 
     def __init__(
@@ -96,13 +96,13 @@
         self.next_config_request_ms = 0
 
     def handle(self, event: events.Event) -> list[events.Action]:
-        """Process one event and return the actions to perform, in order."""
+        """Process an event and return the actions, in order."""
         self._dispatch_event(event)
         self.dispatch.pump()
         return self._collect_actions()
 
     def _collect_actions(self) -> list[events.Action]:
-        """Drain the outbox, handling messages to this node itself directly."""
+        """Drain the outbox, handling messages to this node directly."""
         actions: list[events.Action] = []
         while self.ctx.outbox:
             batch = self.ctx.outbox
@@ -161,8 +161,6 @@
                 self.adoption.leave(adoption.STOP_GRACE_MS, whole_data_centre=False)
                 self._send_heartbeat()
 
-    # Messages.
-
     def _message(self, sender: str, m: messages.AnyMessage) -> None:
         match m:
             case messages.Heartbeat():
@@ -254,8 +252,6 @@
                 self.ctx.send(record.home, messages.Cancel(record.request_id))
                 return
 
-    # Reclaim.
-
     def _leaving_by_list(self, listed: tuple[data.Endpoint, ...]) -> None:
         for endpoint in listed:
             if endpoint.state is data.EndpointState.LEAVING:
@@ -267,11 +263,7 @@
             self._send_heartbeat()
 
     def _notice(self, name: str, left_ms: int) -> bool:
-        """Apply a reclaim notice from any source.
-
-        Returns:
-          Whether it is new or leaves less time than a previous one.
-        """
+        """Apply a reclaim notice; return whether it is new or leaves less time."""
         now = self.ctx.now()
         at = now + left_ms
         known = self.notices.get(name)
@@ -287,7 +279,7 @@
         return True
 
     def _whole_data_centre_leaves(self) -> bool:
-        """Return whether every other node of this data centre is under notice."""
+        """Return whether the data centre's other nodes are under notice."""
         return all(
             context.name_of(member.node) in self.notices
             for member in self.membership.members.values()
@@ -299,8 +291,6 @@
         for node in self.membership.mark_gone(nodes):
             self.adoption.adopt_copies_of(node)
 
-    # Time.
-
     def _tick(self) -> None:
         now = self.ctx.now()
         for node in self.membership.tick():
@@ -324,7 +314,7 @@
             self._adopt_late_copies()
 
     def _update_fleet(self) -> None:
-        """Order and release VMs, if the cloud's offers are known."""
+        """Order and release VMs, once the cloud's offers are known."""
         if not self.decider.offers:
             return
         deciding = self.orders.decides() and self.ctx.now() >= self.orders.next_round_ms
@@ -332,7 +322,7 @@
         self.orders.tick(changes, frozenset(self.placement.endpoints))
 
     def _assign_endpoints(self) -> None:
-        """Reassign endpoints to nodes if either changed."""
+        """Reassign endpoints if they or the nodes changed."""
         live = self.membership.live()
         staying = [n for n in self.placement.endpoints if n not in self.placement.leaving]
         state = (tuple(live), tuple(staying))
@@ -342,7 +332,7 @@
         self.placement.assign_owners({name: self.membership.data_centre(name) for name in live})
 
     def _adopt_late_copies(self) -> None:
-        """Adopt requests whose copies arrived after their home was lost."""
+        """Adopt requests whose copies arrived late."""
         homes = {copy.home for copy in self.copies.held.values()}
         for home_node in sorted(homes):
             if self.membership.state(home_node) is data.NodeState.GONE:
@@ -374,10 +364,8 @@
         for name in self.peers:
             self.ctx.send(name, heartbeat)
 
-    # Queries by the shell.
-
     def is_watcher(self) -> bool:
-        """Return whether this node watches the platform for its data centre."""
+        """Return whether this node watches the platform."""
         here = [
             name
             for name in self.membership.live()
@@ -387,13 +375,13 @@
 
     def drained(self) -> bool:
         """Return whether a stopping node may exit."""
-        # Without other live nodes there is no successor for its slots.
+        # Without live nodes its slots have no successor.
         slots_released = self.ledger.has_no_slots() or not self.membership.live()
         return self.adoption.drained() and slots_released
 
 
 def encode(message: messages.AnyMessage) -> bytes:
-    """Encode a message for the wire."""
+    """Encode for the wire."""
     return msgspec.msgpack.encode(message)
 
 
@@ -401,7 +389,7 @@
 
 
 def decode(frame: bytes) -> messages.AnyMessage:
-    """Decode a message from the wire.
+    """Decode from the wire.
 
     Raises:
       msgspec.ValidationError: unknown type of message, or a field of the wrong type.
--- a/plumarch/node/runs.py
+++ b/plumarch/node/runs.py
@@ -7,19 +7,19 @@
 from plumarch.recovery import keys
 
 RUNS_LIMIT = 5_000
-"""Maximum active requests; further ones are refused as not run."""
+"""Maximum active requests; others are refused as not run."""
 
 ENDED_LIMIT = 5_000
 ENDED_BYTES_LIMIT = 16 * 1024 * 1024
 ENDED_RETENTION_MS = 120_000
-"""Retention of ended requests, for callers that reattach."""
+"""Retention for callers that reattach."""
 
 TRIES_PER_HOME = 1_000
-"""Range of attempt numbers reserved for each home of a request."""
+"""Range of attempt numbers of each home."""
 
 
 class Phase(enum.StrEnum):
-    """Phase of a request at its home."""
+    """Phase of a request."""
 
     CLAIMING = "claiming"
     COPYING = "copying"
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Watcher:
-    """A reader of a request's answer; node is "" for a caller of this node."""
+    """A reader of an answer; node is "" for a local caller."""
 
     watcher_id: str
     node: str
@@ -43,14 +43,14 @@
     """A request at its home.
 
     Attributes:
-      home_attempt: number of this home among all that the request has had.
-      own_key: whether this node issued the key and has not sent it to anyone yet.
-      handed_over: whether a byte may have reached an endpoint, here or at an earlier home.
-      handed_over_before: value of handed_over before the attempt in progress.
+      home_attempt: sequence number of this home.
+      own_key: whether this node issued the key and sent it to no one yet.
+      handed_over: whether a byte may have reached an endpoint, from this or an earlier home.
+      handed_over_before: its value before the attempt in progress.
       points: suspicion of crashing endpoints, as in limits.quarantine.
       superseded: attempt that continues at a leaving endpoint until the next one answers.
-      import_from: engine of the previous home that can export the KV cache, or "".
-      weakened: the guarantee that does not hold for the request, or "".
+      import_from: previous home's engine that can export the KV cache, or "".
+      weakened: the guarantee that does not hold, or "".
     """
 
     request: data.Request
@@ -91,20 +91,20 @@
     ended_ms: int = 0
 
     def attempt(self) -> int:
-        """Return the number of the current endpoint call, unique across homes."""
+        """Return the endpoint call's number, unique across homes."""
         return self.home_attempt * TRIES_PER_HOME + self.tries
 
     def waits(self) -> bool:
-        """Return whether the request's class may wait for long and is copied."""
+        """Return whether the class may wait for long and is copied."""
         return self.request.request_class in data.WAITING_CLASSES
 
     def left_ms(self, now: int) -> int:
-        """Return the time left until the caller's timeout."""
+        """Return the time until the caller's timeout."""
         return self.accepted_ms + self.request.timeout_ms - now
 
 
 class RunTable:
-    """Active and recently ended runs, by request id."""
+    """Active and ended runs, by request id."""
 
     def __init__(self, ctx: context.Context) -> None:
         self.ctx = ctx
@@ -125,7 +125,7 @@
         self.active[run.request.id] = run
 
     def remove(self, request_id: str) -> None:
-        """Remove an active run that moved to another home or joined another request."""
+        """Remove a run that moved or joined another request."""
         self.active.pop(request_id, None)
 
     def end(self, run: Run) -> None:
--- a/plumarch/node/watchers.py
+++ b/plumarch/node/watchers.py
@@ -1,10 +1,10 @@
-"""Delivery of acceptance, tokens and answers to callers at this and other nodes."""
+"""Delivery of answers to callers at this and other nodes."""
 
 from plumarch.core import context, data, events, messages
 from plumarch.node import runs
 
 REFUSAL_RETRY_MS = 1_000
-"""Suggested retry delay for refused callers, before jitter."""
+"""Suggested retry delay, before jitter."""
 
 CHUNK_TOKENS = 2_000
 """Maximum tokens per message to another node."""
@@ -17,7 +17,7 @@
         self.ctx = ctx
 
     def add(self, run: runs.Run, watcher: runs.Watcher) -> None:
-        """Attach a reader and send what it lacks so far."""
+        """Attach a reader and send the answer so far."""
         run.watchers[watcher.watcher_id] = watcher
         run.abandoned_ms = 0
         if not watcher.node and run.acceptance_sent:
@@ -27,7 +27,7 @@
             self._end_to(run, watcher)
 
     def accepted(self, run: runs.Run) -> None:
-        """Notify local callers that the request is accepted, with its key."""
+        """Notify local callers of acceptance, with the key."""
         run.acceptance_sent = True
         for watcher in run.watchers.values():
             if not watcher.node:
@@ -38,7 +38,7 @@
         self.ctx.act(events.TellAccepted(watcher.watcher_id, request.id, request.key, run.weakened))
 
     def push(self, run: runs.Run) -> None:
-        """Send every reader the tokens that it lacks."""
+        """Send every reader its missing tokens."""
         for watcher in run.watchers.values():
             self._push_to(run, watcher)
 
@@ -87,7 +87,7 @@
         reason: str,
         reply: data.Reply | None = None,
     ) -> None:
-        """Send a local caller its final answer, with a retry delay if it failed."""
+        """Send a local caller its final answer, with a retry delay after a failure."""
         retry_after = 0
         if outcome is not data.Outcome.DONE:
             retry_after = REFUSAL_RETRY_MS + self.ctx.rng.randrange(REFUSAL_RETRY_MS)
