--- a/plumarch/recovery/copies.py
+++ b/plumarch/recovery/copies.py
@@ -1,7 +1,6 @@
 """Copies of accepted requests held for homes in other data centres.
 
-A copy is the request without its tokens. If the home is lost, the holder becomes the home, with
-the consent of the slot's owner.
+They have no tokens. The holder replaces a lost home with the slot owner's consent.
 """
 
 import dataclasses
@@ -9,18 +8,18 @@
 from plumarch.core import context, data, messages
 
 COPY_LIMIT = 2_000
-"""Maximum number of copies; the home of a declined one tries another node."""
+"""Maximum copies; others go to another node."""
 
 COPY_BYTES_LIMIT = 16 * 1024 * 1024
-"""Maximum total size of the request bodies held."""
+"""Maximum total size of the request bodies."""
 
 RETENTION_MS = 3_600_000
-"""Age at which a copy is dropped although its home did not release it."""
+"""Age at which an unreleased copy is dropped."""
 
 
 @dataclasses.dataclass(slots=True)
 class Copy:
-    """A copy of a request and the home it is held for."""
+    """A copy and the home it is held for."""
 
     request: data.Request
     home: str
@@ -29,7 +28,7 @@
 
 
 class Copies:
-    """The copies that this node holds."""
+    """The copies held here."""
 
     def __init__(self, ctx: context.Context) -> None:
         self.ctx = ctx
@@ -61,11 +60,11 @@
             self.bytes -= len(copy.request.body)
 
     def of_home(self, node: str) -> list[Copy]:
-        """Return the copies held for a home, oldest first."""
+        """Return a home's copies, oldest first."""
         return [copy for copy in self.held.values() if copy.home == node]
 
     def expire(self) -> None:
-        """Drop copies older than RETENTION_MS."""
+        """Drop expired copies."""
         now = self.ctx.now()
         old = [c.request.id for c in self.held.values() if now - c.since_ms > RETENTION_MS]
         for request_id in old:
--- a/plumarch/recovery/inquiries.py
+++ b/plumarch/recovery/inquiries.py
@@ -1,6 +1,6 @@
-"""Requests to slot owners, resent until they are answered or time out.
+"""Requests to slot owners, resent until answered or timed out.
 
-A request may reach several owners or one of them twice; owners handle it idempotently.
+A request may arrive several times; owners handle it idempotently.
 """
 
 import dataclasses
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Inquiry:
-    """A pending request to a slot owner."""
+    """A pending request."""
 
     kind: Kind
     subject: str
@@ -41,7 +41,7 @@
 
 
 class Inquiries:
-    """This node's pending requests, by kind and subject."""
+    """Pending requests, by kind and subject."""
 
     def __init__(self, ctx: context.Context, slots_known: ledger.Ledger) -> None:
         self.ctx = ctx
@@ -56,10 +56,10 @@
         timeout_ms: int = GIVE_UP_MS,
         delay_ms: int = 0,
     ) -> None:
-        """Send a message to the owner of its slot and track it until answered.
+        """Send a message to its slot's owner and track it until answered.
 
         Args:
-          subject: id of the caller's request or lookup that it is for.
+          subject: id of the caller's request or lookup.
           timeout_ms: time until it is given up.
           delay_ms: delay before it is first sent.
         """
@@ -83,8 +83,8 @@
         """Match an answer to its pending request.
 
         Returns:
-          The completed inquiry, or None if the answer is late or the slot has moved, after which
-          the message is sent again.
+          The completed inquiry, or None if the answer is late or the slot has moved: then the
+          message is sent again.
         """
         inquiry = self.open.get((kind, subject))
         if inquiry is None:
@@ -100,11 +100,7 @@
         self.open.pop((kind, subject), None)
 
     def tick(self) -> list[Inquiry]:
-        """Resend unanswered requests.
-
-        Returns:
-          Those that have just timed out.
-        """
+        """Resend unanswered requests, and return those that just timed out."""
         now = self.ctx.now()
         given_up = []
         for inquiry in list(self.open.values()):
--- a/plumarch/recovery/keys.py
+++ b/plumarch/recovery/keys.py
@@ -1,20 +1,20 @@
-"""Mapping of keys to slots, and the table of a slot's records."""
+"""Mapping of keys to slots, and a slot's records."""
 
 import dataclasses
 
 from plumarch.core import data, hashing
 
 SLOTS = 32
-"""Number of slots per region; fixed, since a key must always map to the same slot."""
+"""Slots per region; fixed, since a key must always map to the same slot."""
 
 RETENTION_MS = 600_000
-"""How long a record is kept after its last change, and so how long callers may retry."""
+"""How long a record is kept after its last change, and callers may retry."""
 
 TABLE_LIMIT = 20_000
-"""Maximum records per slot; claims beyond it are refused as not run."""
+"""Maximum records per slot; other claims are refused as not run."""
 
 REPLY_LIMIT = 65_536
-"""Maximum bytes of a reply kept with its record; longer ones are not kept."""
+"""Maximum bytes of a recorded reply; longer ones are dropped."""
 
 ISSUED = "pk"
 
@@ -28,13 +28,13 @@
 
 
 def issue(slot: int, epoch: int, unique: str) -> str:
-    """Build a URL-safe key whose epoch proves that it is not older than that epoch."""
+    """Build a URL-safe key that is not older than its epoch."""
     plain = "".join(c if c.isalnum() else "-" for c in unique)
     return f"{ISSUED}.{slot}.{epoch}.{plain}"
 
 
 def issued_parts(key: str) -> tuple[int, int] | None:
-    """Return slot and epoch of an issued key, or None if the caller chose the key."""
+    """Return slot and epoch of an issued key, or None for a caller's own."""
     parts = key.split(".", 3)
     if len(parts) != 4 or parts[0] != ISSUED:
         return None
@@ -45,13 +45,13 @@
 
 
 def issued_epoch(key: str) -> int:
-    """Return the epoch in which a key was issued, or 0 if the caller chose it."""
+    """Return a key's epoch, or 0 for a caller's own key."""
     parts = issued_parts(key)
     return parts[1] if parts else 0
 
 
 class Table:
-    """The records of one slot, ordered by their last change."""
+    """One slot's records, ordered by their last change."""
 
     def __init__(self, records: list[data.KeyRecord] | None = None) -> None:
         self.records: dict[tuple[str, str], data.KeyRecord] = {}
@@ -59,30 +59,26 @@
             self.put(record, record.written_ms)
 
     def get(self, workspace: str, key: str) -> data.KeyRecord | None:
-        """Return the record of a key, or None."""
+        """Return a key's record, or None."""
         return self.records.get((workspace, key))
 
     def put(self, record: data.KeyRecord, now: int) -> data.KeyRecord:
-        """Store a record with the local time now, dropping an oversized reply.
-
-        Returns:
-          The record as stored.
-        """
+        """Store and return a record at the local time now, without an oversized reply."""
         reply = record.reply
         if reply is not None and reply_size(reply) > REPLY_LIMIT:
             reply = None
         kept = dataclasses.replace(record, written_ms=now, reply=reply)
-        # Removing the key first moves it to the end, which keeps the dict ordered by age.
+        # Removing the key first keeps the dict ordered by age.
         self.records.pop((record.workspace, record.key), None)
         self.records[(record.workspace, record.key)] = kept
         return kept
 
     def drop(self, workspace: str, key: str) -> None:
-        """Remove the record of a key."""
+        """Remove a key's record."""
         self.records.pop((workspace, key), None)
 
     def merge(self, records: list[data.KeyRecord], now: int) -> None:
-        """Merge records of another copy; the higher rank wins."""
+        """Merge another copy's records; the higher rank wins."""
         for record in records:
             mine = self.get(record.workspace, record.key)
             if mine is None or rank(record) > rank(mine):
@@ -93,7 +89,7 @@
         return len(self.records) >= TABLE_LIMIT
 
     def expire(self, now: int) -> int:
-        """Drop records older than RETENTION_MS and return how many."""
+        """Drop expired records and return how many."""
         old = []
         for name, record in self.records.items():
             if now - record.written_ms <= RETENTION_MS:
@@ -109,11 +105,11 @@
 
 
 def rank(record: data.KeyRecord) -> tuple[int, int]:
-    """Return the precedence of a record: settled before granted, then by attempt."""
+    """Return a record's precedence: settled before granted, then by attempt."""
     settled = 0 if record.state is data.KeyState.GRANTED else 1
     return (settled, record.attempt)
 
 
 def reply_size(reply: data.Reply) -> int:
-    """Return the approximate size of a reply in bytes."""
+    """Return a reply's approximate bytes."""
     return len(reply.body) + sum(len(token) for token in reply.tokens)
--- a/plumarch/recovery/ledger.py
+++ b/plumarch/recovery/ledger.py
@@ -1,8 +1,7 @@
 """The slot protocol, which grants at-most-once dispatch of a key without a consensus group.
 
-A slot's owner serialises its keys and replicates each grant to a successor in another data centre
-or to the slot's object on the platform. Timeouts only decide when a successor takes over; safety
-does not depend on clocks. See docs/design/once-only.md.
+A slot's owner replicates each grant to a successor in another data centre or to the platform.
+Safety does not depend on clocks. See docs/design/once-only.md.
 """
 
 import dataclasses
@@ -14,28 +13,28 @@
 from plumarch.recovery import keys, slot_writer, slots
 
 ACK_WAIT_MS = 250
-"""Time without the successor's acknowledgement after which a record is stored on the platform."""
+"""Unacknowledged records are stored on the platform after this time."""
 
 RESEND_MS = 200
 """Resend interval of unacknowledged messages."""
 
 OPERATION_TIMEOUT_MS = 2_000
-"""Time after which an operation that is not durable fails."""
+"""Time after which an undurable operation fails."""
 
 STORE_INTERVAL_MS = 100
-"""Minimum interval between batched writes of a slot's records."""
+"""Minimum interval between batched writes of records."""
 
 STORED_LIMIT = 500
-"""Maximum records in a slot's object, to keep it far below 1 MB."""
+"""Maximum records in a slot's object."""
 
 COPY_TIMEOUT_MS = 3_000
-"""Time after which a candidate that has not acknowledged the table is dropped."""
+"""Time after which a candidate without the table is dropped."""
 
 ORPHAN_CHECK_MS = 500
-"""Interval of the check for slots without an owner."""
+"""Interval of the check for ownerless slots."""
 
 JOIN_MS = 1_500
-"""Delay after start before a node takes over slots."""
+"""Delay after start before taking over slots."""
 
 OPERATIONS_LIMIT = 2_000
 """Maximum pending operations per slot."""
@@ -46,7 +45,7 @@
 
 
 class Ledger:
-    """Slots that this node owns or replicates, and the known owners of all others."""
+    """Slots that this node owns or replicates, and the owners of others."""
 
     def __init__(self, ctx: context.Context, membership: members.Membership) -> None:
         self.ctx = ctx
@@ -59,10 +58,8 @@
         self.next_resend_ms = 0
         self.next_orphan_check_ms = ctx.now() + JOIN_MS
 
-    # Requests handled as owner.
-
     def claim(self, sender: str, m: messages.Claim) -> None:
-        """Grant a request's dispatch, settle its key as refused, or answer with its record."""
+        """Grant a dispatch, settle its key as refused, or answer with its record."""
 
         def answer(
             verdict: messages.Verdict, record: data.KeyRecord | None = None
@@ -80,7 +77,7 @@
                 self.ctx.send(sender, answer(messages.Verdict.MOVED))
                 return
             if m.refuse and _is_granted_to(record, sender, m.request_id):
-                # Only the home could have run it, and the home reports that it did not.
+                # Only the home could have run it, and reports that it did not.
                 refused = dataclasses.replace(record, state=data.KeyState.REFUSED)
                 granted = answer(messages.Verdict.GRANTED)
                 self._commit(slot, refused, sender, granted, answer(messages.Verdict.CANNOT))
@@ -109,7 +106,7 @@
         self._commit(slot, record, sender, answer(verdict), answer(messages.Verdict.CANNOT))
 
     def settle(self, sender: str, m: messages.Settle) -> None:
-        """Record how a granted request ended."""
+        """Record how a request ended."""
 
         def answer(
             verdict: messages.Verdict, record: data.KeyRecord | None = None
@@ -122,8 +119,7 @@
             return
         known = slot.table.get(m.workspace, m.key)
         if known is None:
-            # Without a record the sender can only vouch that the request ran or may have run,
-            # not that no other node ran it.
+            # The sender can't know whether another node ran it.
             if m.state is data.KeyState.REFUSED:
                 self.ctx.send(sender, answer(messages.Verdict.UNCERTAIN))
                 return
@@ -184,7 +180,7 @@
         self._commit(slot, record, sender, granted, answer(messages.Verdict.CANNOT))
 
     def lookup(self, sender: str, m: messages.Lookup) -> None:
-        """Answer with the record of a key."""
+        """Answer with a key's record."""
         slot = self.owned.get(m.slot)
         record = slot.table.get(m.workspace, m.key) if slot else None
         if slot is None or (record is not None and self._is_pending(slot, record)):
@@ -201,8 +197,6 @@
     def _is_pending(self, slot: slots.OwnedSlot, record: data.KeyRecord) -> bool:
         return (record.workspace, record.key) in slot.pending
 
-    # Replication of records.
-
     def _commit(
         self,
         slot: slots.OwnedSlot,
@@ -231,7 +225,7 @@
     def _required(self, slot: slots.OwnedSlot) -> set[str]:
         """Return the nodes that must acknowledge a record; empty without a successor.
 
-        While a change of successor is unresolved, either node may take over, so both must.
+        Both must while a change of successor is unresolved, as either may take over.
         """
         if not slot.successor:
             return set()
@@ -253,7 +247,7 @@
         slot.pending.discard((operation.record.workspace, operation.record.key))
 
     def replicate(self, sender: str, m: messages.Replicate) -> None:
-        """Store a record for a slot's owner, unless this node lacks the matching table."""
+        """Store an owner's record, unless this node lacks the table."""
         held = self.held.get(m.slot)
         if held is None or held.epoch != m.epoch or held.owner != sender:
             self.ctx.send(sender, messages.NoTable(m.slot, m.epoch))
@@ -303,7 +297,7 @@
         self.ctx.send(sender, messages.TableCopied(m.slot, m.epoch, m.copy))
 
     def table_copied(self, sender: str, m: messages.TableCopied) -> None:
-        """Promote a candidate that holds the table to successor."""
+        """Promote a candidate with the table to successor."""
         slot = self.owned.get(m.slot)
         if slot is None or slot.epoch != m.epoch:
             return
@@ -311,8 +305,6 @@
             slot.copied = True
             self._switch_successor(slot)
 
-    # Changing the successor.
-
     def _choose_successor(self, slot: slots.OwnedSlot) -> str:
         elsewhere = self.membership.live(other_than_data_centre=self.ctx.data_centre)
         candidates = elsewhere or self.membership.live()
@@ -392,7 +384,7 @@
         self.writer.write(slot.number, purpose, wanted, slot.version)
 
     def _store_records(self, slot: slots.OwnedSlot) -> None:
-        """Store records that the successor did not acknowledge in the slot's object."""
+        """Store unacknowledged records in the slot's object."""
         now = self.ctx.now()
         if self.writer.busy(slot.number) or now - slot.last_store_ms < STORE_INTERVAL_MS:
             return
@@ -413,14 +405,12 @@
         records = {**slot.object_records, **chosen}
         self._write(slot, slots.Purpose.STORE, slot.successor, records)
 
-    # Takeover.
-
     def _check_held(self) -> None:
         for held in list(self.held.values()):
             if held.closed or held.sealed or self.writer.busy(held.number):
                 continue
             state = self.membership.state(held.owner)
-            # A leaving successor takes over from a lost owner in order to hand the slot on.
+            # A leaving successor takes over from a lost owner to hand the slot on.
             leaving = state is data.NodeState.LEAVING and not self.membership.leaving
             if leaving or state is data.NodeState.GONE:
                 self.writer.load(held.number)
@@ -471,8 +461,7 @@
     def _is_orphan(self, found: data.SlotObject) -> bool:
         """Return whether owner and successor are both confirmed gone.
 
-        Being unreachable is not enough: both may be serving the slot beyond a network partition,
-        and a takeover would make its keys uncertain.
+        If only unreachable, both may serve the slot, and a takeover would make its keys uncertain.
         """
         pair = (found.owner, found.successor)
         return all(self.membership.confirmed_gone(node) for node in pair if node)
@@ -480,8 +469,7 @@
     def _take_over_as_successor(
         self, held: slots.HeldSlot, version: int, found: data.SlotObject
     ) -> None:
-        # Sealed before the write, since records acknowledged after it might be missing from the
-        # table of the new epoch.
+        # Sealed before the write: records acknowledged later might be missing from the new table.
         held.sealed = True
         wanted = dataclasses.replace(
             found, epoch=found.epoch + 1, owner=self.ctx.node, successor=""
@@ -499,7 +487,7 @@
     def written(
         self, number: int, purpose: slots.Purpose, version: int, landed: data.SlotObject
     ) -> None:
-        """Apply a write that took effect."""
+        """Apply a successful write."""
         if purpose is slots.Purpose.TAKE_OVER:
             self._start_owning(number, version, landed)
             return
@@ -549,7 +537,7 @@
     def conflicted(
         self, number: int, purpose: slots.Purpose, version: int, found: data.SlotObject
     ) -> None:
-        """Handle a write that was preempted by another one."""
+        """Handle a preempted write."""
         if purpose is slots.Purpose.TAKE_OVER:
             held = self.held.get(number)
             if held is not None:
@@ -569,14 +557,14 @@
             slot.successor = found.successor
 
     def not_written(self, number: int, purpose: slots.Purpose) -> None:
-        """Unseal the slot after a takeover that did not reach the platform."""
+        """Unseal the slot after an unwritten takeover."""
         if purpose is slots.Purpose.TAKE_OVER:
             held = self.held.get(number)
             if held is not None:
                 held.sealed = False
 
     def _depose(self, number: int) -> None:
-        """Stop owning a slot, keeping its table closed."""
+        """Stop owning a slot and keep its table closed."""
         slot = self.owned.pop(number)
         for operation in slot.operations.values():
             assert isinstance(operation.failure, Failable)
@@ -588,12 +576,10 @@
         self.ctx.note(None, "slot", f"gave up slot {number}", "a higher epoch rules it")
 
     def _end_uncertainty(self, slot: slots.OwnedSlot) -> None:
-        """End the uncertainty once the retry period of older keys has passed."""
+        """End the uncertainty after the retry period of older keys."""
         if slot.uncertain_epoch and self.ctx.now() >= slot.certain_at_ms:
             slot.uncertain_epoch = 0
 
-    # Routes and time.
-
     def _learn_route(self, number: int, epoch: int, owner: str) -> None:
         known = self.routes.get(number)
         if known is None or epoch >= known.epoch:
@@ -611,7 +597,7 @@
             self._learn_route(number, epoch, sender)
 
     def owner_of(self, slot: int) -> slots.Route | None:
-        """Return the owner of a slot, or None if unknown."""
+        """Return a slot's owner, or None if unknown."""
         return self.routes.get(slot)
 
     def owned_list(self) -> list[tuple[int, int]]:
@@ -663,8 +649,8 @@
     def _undo(self, slot: slots.OwnedSlot, operation: slots.Operation) -> None:
         """Roll back a record that did not become durable.
 
-        That a request ran, or may have run, stays recorded. An unreplicated grant or refusal must
-        not be reported later, since it may be lost with this node.
+        That a request may have run stays recorded; an unreplicated grant or refusal may be lost
+        with this node and must not be reported.
         """
         record = operation.record
         if record.state in (data.KeyState.DONE, data.KeyState.UNKNOWN):
@@ -681,7 +667,7 @@
 
 
 def _verdict_on_known(record: data.KeyRecord, sender: str, m: messages.Claim) -> messages.Verdict:
-    """Return the verdict on a claim whose key has a record."""
+    """Return the verdict on a recorded key."""
     if record.request_id != m.request_id:
         known = record.fingerprint and m.fingerprint
         if known and record.fingerprint != m.fingerprint:
--- a/plumarch/recovery/slot_writer.py
+++ b/plumarch/recovery/slot_writer.py
@@ -1,7 +1,7 @@
 """Conditional writes to slot objects with a definite outcome.
 
-If the platform's answer is lost, the object is read back and its writer token compared. An
-unchanged object is written again at the same version, so that at most one try takes effect.
+After a lost answer, the object is read back and its writer token compared. An unchanged object is
+written again at the same version, so that at most one try takes effect.
 """
 
 import dataclasses
@@ -17,10 +17,10 @@
 
 
 class Listener(Protocol):
-    """Callbacks for the outcome of reads and writes of slot objects."""
+    """Callbacks for reads and writes of slot objects."""
 
     def loaded(self, number: int, version: int, found: data.SlotObject | None) -> None:
-        """Handle a successful read; found is None if the object does not exist."""
+        """Handle a read; found is None if the object does not exist."""
 
     def load_failed(self, number: int) -> None:
         """Handle a failed read."""
@@ -33,7 +33,7 @@
     def conflicted(
         self, number: int, purpose: slots.Purpose, version: int, found: data.SlotObject
     ) -> None:
-        """Handle a write that was preempted by another one."""
+        """Handle a preempted write."""
 
     def not_written(self, number: int, purpose: slots.Purpose) -> None:
         """Handle a write that did not reach the platform."""
@@ -50,11 +50,11 @@
         self.sequence = 0
 
     def busy(self, number: int) -> bool:
-        """Return whether a call for the slot is unresolved."""
+        """Return whether a slot's call is unresolved."""
         return number in self.writes
 
     def purpose(self, number: int) -> slots.Purpose | None:
-        """Return the purpose of the slot's call in progress, if any."""
+        """Return the purpose of the slot's call, if any."""
         write = self.writes.get(number)
         return write.purpose if write else None
 
@@ -67,7 +67,7 @@
     def write(
         self, number: int, purpose: slots.Purpose, wanted: data.SlotObject, expected_version: int
     ) -> None:
-        """Write a slot's object if its version is the expected one (0: absent)."""
+        """Write a slot's object at the expected version (0: absent)."""
         write = slots.Write(number, purpose, expected_version, 0, object=wanted)
         self.writes[number] = write
         self._put(write)
@@ -93,7 +93,7 @@
         self.ctx.act(events.PlatformPut(write.call_id, name, value, write.expected_version))
 
     def handle_answer(self, answer: events.PlatformAnswer) -> bool:
-        """Handle a platform answer and return whether the call was this writer's."""
+        """Handle an answer and return whether it was this writer's."""
         number = self.by_call.pop(answer.call_id, None)
         if number is None:
             return False
--- a/plumarch/recovery/slots.py
+++ b/plumarch/recovery/slots.py
@@ -1,4 +1,4 @@
-"""State that owners and successors keep per slot."""
+"""State of owners and successors per slot."""
 
 import dataclasses
 import enum
@@ -23,7 +23,7 @@
 
     Attributes:
       acks: nodes that hold the record.
-      previous: the record that it replaced, if any.
+      previous: the record replaced, if any.
     """
 
     number: int
@@ -42,13 +42,12 @@
     """A slot that this node owns.
 
     Attributes:
-      uncertain_epoch: as in data.SlotObject, as applied by this node.
-      persisted_uncertain_epoch: the value in the object, updated once the successor holds the
-        full table.
-      pending: keys of records that are not durable yet.
+      uncertain_epoch: as in data.SlotObject, as applied here.
+      persisted_uncertain_epoch: in the object, updated once the successor holds the full table.
+      pending: keys of records that are not durable.
       candidate: the node being made successor, or "".
-      copy_first_operation: first operation not included in the copied table.
-      object_records: permissions in the object that the successor may lack.
+      copy_first_operation: first operation after the copied table.
+      object_records: the object's permissions that the successor may lack.
     """
 
     number: int
@@ -76,9 +75,9 @@
     """A slot's table held as successor or candidate.
 
     Attributes:
-      copy: number of the table copy received; older ones are ignored.
+      copy: number of the received copy; older ones are ignored.
       sealed: a takeover is in progress, so records of the epoch are not acknowledged.
-      closed: a higher epoch exists, so records of this one are never acknowledged again.
+      closed: a higher epoch exists, so records are never acknowledged again.
     """
 
     number: int
@@ -96,8 +95,8 @@
 
     Attributes:
       object: the object to write; None for a read.
-      tokens: objects whose writes may have taken effect, by writer token.
-      retry_at_ms: time of the next try; -1 while a call is in progress.
+      tokens: objects that may have been written, by writer token.
+      retry_at_ms: time of the next try; -1 during a call.
     """
 
     number: int
@@ -113,7 +112,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """A slot's owner, as last reported."""
+    """A slot's owner, as reported."""
 
     epoch: int
     owner: str
@@ -121,5 +120,5 @@
 
 
 def object_name(slot: int) -> str:
-    """Return the name of a slot's object on the platform."""
+    """Return the name of a slot's object."""
     return f"slots/{slot:03d}"
