--- a/plumarch/gateway/duties/duty_holder.py
+++ b/plumarch/gateway/duties/duty_holder.py
@@ -1,4 +1,4 @@
-"""Acquires the duties under a lease and carries them out: usage, engine orders, roll-outs."""
+"""Acquires and carries out the duties: usage, engine orders, roll-outs."""
 
 import asyncio
 import dataclasses
@@ -16,40 +16,37 @@
 
 TICK_MS = 250
 SETTLE_MS = 1_500
-"""Time after the start in which other nodes can be discovered."""
+"""Time after the start for discovering other nodes."""
 
 TRY_PAUSE_MS = 800
 HOLDER_CONTACT_MS = 400
-"""How long an unknown holder has to send a heartbeat before it is replaced; otherwise nodes that
-start together would displace one another."""
+"""How long an unknown holder has to send a heartbeat before it is replaced, so that nodes that
+start together don't displace one another."""
 
 DISPLACED_PAUSE_MS = 8_000
-"""Pause of a node that resigned before it tries to acquire the duties again."""
+"""Pause of a resigned node before it tries again."""
 
 NO_CANDIDATE_MS = 3_000
-"""How long a node is no candidate after a failed call to the platform."""
+"""How long a node is no candidate after a failed platform call."""
 
 UNREACHABLE_MS = 1_500
-"""A holder whose calls to the platform fail for longer than this resigns."""
+"""A holder whose platform calls fail for longer resigns."""
 
 MAJORITY = 0.5
-"""A node that reaches more than this fraction of all nodes replaces an unreachable holder at once.
-With fewer, it may be partitioned from a holder that is alive: two regions would displace each other
-in turn, and each would count only its own usage and demand."""
+"""A node that reaches more than this fraction of nodes replaces an unreachable holder at once. With
+fewer, it may be partitioned from a live holder, and the two would displace each other."""
 
 HOLDER_GONE_MS = 2_500
-"""A node without a majority takes over once the record has been unchanged for this long: two
-renewals and a reading."""
+"""A node without a majority takes over a record that is unchanged for this long."""
 
 RENEW_MS = 1_000
-"""Interval at which a holder that does not reach nearly all nodes writes the record."""
+"""Renewal interval of a holder that does not reach nearly all nodes."""
 
 NEARLY_ALL = 0.9
-"""A holder that reaches this fraction but not all nodes renews the record a usage window later;
-the few nodes cut off from it wait that much longer."""
+"""A holder that reaches this fraction but not all nodes renews the record a usage window later."""
 
 RETRY = backoff.Backoff(first_ms=500.0, max_ms=1_000.0)
-"""Pauses after failures, by kind of work: platform calls cost money even when they fail."""
+"""Pauses after failures, by kind of work: failed platform calls cost money too."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -57,7 +54,7 @@
     """When usage windows are reported, in ms after their end.
 
     Attributes:
-      early_ms: if all nodes have reported since the window's end.
+      early_ms: if all nodes have reported since.
       late_ms: otherwise.
     """
 
@@ -68,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DutyTasks:
-    """The duties that a deployment uses; roll-outs are set by their exposure."""
+    """Duties of a deployment; roll-outs are set by their exposure."""
 
     usage: bool
     scaling: bool
@@ -79,7 +76,7 @@
 
 
 class Duties:
-    """Acquires and carries out the duties of one node."""
+    """One node's duties."""
 
     def __init__(
         self,
@@ -98,7 +95,7 @@
 
         Args:
           exposure: limit on the requests that a bad version may get.
-          notify_peers: sends the other nodes the changes at once.
+          notify_peers: sends the changes to other nodes at once.
         """
         self.state = state
         self.view = view
@@ -123,7 +120,7 @@
         self.engines = engine_orders.EngineOrders(state, view, cloud, self.rollouts, first_start)
 
     def lease(self) -> records.Lease:
-        """Return the lease that platform calls are made under."""
+        """Return the lease for platform calls."""
         return records.Lease(self.view.node, self.status.token)
 
     async def run(self) -> None:
@@ -157,7 +154,7 @@
             )
 
     async def step(self) -> None:
-        """Run all work that is due."""
+        """Run due work."""
         self.engines.update_plans()
         self.status.candidate = (
             self.state.clock.now() >= self.no_candidate_before_ms and self.view.has_full_view()
@@ -190,9 +187,9 @@
             await self._attempt("roll out", self._roll_out)
 
     def _may_act(self) -> bool:
-        """Return whether this node holds a lease that was confirmed since its last suspension.
+        """Return whether this node holds a lease confirmed since its last suspension.
 
-        While it was suspended, another node may have taken the duties over.
+        Another node may have taken the duties over meanwhile.
         """
         if not self.status.token:
             return False
@@ -201,7 +198,7 @@
     def _is_rejected_by_store(self) -> bool:
         """Return whether the store fails for this node only, for longer than UNREACHABLE_MS.
 
-        Answers of the cloud would hide this, and orders of roll-outs would be read late.
+        Answers of the cloud would hide this, and roll-out orders would be read late.
         """
         now = self.state.clock.now()
         if self.state.reaches_store:
@@ -210,25 +207,25 @@
         return others and now - self.store_answered_ms > UNREACHABLE_MS
 
     async def follow_rollouts(self) -> None:
-        """Watch the orders of roll-outs while this node holds the duties, forever."""
+        """Watch roll-out orders while this node holds the duties, forever."""
         await self.rollouts.follow(lambda: self.status.token > 0)
 
     def _shrink_rollouts(self) -> None:
-        """Put smaller shares in force, which is safe before they are recorded."""
+        """Put smaller shares in force, safe before they are recorded."""
         assert self.stored is not None
         for plan, before in self.rollouts.decide(self.stored.record):
             if before is not None and plan.share <= before.share:
                 self._put_in_force(plan)
 
     async def _roll_out(self) -> None:
-        """Record and put in force all changed roll-outs."""
+        """Record and put in force changed roll-outs."""
         assert self.stored is not None
         for plan, _ in self.rollouts.decide(self.stored.record):
             await self._record_rollout(plan)
             if not self._may_act():
                 return
             self._put_in_force(plan)
-        # Plans in force whose record could not be written earlier.
+        # Plans in force whose record is still unwritten.
         for plan in list(self.rollouts.plans.values()):
             await self._record_rollout(plan)
         await self.rollouts.report_states()
@@ -249,7 +246,7 @@
         )
 
     async def _order_engines(self) -> None:
-        """Order the engines that the plans need."""
+        """Order the planned engines."""
         sizes = self.stored.record.sizes if self.stored is not None else {}
         await self.engines.order_all(self.lease(), sizes, self.reach.answered, self._may_act)
 
@@ -300,7 +297,7 @@
         )
 
     def _may_holder_be_alive(self, found: duty_lease.StoredRecord) -> bool:
-        """Return whether the holder may be alive in another network partition."""
+        """Return whether the holder may be alive in another partition."""
         fraction = self.view.reachable_fraction()
         now = self.state.clock.now()
         unchanged_ms = self.watch.unchanged_ms(found, now, 2 * TRY_PAUSE_MS)
@@ -324,8 +321,8 @@
     def _is_small(self) -> bool:
         """Return whether the fleet is too small for the majority rule.
 
-        One lost node is a large fraction of it: renewals would be paid for all the time, and the
-        survivor of two nodes would wait for a crashed holder.
+        One lost node would cause constant paid renewals, and the survivor of two would wait for a
+        crashed holder.
         """
         return self.view.size() <= tiers.FLAT_FLEET and not self.state.distances.regions
 
@@ -354,7 +351,7 @@
             self.state.log.write("duty_not_renewed", error=str(error))
 
     def _wait_for_holder(self, record: duty_lease.DutyRecord) -> None:
-        """Wait for a heartbeat of a holder that this node does not know yet."""
+        """Wait for an unknown holder's heartbeat."""
         self.reach.answered()
         self.known_token = record.token
         self.not_before_ms = self.state.clock.now() + HOLDER_CONTACT_MS
@@ -365,8 +362,7 @@
     async def _write(self, wanted: duty_lease.StoredRecord) -> duty_lease.StoredRecord:
         """Write the record; after a lost answer or a conflict, read it back.
 
-        An earlier write of this node may have been applied late: then the record still names this
-        node and token, and is returned as it is.
+        If an earlier write was applied late, the record with this node and token is returned.
         """
         sent_ms = self.state.clock.now()
         try:
@@ -384,7 +380,7 @@
         return duty_lease.StoredRecord(wanted.record, written.revision)
 
     async def _report_usage(self) -> None:
-        """Report the oldest usage window that is due, if any."""
+        """Report the oldest due usage window."""
         assert self.stored is not None
         wall = self.state.wall.now()
         newest_due = (wall - self.schedule.early_ms) // self.schedule.window_ms - 1
@@ -407,7 +403,7 @@
         )
 
     def _all_reported_since(self, window: int, ago_ms: int) -> bool:
-        """Return whether every known node has reported its counts since a window's end."""
+        """Return whether every known node reported since a window's end."""
         if self.view.unreachable_centres():
             return False
         now = self.state.clock.now()
@@ -420,7 +416,7 @@
         return all(at is not None and now - at < ago_ms - margin_ms for at in last_seen_ms)
 
     async def _fixed_counts(self, window: int) -> dict[str, int]:
-        """Return a window's counts as recorded, so that a successor reports the same."""
+        """Return a window's recorded counts, so that a successor reports the same."""
         assert self.stored is not None
         if str(window) not in self.stored.record.windows:
             counts = self.state.usage.total(window)
--- a/plumarch/gateway/duties/engine_gauges.py
+++ b/plumarch/gateway/duties/engine_gauges.py
@@ -1,4 +1,4 @@
-"""Engines by region: gauges, and the fields of order log lines."""
+"""Gauges and log fields of engines by region."""
 
 import collections
 from typing import Any
@@ -11,7 +11,7 @@
 def show(
     state: fleet_state.FleetState, plan: engine_plan.EnginePlan, scaling: traffic.Scaling
 ) -> None:
-    """Set a service's gauges, on a node that knows the demand of the whole fleet."""
+    """Set a service's gauges on a node that knows the fleet's demand."""
     regions, measures = plan.regions, state.measures
     for region, share in regions.demand_shares(scaling.prices).items():
         measures.engine_demand.set(plan.demand * share, plan.service, region)
@@ -27,7 +27,7 @@
 
 
 def clear(state: fleet_state.FleetState) -> None:
-    """Remove all values, on a node that no longer knows the demand of the whole fleet."""
+    """Remove all values on a node that no longer knows the fleet's demand."""
     for gauge in (
         state.measures.engine_demand,
         state.measures.engines,
@@ -39,7 +39,7 @@
 def order_fields(
     plan: engine_plan.EnginePlan, scaling: traffic.Scaling, data_centre: str
 ) -> dict[str, Any]:
-    """Return the log fields of a data centre's region, or none where there is only one region."""
+    """Return a data centre's region as log fields, or none with only one region."""
     regions = plan.regions
     if not regions.are_several(scaling.prices):
         return {}
--- a/plumarch/gateway/duties/engine_orders.py
+++ b/plumarch/gateway/duties/engine_orders.py
@@ -1,4 +1,4 @@
-"""Engine orders of the duty holder; every node keeps plans, since it may become the holder."""
+"""Engine orders of the duty holder; all nodes keep plans, since any may become the holder."""
 
 import dataclasses
 from collections.abc import Callable, Mapping
@@ -13,19 +13,19 @@
 
 SAMPLE_MS = 1_000
 MIN_REACHABLE_FRACTION = 0.9
-"""Fraction of nodes that must be reachable before a drop of admitted units counts as a drop of
-demand: callers still reach a data centre that is cut off from this node."""
+"""Fraction of nodes that must be reachable for a drop of admitted units to count as less demand:
+callers still reach a data centre that is cut off from this node."""
 
 
 class EngineOrders:
-    """Engine plans of all services with scaling, and the demand that they follow.
+    """Engine plans of all services with scaling, and their demand.
 
     Attributes:
       plans: by service.
-      sampled_ms: when the demand was sampled last; 0 without a full view of the fleet.
-      sampled_charged: units charged by all nodes at that time.
-      sums: units admitted by the nodes of each region since.
-      regions: the demand by region; empty where there is only one region.
+      sampled_ms: time of the last sample; 0 without a full view of the fleet.
+      sampled_charged: units charged by all nodes then.
+      sums: units admitted by each region's nodes since.
+      regions: demand by region; empty with only one region.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self.regions = region_demand.RegionDemand()
 
     def update_plans(self) -> None:
-        """Update the plans of all services, also on nodes that do not hold the duties."""
+        """Update the plans, also on nodes without the duties."""
         table = self.state.table
         endpoints = self.state.registry.endpoints
         if table is None or not endpoints:
@@ -64,7 +64,7 @@
         self._sample_demand()
 
     def _sample_demand(self) -> None:
-        """Sample the demand of the last second, on a node with a full view of the fleet."""
+        """Sample the last second's demand, with a full view of the fleet."""
         now = self.state.clock.now()
         if not self.view.has_full_view():
             # Members know the levels of quotas, not the units charged.
@@ -99,11 +99,9 @@
             engine_gauges.show(self.state, plan, service.scaling)
 
     def _sample_regions(self, elapsed_ms: int) -> float:
-        """Sample the demand of the last second in each region.
+        """Sample the last second's demand by region, and return units a second over all.
 
-        Returns:
-          Units a second over all regions. A partially reachable region keeps its earlier demand,
-          since its callers still reach its nodes.
+        A partially reachable region keeps its earlier demand, since callers still reach its nodes.
         """
         rates = {
             region: units * 1000.0 / elapsed_ms for region, units in self.sums.admitted().items()
@@ -118,13 +116,13 @@
         return total
 
     def _regions_of(self, service: str, scaling: traffic.Scaling) -> region_demand.RegionView:
-        """Return the current view of the regions for a service."""
+        """Return a service's view of the regions."""
         distances = self.state.distances
         if not distances.regions:
             return region_demand.ONE_REGION
         region_of = {name: distances.region_of(name) for name in scaling.prices}
         latency_fraction = region_sums.network_latency_fraction(self.state, service, scaling.prices)
-        # A region that became partially reachable since the last sample must not shrink either.
+        # A region that became partially reachable since must not shrink either.
         partially_reachable = self.regions.partially_reachable | self.sums.partially_reachable(
             MIN_REACHABLE_FRACTION
         )
@@ -133,7 +131,7 @@
         )
 
     def _engines_busy(self, service: str, units_per_s: float) -> float:
-        """Return how many engines the fleet's current requests to a service need."""
+        """Return how many engines a service's current requests need."""
         state = self.state
         endpoints = [one for one in state.registry.endpoints.values() if one.service == service]
         slots = max((one.slots for one in endpoints), default=1)
@@ -146,15 +144,15 @@
         )
 
     def _speed_report(self, service: str) -> engine_speed.SpeedReport | None:
-        """Return the known speed of a service's engines, or None without enough samples."""
+        """Return a service's engine speed, or None without enough samples."""
         work = self.state.work.reading(service)
         return self.state.chooser.speed(service).planned(self.state.clock.now(), work)
 
     def _unread_per_s(self, service: str, units_per_s: float) -> float:
         """Return the unread prompt tokens a second that all nodes send to engines.
 
-        Nodes gossip the units charged to quotas; where some workspaces have no quota in tokens,
-        this assumes that every node sends as much as this one.
+        Gossip has only units charged to quotas; if some workspaces have no quota in tokens, every
+        node is assumed to send as much as this one.
         """
         work = self.state.work
         workspaces = self.state.table.workspaces.values() if self.state.table else ()
@@ -165,7 +163,7 @@
         return work.unread_per_s(service) * self.view.size()
 
     def sizes(self) -> dict[str, int]:
-        """Return how many endpoints each service needs, to be recorded for a successor."""
+        """Return the endpoints that each service needs, recorded for a successor."""
         return {plan.service: plan.size() for plan in self.plans.values() if plan.size()}
 
     async def order_all(
@@ -175,10 +173,10 @@
         answered: Callable[[], None],
         may_act: Callable[[], bool],
     ) -> None:
-        """Order the engines that the plans need.
+        """Order the planned engines.
 
         Args:
-          sizes: sizes recorded by the previous holder, by service.
+          sizes: recorded by the previous holder, by service.
           answered: called on each answer of the platform.
           may_act: returns whether this node still holds the lease, as far as it knows.
         Raises:
--- a/plumarch/gateway/duties/rollout_duty.py
+++ b/plumarch/gateway/duties/rollout_duty.py
@@ -1,7 +1,7 @@
 """Roll-outs, decided by the duty holder and applied by all nodes.
 
-A larger share is recorded before it is announced, so that a successor never begins with less than
-what is in force; a smaller share is announced first.
+A larger share is recorded before it is announced, so that a successor does not begin with less; a
+smaller share is announced first.
 """
 
 import asyncio
@@ -14,27 +14,27 @@
 from plumarch.gateway.store import follower
 
 WATCH_MS = 10_000
-"""How long the store holds a watch of orders open: orders are rare, and calls cost money."""
+"""How long the store holds a watch open, as calls cost money."""
 
 ROLLOUTS = "rollout"
-"""Kind of unreadable entries, as operators see it."""
+"""Kind of unreadable entries."""
 
 HOLDER_POLL_MS = 250.0
-"""Interval at which a node checks whether it became the duty holder."""
+"""Interval at which a node checks whether it holds the duties."""
 
 CERTAIN_WITHOUT_FULL_VIEW = 0.9999
-"""Probability of a bad version at which a node without a full view stops it: higher, since hundreds
-of such nodes judge independently."""
+"""Probability of a bad version at which a node without a full view stops it; high, since many such
+nodes judge independently."""
 
 
 class RolloutDuty:
-    """The roll-outs of one node: decided as the duty holder, checked as any node.
+    """One node's roll-outs.
 
     Attributes:
-      orders: the newest order of each service, while this node holds the duties.
-      plans: the progress of each roll-out, by service.
+      orders: the newest by service, while this node holds the duties.
+      plans: progress by service.
       reported: the last version and state reported to operators, by service.
-      periods: periods of constant share that this node saw, by service and version.
+      periods: periods of constant share seen here, by service and version.
     """
 
     def __init__(
@@ -54,11 +54,7 @@
         return self.exposure.share > 0
 
     async def follow(self, holds: Callable[[], bool]) -> None:
-        """Watch the orders while this node holds the duties, forever.
-
-        Args:
-          holds: returns whether it does.
-        """
+        """Watch the orders while `holds` returns that this node holds the duties, forever."""
         dependency = follower.Dependency(self.state, "store-rollouts")
         revision: int | None = None
         while self.enabled():
@@ -92,7 +88,7 @@
         return update.revision
 
     def apply_change(self, change: rollouts.RolloutChange) -> None:
-        """Apply an order that was added, changed or removed."""
+        """Apply an added, changed or removed order."""
         if change.order is None:
             self.orders.pop(change.service, None)
             return
@@ -104,7 +100,7 @@
             self.state.log.write("rollout_ordered", urgent=True, order=change.order)
 
     def resign(self) -> None:
-        """Drop the state that only the holder keeps."""
+        """Drop the holder's state."""
         self.orders.clear()
         self.plans.clear()
         self.reported.clear()
@@ -137,7 +133,7 @@
     def _plan(
         self, order: rollouts.RolloutOrder, record: duty_lease.DutyRecord
     ) -> rollout.RolloutPlan:
-        """Return the plan of a new order: resumed from the record, or from the start."""
+        """Return a new order's plan, resumed from the record if there."""
         wall = self.state.wall
         plan = rollout.RolloutPlan(wall, order, self.exposure, wall.now())
         recorded = record.rollouts.get(order.service)
@@ -171,7 +167,7 @@
         )
 
     def put_in_force(self, plan: rollout.RolloutPlan, token: int) -> None:
-        """Adopt a plan's share, which gossip then announces to all nodes."""
+        """Adopt a plan's share, which gossip then announces."""
         self.plans[plan.order.service] = plan
         self.steps += 1
         split = rollouts.VersionSplit(
@@ -196,7 +192,7 @@
         )
 
     async def report_states(self) -> None:
-        """Report states of roll-outs that changed to operators."""
+        """Report changed states to operators."""
         for service, plan in sorted(self.plans.items()):
             order, state = plan.order, plan.stage.state()
             if order.state is state or self.reported.get(service) == (order.version, state):
@@ -204,7 +200,7 @@
             try:
                 await self.store.report_rollout(order, state)
             except errors.PlatformConflict as error:
-                # The order changed meanwhile; its state is reported after the next watch.
+                # The order changed; its state is reported after the next watch.
                 self.state.log.write("rollout_changed", service=service, why=str(error))
                 continue
             self.reported[service] = (order.version, state)
@@ -212,11 +208,7 @@
     # As any node.
 
     def stop_bad_versions(self, has_full_view: bool) -> bool:
-        """Stop versions that are bad by the answers known to this node.
-
-        Returns:
-          Whether any was stopped.
-        """
+        """Stop versions that are bad by the answers known here; return whether any was."""
         certain = version_verdict.CERTAINLY_BAD if has_full_view else CERTAIN_WITHOUT_FULL_VIEW
         rule = version_verdict.ProbabilityRule(bad_from=certain)
         stopped = False
@@ -244,7 +236,7 @@
         return stopped
 
     def serving(self, service: str) -> list[traffic.Endpoint]:
-        """Return the endpoints by which a service is sized: those of the leading version."""
+        """Return the leading version's endpoints, by which a service is sized."""
         found = [one for one in self.state.registry.endpoints.values() if one.service == service]
         split = self.state.splits.of(service)
         if split is None or split.state is not rollouts.RolloutState.RUNNING:
