--- a/plumarch/gateway/centre_contact.py
+++ b/plumarch/gateway/centre_contact.py
@@ -1,4 +1,4 @@
-"""Contact with the other data centres, for the status page."""
+"""Contact with the other data centres."""
 
 import dataclasses
 
@@ -8,9 +8,8 @@
     """Reachability of the other data centres; all 0 on a member, which knows none.
 
     Attributes:
-      known: number of known data centres.
-      unreachable: number of those that this node does not reach.
-      oldest_ms: age of the least recent update of one of them, in ms.
+      unreachable: number that this node does not reach.
+      oldest_ms: age of the least recent update, in ms.
     """
 
     known: int = 0
--- a/plumarch/gateway/decision_log.py
+++ b/plumarch/gateway/decision_log.py
@@ -1,4 +1,4 @@
-"""Structured logs, one JSON object a line, buffered within limits and written without blocking.
+"""Structured logs, one JSON object a line, written without blocking.
 
 Lines above the buffer's size or the rate limit are dropped; the next line carries their count.
 """
@@ -23,8 +23,8 @@
 
     Attributes:
       node: named in each line.
-      descriptor: the file descriptor written to, set to non-blocking.
-      dropped: lines dropped since the last line written.
+      descriptor: output file descriptor, set to non-blocking.
+      dropped: lines dropped since the last one written.
       dropped_total: lines dropped since the start.
     """
 
@@ -42,8 +42,7 @@
         """Write a line.
 
         Args:
-          kind: the kind of event.
-          urgent: whether the line is exempt from the rate limit.
+          urgent: whether it is exempt from the rate limit.
           fields: request id, inputs, their age or version, outcome.
         """
         if not self._admitted(urgent):
@@ -68,7 +67,7 @@
         return urgent or self.lines_in_second <= self.lines_per_s
 
     def flush(self) -> None:
-        """Write as much of the buffer as the output accepts now."""
+        """Write as much of the buffer as the output accepts."""
         while self.pending:
             try:
                 written = os.write(self.descriptor, bytes(self.pending[:WRITE_BYTES]))
@@ -81,7 +80,7 @@
 
 
 def _encoded(line: dict[str, Any]) -> bytes:
-    """Return a line as JSON, also with values that msgspec can't encode."""
+    """Return a line as JSON, also with unencodable values."""
     try:
         return msgspec.json.encode(line)
     except (UnicodeEncodeError, TypeError):
--- a/plumarch/gateway/dialect.py
+++ b/plumarch/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""Header names of callers and endpoints: defaults, which a deployment's adapter may replace."""
+"""Default header names, which a deployment's adapter may replace."""
 
 import dataclasses
 import functools
@@ -31,9 +31,9 @@
     Attributes:
       deadline_ms: how long the caller waits, in ms.
       instance: the incarnation that a request is meant for.
-      not_run: set by an endpoint if it did not run the request.
-      leaving: set by an endpoint on all answers before it shuts down, unless "0".
-      rate_limit: set by an endpoint while it limits the request rate of all nodes together.
+      not_run: set by an endpoint that did not run the request.
+      leaving: set by an endpoint before it shuts down, unless "0".
+      rate_limit: set by an endpoint while it limits all nodes' request rate.
       signature: proves that an answer is the endpoint's.
       token_counts: prompt tokens and maximum of output tokens, separated by a comma.
       prompt_parts: the prompt's segments as ID:TOKENS, separated by commas.
@@ -65,12 +65,12 @@
 
 @functools.cache
 def not_for_callers(names: Dialect) -> frozenset[bytes]:
-    """Return the endpoints' headers that are not forwarded to callers."""
+    """Return the endpoints' headers that are not forwarded."""
     return HOP_BY_HOP | {names.not_run}
 
 
 def header_value(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> str:
-    """Return the value of the first header of a name, or ""."""
+    """Return the first header's value, or ""."""
     for key, value in headers:
         if key == name:
             return bytes(value).decode("latin-1")
--- a/plumarch/gateway/errors.py
+++ b/plumarch/gateway/errors.py
@@ -1,4 +1,4 @@
-"""Errors of one exchange with an endpoint, by whether the request may have run."""
+"""Errors of an exchange with an endpoint, by whether the request may have run."""
 
 from plumarch.core import errors
 
@@ -12,20 +12,20 @@
 
 
 class SendBufferFull(ConnectFailed):
-    """This node has no memory to buffer the request to any endpoint; no byte was sent."""
+    """This node has no memory to buffer the request; no byte was sent."""
 
 
 class ConnectionBroken(errors.DeliveryUnknown, ExchangeError):
-    """The connection broke or carried invalid bytes after the request, which may have run."""
+    """The connection broke or carried invalid bytes; the request may have run."""
 
 
 class AnswerTimeout(errors.DeliveryUnknown, ExchangeError):
-    """The endpoint did not answer within the time that the request can wait."""
+    """The endpoint did not answer in time."""
 
 
 class NotDispatched(errors.NotDelivered, ExchangeError):
-    """The connection accepted no byte of the request, so the request did not run."""
+    """The connection accepted no byte, so the request did not run."""
 
 
 class NoMemory(errors.DeliveryUnknown, ExchangeError):
-    """This node has no memory to buffer the answer. Try another node."""
+    """This node has no memory to buffer the answer. Try another."""
--- a/plumarch/gateway/fleet_state.py
+++ b/plumarch/gateway/fleet_state.py
@@ -1,4 +1,4 @@
-"""State of one gateway process, shared by its parts."""
+"""State of one gateway process."""
 
 import dataclasses
 import random
@@ -46,8 +46,7 @@
 
     Attributes:
       unread_tokens: expected tokens that the engine has not cached.
-      workspace: the workspace whose quota was charged, or "".
-      units: the units charged.
+      workspace: the workspace charged, or "".
     """
 
     endpoint: str
@@ -62,32 +61,25 @@
 
     Attributes:
       table: the configuration in force, or None before the first one.
-      table_source: where it came from: "store" or a peer's name.
-      work: prompts that this node recently sent to engines.
+      table_source: "store" or a peer's name.
+      work: prompts recently sent to engines.
       splits: shares of service versions during roll-outs.
       answers: counts of answers by version, during roll-outs.
       answer_times: mean time of plain requests, by route.
-      distances: regions of data centres and network latencies to them.
-      memory: memory reserved for callers and endpoints.
+      distances: regions and network latencies of data centres.
       pressure: refusals while memory is short.
-      limits: concurrency limits of endpoints.
       backoff: endpoints that asked this node to back off.
-      permits: permits for endpoints that announce a request rate.
-      allocator: divides announced rates among nodes that request permits.
-      permit_answers: requests that wait for an allocator's answer.
+      allocator: divides announced rates among nodes.
+      permit_answers: requests that wait for an allocator.
       quarantine: suspects, that is requests under which endpoints crashed.
-      unreadable: store entries that can't be decoded.
-      suspensions: suspensions of this process.
       runs: connections with running requests, by endpoint.
-      contact: reachability of the other data centres.
-      announce_prompt: announces a prompt sent to an engine to the other nodes.
-      endpoint_restarted: called with the id of an endpoint whose process restarted.
-      publish_suspect: publishes the state of a suspect, by its fingerprint.
-      request_permits: sends a request for permits to the endpoint's allocator; None on a single
-        node.
-      request_trial: requests the trial of a quarantined request from the store.
+      announce_prompt: announces a sent prompt to the other nodes.
+      endpoint_restarted: called with the id of a restarted endpoint.
+      publish_suspect: publishes a suspect, by its fingerprint.
+      request_permits: sends a request to the endpoint's allocator; None on a single node.
+      request_trial: requests a quarantined request's trial from the store.
       reaches_store: whether the store answered the last call.
-      stops_at_ms: when the process will exit, once a shutdown has begun; or None.
+      stops_at_ms: when the process will exit; None before a shutdown.
     """
 
     node: str
@@ -143,15 +135,11 @@
         self.unreadable = unreadable_entries.UnreadableEntries(self.log, self.measures)
 
     def configuration_version(self) -> int:
-        """Return the version of the configuration in force, or -1 before the first one."""
+        """Return the configuration's version, or -1 before the first one."""
         return self.table.version if self.table is not None else -1
 
     def adopt_table(self, table: routing_table.RoutingTable, source: str) -> bool:
-        """Put a configuration in force if it is newer.
-
-        Returns:
-          Whether it was.
-        """
+        """Put a configuration in force if it is newer, and return whether it was."""
         if self.table is not None and table.version <= self.table.version:
             return False
         before = self.table.version if self.table else None
@@ -165,11 +153,7 @@
         return True
 
     def adopt_split(self, split: rollouts.VersionSplit) -> bool:
-        """Adopt a version's share if it is newer.
-
-        Returns:
-          Whether it was.
-        """
+        """Adopt a version's share if it is newer, and return whether it was."""
         before = self.splits.of(split.service)
         if not self.splits.adopt(split):
             return False
@@ -180,7 +164,7 @@
         return True
 
     def registry_changed(self, changes: list[EndpointChange], source: str) -> None:
-        """Log changes of endpoints, and drop the state of removed ones."""
+        """Log changes of endpoints, and drop removed ones' state."""
         if not changes:
             return
         self._log_unnamed_regions()
@@ -207,7 +191,7 @@
         self._prune_removed()
 
     def rate_changed(self, endpoint: Endpoint, source: str) -> None:
-        """Log that an endpoint's announced rate changed or ended.
+        """Log a change of an endpoint's announced rate.
 
         Args:
           source: the node that received or reported the answer.
--- a/plumarch/gateway/measures.py
+++ b/plumarch/gateway/measures.py
@@ -1,7 +1,4 @@
-"""Metrics of the gateway.
-
-prometheus_client is imported on the first scrape only, since its import would delay the start.
-"""
+"""Metrics of the gateway; prometheus_client is imported on the first scrape, as it is slow."""
 
 import bisect
 import dataclasses
@@ -21,7 +18,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Counter:
-    """A count for each combination of labels."""
+    """A count by labels."""
 
     name: str
     text: str
@@ -33,7 +30,7 @@
         self.counts[labels] = self.counts.get(labels, 0.0) + 1.0
 
     def family(self) -> "metrics_core.Metric":
-        """Return all counts for Prometheus."""
+        """Return the counts for Prometheus."""
         from prometheus_client import metrics_core
 
         found = metrics_core.CounterMetricFamily(self.name, self.text, labels=self.label_names)
@@ -44,7 +41,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Gauge:
-    """The last value for each combination of labels."""
+    """The last value by labels."""
 
     name: str
     text: str
@@ -56,7 +53,7 @@
         self.values[labels] = value
 
     def family(self) -> "metrics_core.Metric":
-        """Return all values for Prometheus."""
+        """Return the values for Prometheus."""
         from prometheus_client import metrics_core
 
         found = metrics_core.GaugeMetricFamily(self.name, self.text, labels=self.label_names)
@@ -75,7 +72,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Histogram:
-    """A distribution of times for each combination of labels."""
+    """A distribution of times by labels."""
 
     name: str
     text: str
@@ -83,7 +80,7 @@
     found: dict[Labels, Distribution] = dataclasses.field(default_factory=dict)
 
     def observe(self, seconds: float, *labels: str) -> None:
-        """Add a duration to its bucket."""
+        """Add a duration."""
         distribution = self.found.get(labels)
         if distribution is None:
             distribution = self.found[labels] = Distribution()
@@ -91,7 +88,7 @@
         distribution.total_s += seconds
 
     def family(self) -> "metrics_core.Metric":
-        """Return all distributions for Prometheus, with cumulative buckets."""
+        """Return the distributions for Prometheus, with cumulative buckets."""
         from prometheus_client import metrics_core
 
         found = metrics_core.HistogramMetricFamily(self.name, self.text, labels=self.label_names)
@@ -107,7 +104,7 @@
 
 
 class Measures:
-    """All metrics of one gateway process.
+    """All metrics of a gateway process.
 
     Attributes:
       state: sizes and versions by name, set at each scrape.
--- a/plumarch/gateway/permit_waiters.py
+++ b/plumarch/gateway/permit_waiters.py
@@ -1,4 +1,4 @@
-"""Requests that wait for permits, since no other endpoint has free capacity."""
+"""Requests that wait for permits."""
 
 import asyncio
 import dataclasses
@@ -6,16 +6,12 @@
 
 @dataclasses.dataclass(slots=True)
 class PermitWaiters:
-    """One event for each awaited endpoint, by its identifier."""
+    """One event by endpoint identifier."""
 
     events: dict[str, asyncio.Event] = dataclasses.field(default_factory=dict)
 
     async def wait(self, endpoint: str, timeout_ms: float) -> bool:
-        """Wait for an allocator's answer.
-
-        Returns:
-          Whether it came in time.
-        """
+        """Wait for an allocator's answer, and return whether it came in time."""
         event = self.events.setdefault(endpoint, asyncio.Event())
         try:
             async with asyncio.timeout(timeout_ms / 1000.0):
--- a/plumarch/gateway/ports.py
+++ b/plumarch/gateway/ports.py
@@ -1,4 +1,4 @@
-"""Interface to the platform that a gateway runs on, implemented by an adapter.
+"""Interface to the platform, implemented by an adapter.
 
 All calls raise the errors of plumarch.core.errors: PlatformUnavailable (nothing was done),
 PlatformAnswerLost (may have been done), PlatformConflict, PlatformAbsent, PlatformRevisionExpired,
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointList:
-    """All endpoints at a revision, and the entries that can't be decoded."""
+    """All endpoints at a revision, and undecodable entries."""
 
     endpoints: tuple[traffic.Endpoint, ...]
     revision: int
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """Changes of endpoints up to a revision; an undecodable entry counts as removed."""
+    """Changes of endpoints; an undecodable entry counts as removed."""
 
     changes: tuple[registry.EndpointChange, ...]
     revision: int
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RolloutUpdate:
-    """Orders of roll-outs that were added, changed or removed up to a revision."""
+    """Changed roll-out orders up to a revision."""
 
     changes: tuple[rollouts.RolloutChange, ...]
     revision: int
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordList:
-    """All of the product's own objects of a kind at a revision."""
+    """The product's own objects of a kind at a revision."""
 
     found: tuple[records.Record, ...]
     revision: int
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordUpdate:
-    """Objects of a kind that were added, changed or removed up to a revision."""
+    """Changed objects of a kind up to a revision."""
 
     changed: tuple[records.Record, ...]
     removed: tuple[str, ...]
@@ -98,7 +98,7 @@
     async def report_rollout(
         self, order: rollouts.RolloutOrder, state: rollouts.RolloutState
     ) -> None:
-        """Report the state of a roll-out to operators if its order is unchanged.
+        """Report a roll-out's state if its order is unchanged.
 
         Raises:
           PlatformConflict: the order has changed.
@@ -106,7 +106,7 @@
         ...
 
     async def list_records(self, kind: str, stale: bool = False) -> RecordList:
-        """Read all of the product's own objects of a kind.
+        """Read the product's own objects of a kind.
 
         Args:
           stale: whether a cheaper read, some seconds old, is enough.
@@ -114,7 +114,7 @@
         ...
 
     async def watch_records(self, kind: str, revision: int, wait_ms: int) -> RecordUpdate:
-        """Wait for changes of the product's own objects of a kind."""
+        """Wait for changes of objects of a kind."""
         ...
 
     async def read_record(self, kind: str, name: str) -> records.Record | None:
@@ -122,21 +122,17 @@
         ...
 
     async def write_record(self, kind: str, record: records.Record) -> records.Record:
-        """Write an object if the stored revision is still the record's.
-
-        Returns:
-          The record with its new revision.
-        """
+        """Write an object if its revision is unchanged; return it with the new one."""
         ...
 
 
 class Cloud(Protocol):
-    """The platform's calls that only the duty holder may make."""
+    """Calls that only the duty holder may make."""
 
     async def report_usage(
         self, lease: records.Lease, window: int, counts: Mapping[str, int]
     ) -> None:
-        """Report the number of requests in a window, by workspace.
+        """Report a window's requests by workspace.
 
         Raises:
           StaleToken: another node acted under a higher token.
--- a/plumarch/gateway/relay.py
+++ b/plumarch/gateway/relay.py
@@ -1,4 +1,4 @@
-"""Serves callers' requests: admits or refuses, runs and logs them."""
+"""Serves callers' requests."""
 
 from typing import Any
 
@@ -42,17 +42,17 @@
             self._record(admitted, run, outcome)
 
     def time_allowed_ms(self, headers: caller_requests.Headers) -> float:
-        """Return how long a request may take by its headers, or the default, in ms."""
+        """Return a request's time limit by its headers, or the default, in ms."""
         return admission.requested_timeout_ms(self.state.names, headers)
 
     def back_in_ms(self, size: int) -> float:
-        """Return when a caller should retry a body for which memory was short, in ms."""
+        """Return when to retry a body for which memory was short, in ms."""
         pressure = self.state.pressure
         pressure.update_rate(self.state.memory.released)
         return return_times.spread(pressure.back_in_ms(size), self.state.rng)
 
     def record_disconnect(self, reason: str, unread: int) -> None:
-        """Record the disconnect of a caller that did not read its answer."""
+        """Record the disconnect of a caller that did not read."""
         state = self.state
         state.measures.callers_disconnected.add(reason)
         state.log.write(
@@ -118,7 +118,7 @@
 
 
 def _speed_fields(state: fleet_state.FleetState, admitted: admission.Admitted) -> dict[str, Any]:
-    """Return the log fields of the known engine speed, or none for a plain request."""
+    """Return the known engine speed as log fields, or none for a plain request."""
     if not admitted.prompt_tokens:
         return {}
     speed = state.chooser.speed(admitted.service)
@@ -131,7 +131,7 @@
 
 
 def new_server(state: fleet_state.FleetState) -> caller_connection.CallerServer:
-    """Return the server of a node's callers."""
+    """Return the callers' server."""
     handler = Relay(state)
     return caller_connection.CallerServer(
         state.clock,
--- a/plumarch/gateway/suspension_watch.py
+++ b/plumarch/gateway/suspension_watch.py
@@ -8,11 +8,10 @@
 
 
 class SuspensionWatch:
-    """Checks for suspensions at an interval, logs them and restarts gossip.
+    """Checks for suspensions at an interval.
 
     Attributes:
-      logged: number of suspensions that were logged.
-      logged_ms: their total duration.
+      logged_ms: total duration of those logged.
     """
 
     def __init__(self, state: fleet_state.FleetState, start_bootstrap: Callable[[], None]) -> None:
@@ -34,7 +33,7 @@
             await asyncio.sleep(suspension.CHECK_INTERVAL_MS / 1000.0)
 
     def step(self) -> None:
-        """Check, and handle suspensions found here or by another part of the process."""
+        """Check, and handle suspensions found anywhere in the process."""
         known = self.state.suspensions
         known.check()
         if known.count == self.logged:
@@ -56,5 +55,5 @@
         self.start_bootstrap()
 
     def _machine_suspended_ms(self) -> int:
-        """Return how long the VM has been suspended since its start, where the system counts it."""
+        """Return how long the VM has been suspended, where the system counts it."""
         return clock.MonotonicClock().now() - clock.RunningClock().now()
--- a/plumarch/gateway/unreadable_entries.py
+++ b/plumarch/gateway/unreadable_entries.py
@@ -1,4 +1,4 @@
-"""Store entries that can't be decoded: ignored, logged once and counted for operators."""
+"""Undecodable store entries: ignored, logged once and counted."""
 
 import dataclasses
 from collections.abc import Iterable
@@ -7,22 +7,22 @@
 from plumarch.gateway import decision_log, measures
 
 MAX_LOGGED = 20
-"""Entries of a kind that are logged and listed one by one; beyond that, only counted."""
+"""Entries of a kind that are logged one by one; further ones are only counted."""
 
 MAX_WHY_CHARS = 300
-"""Length limit of a logged reason, in characters."""
+"""Maximum characters of a logged reason."""
 
 
 @dataclasses.dataclass(slots=True)
 class UnreadableEntries:
-    """The current undecodable entries, by kind and name."""
+    """Undecodable entries, by kind and name."""
 
     log: decision_log.DecisionLog
     measures: measures.Measures
     known: dict[str, dict[str, records.Unreadable]] = dataclasses.field(default_factory=dict)
 
     def listed(self, kind: str, found: Iterable[records.Unreadable]) -> None:
-        """Replace the entries of a kind after a listing."""
+        """Replace a kind's entries after a listing."""
         before = self.known.get(kind, {})
         self.known[kind] = {one.name: one for one in found}
         for one in self.known[kind].values():
@@ -35,7 +35,7 @@
         """Apply changes after a watch.
 
         Args:
-          read_or_gone: names of entries that are decodable or removed.
+          read_or_gone: names of decodable or removed entries.
         """
         known = self.known.setdefault(kind, {})
         for name in read_or_gone:
@@ -64,7 +64,7 @@
         self.measures.unreadable.set(len(self.known[kind]), kind)
 
     def lines(self) -> list[str]:
-        """Return a line for each entry, for the status page."""
+        """Return a line for each entry."""
         return [
             f"{kind} {one.name or '(no name)'} revision {one.revision}: {one.why[:MAX_WHY_CHARS]}"
             for kind, found in sorted(self.known.items())
