--- a/plumarch/gateway/measures.py
+++ b/plumarch/gateway/measures.py
@@ -130,7 +130,7 @@
         )
         self.sends = Counter(
             "plumarch_gateway_sends",
-            "Sends to endpoints, by how near they are.",
+            "Sends to endpoints, by locality.",
             ("service", "locality"),
         )
         self.dependency = Counter(
@@ -147,20 +147,22 @@
         )
         self.partially_reachable_regions = Gauge(
             "plumarch_region_in_part",
-            "1 for a region of which too few nodes are heard to let engines go there.",
+            "1 for a region where too few nodes are reachable to release engines.",
             ("region",),
         )
         self.crashes = Counter(
-            "plumarch_gateway_endpoint_falls", "Endpoints that fell with work.", ("service",)
+            "plumarch_gateway_endpoint_falls",
+            "Endpoints that crashed while requests ran.",
+            ("service",),
         )
         self.leaving_announced = Counter(
             "plumarch_gateway_endpoints_leaving_by_answer",
-            "Endpoints of which an answer of their own told first that they leave.",
+            "Endpoints that first announced in an answer that they leave.",
             ("service",),
         )
         self.backoffs = Counter(
             "plumarch_gateway_endpoint_rests",
-            "Refusals by which an endpoint asked this node for some time of rest.",
+            "Rejections by which an endpoint requested a backoff from this node.",
             ("service",),
         )
         self.announced_rates = Counter(
@@ -175,7 +177,7 @@
         )
         self.quarantined = Counter(
             "plumarch_gateway_quarantine",
-            "Requests held back because endpoints ended under them, and those cleared.",
+            "Requests quarantined because endpoints crashed while running them, and those cleared.",
             ("what",),
         )
         self.unreadable = Gauge(
@@ -200,17 +202,19 @@
             (),
         )
         self.callers_disconnected = Counter(
-            "plumarch_gateway_callers_cut", "Callers ended for what they didn't read.", ("reason",)
+            "plumarch_gateway_callers_cut",
+            "Callers disconnected because of unread data.",
+            ("reason",),
         )
         self.streams = Counter(
             "plumarch_gateway_streams",
-            "Streams let go because their callers did not read, and those resumed.",
+            "Streams abandoned because their callers did not read, and those resumed.",
             ("what",),
         )
         self.state: dict[str, float] = {}
         self.endpoint_limits = Gauge(
             "plumarch_gateway_endpoint_limit",
-            "Requests that an endpoint is given at once, where it is fewer than in calm times.",
+            "Limit of concurrent requests to an endpoint, where it is reduced.",
             ("endpoint",),
         )
         self.lines_dropped = 0
