--- a/plumarch/standins/gossip_fleet.py
+++ b/plumarch/standins/gossip_fleet.py
@@ -138,7 +138,7 @@
       loss_fraction: fraction of datagrams lost.
       duplicate_fraction: fraction of datagrams delivered twice.
       late_ms: maximum additional delay of a datagram.
-      cut: predicate that tells whether two nodes are partitioned.
+      cut: returns whether two nodes are partitioned.
       datagrams: number sent, by whether they left the data centre.
       bytes: bytes sent, by whether they left the data centre.
       region_bytes: bytes sent to other regions.
