--- a/plumarch/membership/members.py
+++ b/plumarch/membership/members.py
@@ -51,7 +51,7 @@
         self.leaving = False
         self.heartbeat_interval_ms = HEARTBEAT_MS
 
-    def heard(self, sender: str, beat: messages.Heartbeat) -> bool:
+    def apply_heartbeat(self, sender: str, heartbeat: messages.Heartbeat) -> bool:
         """Apply a heartbeat; return whether the sender became live.
 
         A new incarnation replaces the earlier one at once; its stale heartbeats are ignored.
@@ -64,15 +64,15 @@
         was_live = known is not None and known.state is data.NodeState.LIVE
         self.members[sender] = Member(
             sender,
-            beat.data_centre,
-            beat.state,
+            heartbeat.data_centre,
+            heartbeat.state,
             self.ctx.now(),
-            beat.address,
-            beat.revision,
-            tuple(beat.demand),
+            heartbeat.address,
+            heartbeat.revision,
+            tuple(heartbeat.demand),
         )
         self._mark_replaced(sender)
-        return not was_live and beat.state is data.NodeState.LIVE
+        return not was_live and heartbeat.state is data.NodeState.LIVE
 
     def _superseded(self, sender: str) -> bool:
         name, _, incarnation = sender.partition("#")
--- a/plumarch/node/node.py
+++ b/plumarch/node/node.py
@@ -225,7 +225,7 @@
                     self._send_heartbeat()
 
     def _apply_heartbeat(self, sender: str, heartbeat: messages.Heartbeat) -> None:
-        self.membership.heard(sender, heartbeat)
+        self.membership.apply_heartbeat(sender, heartbeat)
         self.ledger.apply_heartbeat(sender, heartbeat.owned)
         for name, left_ms in heartbeat.leaving:
             self._notice(name, left_ms)
