--- a/plumarch/fleet/usage.py
+++ b/plumarch/fleet/usage.py
@@ -20,12 +20,12 @@
     Attributes:
       window_ms: window k starts k lengths after the Unix epoch.
       own: by window and workspace.
-      heard: by incarnation or group.
+      reports: counts that other nodes reported, by incarnation or group.
     """
 
     window_ms: int
     own: dict[int, collections.Counter[str]] = dataclasses.field(default_factory=dict)
-    heard: dict[str, dict[int, dict[str, int]]] = dataclasses.field(default_factory=dict)
+    reports: dict[str, dict[int, dict[str, int]]] = dataclasses.field(default_factory=dict)
 
     def started(self, workspace: str, wall_ms: float) -> None:
         """Count a request that started at a wall-clock time."""
@@ -48,18 +48,18 @@
 
     def apply_node_report(self, node: str, counts: WindowCounts) -> None:
         """Apply an incarnation's counts, which replace earlier ones."""
-        known = self.heard.setdefault(node, {})
+        known = self.reports.setdefault(node, {})
         for number, reported in counts.items():
             known[number] = dict(reported)
         newest = max(known, default=0)
         for old in [number for number in known if number < newest - RETAINED_WINDOWS]:
             del known[old]
         if not known:
-            del self.heard[node]
+            del self.reports[node]
 
     def apply_centre_summary(self, group: str, counts: WindowCounts) -> None:
         """Merge the counts of a group by maximum, since each reporter may have missed some."""
-        known = self.heard.get(group, {})
+        known = self.reports.get(group, {})
         largest = {
             number: {
                 name: max(reported.get(name, 0), known.get(number, {}).get(name, 0))
@@ -78,7 +78,7 @@
           counts_in: whether to include an incarnation or group.
         """
         total: collections.Counter[str] = collections.Counter(self.own.get(window, {}))
-        for name, counts in self.heard.items():
+        for name, counts in self.reports.items():
             if counts_in(name):
                 total.update(counts.get(window, {}))
         return dict(sorted(total.items()))
--- a/plumarch/fleet/usage_test.py
+++ b/plumarch/fleet/usage_test.py
@@ -26,7 +26,7 @@
         counter.started("w", window * 1_000)
         counter.apply_node_report("b#1", {window: {"w": 1}})
     assert len(counter.own) <= usage.RETAINED_WINDOWS + 1
-    assert len(counter.heard["b#1"]) <= usage.RETAINED_WINDOWS + 1
+    assert len(counter.reports["b#1"]) <= usage.RETAINED_WINDOWS + 1
 
 
 def test_only_recent_windows_are_reported():
--- a/plumarch/gateway/gossip/gossiper_test.py
+++ b/plumarch/gateway/gossip/gossiper_test.py
@@ -123,10 +123,10 @@
         other = pair.two.state
         await pair.until(lambda: other.chooser.load("e").running == 2)
         assert other.chooser.load("e").prompt_tokens == 300.0
-        assert sum(other.quota.heard.values()) == 5.0
+        assert sum(other.quota.reported_spent.values()) == 5.0
         assert other.quota.total_charged() == 5.0
-        await pair.until(lambda: "one#1" in other.usage.heard)
-        assert sum(sum(one.values()) for one in other.usage.heard["one#1"].values()) == 1
+        await pair.until(lambda: "one#1" in other.usage.reports)
+        assert sum(sum(one.values()) for one in other.usage.reports["one#1"].values()) == 1
 
     play(test)
 
--- a/plumarch/gateway/gossip/stale_figures.py
+++ b/plumarch/gateway/gossip/stale_figures.py
@@ -47,7 +47,7 @@
         for name in [name for name in chooser.reported_loads if name != member_updates.FLEET]:
             chooser.forget(name)
         # Levels from fleet updates include what others admitted; these sums would charge it twice.
-        state.quota.heard.clear()
+        state.quota.reported_spent.clear()
 
 
 def drop_nodes_of(
@@ -57,4 +57,4 @@
     for peer in view.peers.values():
         if peer.data_centre == data_centre:
             state.chooser.forget(peer.name)
-            state.usage.heard.pop(f"{peer.name}#{peer.incarnation}", None)
+            state.usage.reports.pop(f"{peer.name}#{peer.incarnation}", None)
--- a/plumarch/limits/workspace_quota.py
+++ b/plumarch/limits/workspace_quota.py
@@ -49,7 +49,7 @@
         report to each other at once.
       update_age_ms: time between heartbeats of a node.
       workspaces: by name.
-      heard: units reported as spent, by source and workspace.
+      reported_spent: units reported as spent, by source and workspace.
       overflow_before: overflow at the last report, by source and workspace.
       charged_by: units charged since the start, by who admitted them: "" for this node, a node's
         name, or a group of nodes.
@@ -67,7 +67,7 @@
     update_age_ms: float = quota_tolerance.FRESH_INTERVAL_MS
     workspaces: Mapping[str, traffic.Workspace] = dataclasses.field(default_factory=dict)
     buckets: dict[str, quota_records.Bucket] = dataclasses.field(default_factory=dict)
-    heard: dict[tuple[str, str], float] = dataclasses.field(default_factory=dict)
+    reported_spent: dict[tuple[str, str], float] = dataclasses.field(default_factory=dict)
     overflow_before: dict[tuple[str, str], quota_records.Overflow] = dataclasses.field(
         default_factory=dict
     )
@@ -191,11 +191,11 @@
           share: its fraction of the fleet.
         """
         self.refill_all()
-        unheard = 1.0 - self.fraction
+        unreachable = 1.0 - self.fraction
         for bucket in self.buckets.values():
             used = share * max(0.0, bucket.level)
-            if unheard > 0:
-                used = max(used, (bucket.level - bucket.share) * min(1.0, share / unheard))
+            if unreachable > 0:
+                used = max(used, (bucket.level - bucket.share) * min(1.0, share / unreachable))
             bucket.level -= used
 
     def _record_charges(self, now: int) -> None:
@@ -258,7 +258,7 @@
           What was charged, by workspace.
         """
         if after_gap or any(
-            reported.settled and name in self.buckets and (node, name) not in self.heard
+            reported.settled and name in self.buckets and (node, name) not in self.reported_spent
             for name, reported in spending.items()
         ):
             self.resync_until_ms = self.clock.now() + RESYNC_MS
@@ -267,7 +267,7 @@
             bucket = self.buckets.get(name)
             if bucket is None:
                 continue
-            if (node, name) not in self.heard:
+            if (node, name) not in self.reported_spent:
                 charged |= self._apply_first_report(node, name, reported)
             elif after_gap:
                 charged |= self._apply_report_after_gap((node, name), reported.spent, share)
@@ -292,7 +292,7 @@
         be lost when a new coordinator replaces crashed ones.
         """
         workspace = self.workspaces[name]
-        self.heard[(node, name)] = reported.spent
+        self.reported_spent[(node, name)] = reported.spent
         uncounted = reported.spent - reported.counted if reported.counted is not None else 0.0
         uncounted = min(max(0.0, uncounted), self.tolerance.capacity(workspace, self.update_age_ms))
         if uncounted:
@@ -305,8 +305,8 @@
         """Charge what a peer admitted while it was unreachable, as far as it is due."""
         node, name = key
         self._refill(self.workspaces[name])
-        units = self._due(key, spent - self.heard[key], share)
-        self.heard[key] = spent
+        units = self._due(key, spent - self.reported_spent[key], share)
+        self.reported_spent[key] = spent
         self._charge_others(node, name, units)
         return {name: units}
 
@@ -318,10 +318,10 @@
         Returns:
           What was charged, by workspace.
         """
-        known = self.heard.get((node, workspace))
+        known = self.reported_spent.get((node, workspace))
         if known is None or known == spent:
             return {}
-        self.heard[(node, workspace)] = spent
+        self.reported_spent[(node, workspace)] = spent
         self._charge_others(node, workspace, spent - known)
         return {workspace: spent - known}
 
@@ -347,7 +347,7 @@
         for name, units in charged.items():
             if name in self.buckets:
                 key = (group, name)
-                self.heard[key] = self.heard.get(key, 0.0) + units
+                self.reported_spent[key] = self.reported_spent.get(key, 0.0) + units
                 self._charge_others(group, name, self._due(key, units, share) if resync else units)
         for name, known in self.buckets.items():
             self.overflow_before[(group, name)] = quota_records.Overflow(
@@ -419,7 +419,7 @@
 
     def forget(self, node: str) -> None:
         """Drop the records of an incarnation that is gone."""
-        for known in (self.heard, self.overflow_before):
+        for known in (self.reported_spent, self.overflow_before):
             for key in [key for key in known if key[0] == node]:
                 del known[key]
         self.charged_by.pop(node.partition("#")[0], None)
