--- a/plumarch/daemon/callers.py
+++ b/plumarch/daemon/callers.py
@@ -33,7 +33,7 @@
 }
 STATUS_WAIT_S = 0.3
 NO_TOKENS = 1 << 40
-"""A position past the end of every answer, for readers that need no tokens."""
+"""A position past every answer's end, for readers without need of tokens."""
 
 AnyRequest = Request[Any, Any, Any]
 MODEL_CLASSES = frozenset(
@@ -42,7 +42,7 @@
 
 
 class CallersApi:
-    """The handlers of the callers' API."""
+    """Handlers of the callers' API."""
 
     def __init__(self, node_shell: shell.Shell) -> None:
         self.shell = node_shell
@@ -50,8 +50,6 @@
         self.by_token: dict[str, data.Workspace] = {}
         self.by_token_revision = -1
 
-    # Authentication and parsing.
-
     def workspace(self, request: AnyRequest) -> data.Workspace:
         """Return the workspace of the request's token.
 
@@ -121,7 +119,7 @@
     def model_request(
         self, request: AnyRequest, body: bytes, default: data.RequestClass
     ) -> tuple[data.Request, chat.ChatBody]:
-        """Make a data.Request from a chat body and its headers.
+        """Make a request from a chat body and headers.
 
         Raises:
           CallerFault: the request is invalid.
@@ -163,7 +161,7 @@
     def service_request(
         self, request: AnyRequest, name: str, path: str, body: bytes
     ) -> data.Request:
-        """Make a data.Request for a plain service.
+        """Make a request for a plain service.
 
         Raises:
           CallerFault: the workspace has no such service.
@@ -197,8 +195,6 @@
             timeout_ms=self._timeout(request, request_class),
         )
 
-    # Handlers.
-
     async def chat_completions(self, request: AnyRequest) -> Response[Any] | Stream:
         """Answer a chat request, streamed or complete."""
         body = await self.body(request)
@@ -272,7 +268,7 @@
         )
 
     async def submit(self, request: AnyRequest) -> Response[Any]:
-        """Accept a request of a waiting class; answer before it runs."""
+        """Accept a request of a waiting class before it runs."""
         body = await self.body(request)
         made, _ = self.model_request(request, body, data.RequestClass.REVIEW)
         if made.request_class not in data.WAITING_CLASSES:
@@ -322,7 +318,7 @@
         return Response({"key": key, "status": data.Outcome.DONE})
 
     async def result(self, request: AnyRequest, key: str) -> Response[Any]:
-        """Wait for a request's complete answer and return it."""
+        """Return a request's complete answer."""
         workspace = self.workspace(request)
         stream = self._attach(request, key, 0)
         try:
--- a/plumarch/daemon/chat.py
+++ b/plumarch/daemon/chat.py
@@ -20,7 +20,7 @@
 
 
 class ChatBody(msgspec.Struct, frozen=True):
-    """The fields of a chat request that plumarch reads; the engine gets the body unchanged."""
+    """The fields that plumarch reads; the engine gets the body unchanged."""
 
     model: str
     messages: Annotated[list[Message], msgspec.Meta(min_length=1)]
@@ -45,7 +45,7 @@
 
 
 def wanted_tokens(body: ChatBody) -> int:
-    """Return the maximum number of tokens that the caller asks for."""
+    """Return the caller's limit of tokens."""
     return body.max_completion_tokens or body.max_tokens or DEFAULT_TOKENS
 
 
@@ -55,12 +55,12 @@
 
 
 def prefix_of(body: ChatBody) -> int:
-    """Return a hash of the prompt segment that requests are likely to share."""
+    """Hash the prompt segment that requests are likely to share."""
     return hashing.digest(body.model, str(body.messages[0].content))
 
 
 def chunk(request_id: str, model: str, text: str | None, finish: str | None) -> dict[str, Any]:
-    """Return the body of one streamed event."""
+    """Return a streamed event's body."""
     delta = {} if text is None else {"role": "assistant", "content": text}
     return {
         "id": request_id,
@@ -72,7 +72,7 @@
 
 
 def sse(event_id: int, body: object) -> bytes:
-    """Return one server-sent event; its id is the number of tokens up to its end."""
+    """Return a server-sent event; its id counts the tokens up to its end."""
     return b"id: %d\ndata: %s\n\n" % (event_id, msgspec.json.encode(body))
 
 
--- a/plumarch/daemon/gateway.py
+++ b/plumarch/daemon/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway daemon: listeners, followers, heartbeats and duties of one process."""
+"""The gateway daemon."""
 
 import asyncio
 import contextlib
@@ -46,8 +46,7 @@
 
 FLUSH_MS = 100
 CONFIGURATION_WAIT_MS = 400
-"""How long callers' connections wait for the first configuration; after that, requests are
-answered with an error until there is one."""
+"""How long callers' connections wait for the first configuration before they get errors."""
 
 CONFIGURATION_CHECK_MS = 5
 SETTINGS_CHECK_MS = 2_000
@@ -186,7 +185,7 @@
         )
 
     def ready(self) -> bool:
-        """Return whether the balancer should send connections here."""
+        """Return whether the node is ready for callers."""
         return not self.stopping and self.state.table is not None
 
     async def start(self) -> None:
@@ -225,7 +224,7 @@
         self.state.log.flush()
 
     async def _guard(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Run a task; on an exception, log it and restart the task."""
+        """Run a task; log its exceptions and restart it."""
         while True:
             try:
                 await work()
@@ -260,7 +259,7 @@
             await self.listeners[0].start_serving()
 
     async def _run_housekeeping(self) -> None:
-        """Flush the log and update limits and gauges, at intervals."""
+        """Flush the log and update limits and gauges."""
         while True:
             await asyncio.sleep(FLUSH_MS / 1000.0)
             state = self.state
@@ -294,7 +293,7 @@
         self.state.log.write("reload", urgent=True, outcome="taken", seeds=list(loaded.peers.seeds))
 
     async def stop(self) -> None:
-        """Report not ready, finish the requests that are in progress, then close."""
+        """Report not ready, finish open requests, then close."""
         begun = self.clock.now()
         grace_ms = self.settings.bounds.stop_s * 1000.0
         self.stopping = True
--- a/plumarch/daemon/gateway_settings.py
+++ b/plumarch/daemon/gateway_settings.py
@@ -39,7 +39,7 @@
 
 
 class NodeSection(ini.Section, frozen=True):
-    """[node]: the node's name, and whether the system starts for the first time."""
+    """[node]: the name, and whether the system starts for the first time."""
 
     name: fields.NonEmpty
     data_centre: fields.NonEmpty
@@ -47,7 +47,7 @@
 
 
 class RegionsSection(ini.Section, frozen=True):
-    """[regions]: the region of each data centre, as DATA CENTRE:REGION, separated by commas.
+    """[regions]: DATA CENTRE:REGION, separated by commas.
 
     Without any, all data centres form one region.
     """
@@ -56,13 +56,13 @@
 
 
 class MemorySection(ini.Section, frozen=True):
-    """[memory]: the memory that the process may use, in MB of 2**20 bytes."""
+    """[memory]: the process's limit, in MB of 2**20 bytes."""
 
     limit_mb: fields.Positive = 512.0
 
 
 class ListenSection(ini.Section, frozen=True):
-    """[listen]: addresses of the listeners; peers is used for TCP and UDP."""
+    """[listen]: addresses; peers is for TCP and UDP."""
 
     callers: fields.Address
     readiness: fields.Address
@@ -109,8 +109,7 @@
 class RolloutsSection(ini.Section, frozen=True):
     """[rollouts]: the most requests that a bad version may get before it is rolled back.
 
-    They are a fraction of the service's requests during the roll-out, plus a fixed number. Without
-    a fraction there are no roll-outs.
+    A fraction of the service's requests plus a fixed number; no fraction, no roll-outs.
     """
 
     exposure_share: fields.NotNegative = 0.0
--- a/plumarch/daemon/listening.py
+++ b/plumarch/daemon/listening.py
@@ -34,16 +34,11 @@
 def bind_first(path: str, section: str, key: str) -> socket.socket | None:
     """Open the listening socket that a settings file names, before the settings are validated.
 
-    Connections then wait in the kernel's queue while the process imports its modules, and are
-    not refused.
+    Connections then wait in the kernel's queue while the process imports its modules.
 
-    Args:
-      path: the settings file.
-      section: the section of the address.
-      key: its key.
     Returns:
-      The socket, or None if the file names no address that can be bound; the validation of the
-      settings and the second attempt to listen report the cause.
+      The socket, or None if no address can be bound; validation and the second attempt to
+      listen report the cause.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
--- a/plumarch/daemon/logs.py
+++ b/plumarch/daemon/logs.py
@@ -1,4 +1,4 @@
-"""Logging by loguru to standard error, records of the standard logging module included."""
+"""Logging by loguru to standard error."""
 
 import asyncio
 import logging
@@ -23,12 +23,7 @@
 
 
 def set_up(level: str, json_lines: bool) -> None:
-    """Send all logs to standard error.
-
-    Args:
-      level: the lowest level to show.
-      json_lines: write one JSON object a line instead of text.
-    """
+    """Send all logs to standard error."""
     logger.remove()
     logger.configure(extra={"part": "main"})
     logger.add(
--- a/plumarch/daemon/main.py
+++ b/plumarch/daemon/main.py
@@ -16,7 +16,7 @@
 
 
 class Daemon:
-    """A shell and its two HTTP listeners."""
+    """A shell with its HTTP listeners."""
 
     def __init__(self, given: settings.Settings) -> None:
         self.settings = given
--- a/plumarch/daemon/metrics.py
+++ b/plumarch/daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics: histograms per workspace and class, counters by label."""
+"""Prometheus metrics."""
 
 import prometheus_client
 
@@ -41,7 +41,7 @@
 
 
 class Metrics:
-    """The metrics of one node, in a registry of its own."""
+    """One node's metrics, in their own registry."""
 
     def __init__(self) -> None:
         self.registry = prometheus_client.CollectorRegistry()
--- a/plumarch/daemon/operators.py
+++ b/plumarch/daemon/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP listener: health, metrics, status and decisions, all read-only."""
+"""The operators' read-only HTTP listener."""
 
 import asyncio
 import dataclasses
@@ -44,7 +44,7 @@
 
 
 class WantedStatus(msgspec.Struct, frozen=True):
-    """Capacity wanted and present for a target in a data centre, as this node sees it."""
+    """A target's wanted and present capacity, as this node sees it."""
 
     target: str
     data_centre: str
@@ -129,7 +129,7 @@
 
 
 class OperatorsApi:
-    """The handlers of the operators' API."""
+    """Handlers of the operators' API."""
 
     def __init__(self, node_shell: shell.Shell) -> None:
         self.shell = node_shell
@@ -152,7 +152,7 @@
             )
 
     def ready(self) -> tuple[bool, str]:
-        """Return whether the node can serve callers, and the reason if not."""
+        """Return whether the node can serve, or why not."""
         node = self.shell.node
         if node.membership.leaving:
             return False, "stopping"
--- a/plumarch/daemon/serving.py
+++ b/plumarch/daemon/serving.py
@@ -1,4 +1,4 @@
-"""uvicorn servers inside a running event loop, one for each listener."""
+"""uvicorn servers inside a running event loop."""
 
 import asyncio
 import contextlib
@@ -10,7 +10,7 @@
 
 
 class EmbeddedServer(uvicorn.Server):
-    """A uvicorn server that installs no signal handlers; the daemon has its own."""
+    """A uvicorn server without signal handlers; the daemon has its own."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
--- a/plumarch/daemon/shell.py
+++ b/plumarch/daemon/shell.py
@@ -1,4 +1,4 @@
-"""The shell of a node: turns input into events, and carries out the node's actions."""
+"""Turns input into events for a node, and carries out its actions."""
 
 import asyncio
 import collections
@@ -24,8 +24,7 @@
 
 VM_POLL_S = 2.0
 LOAD_POLL_S = 0.5
-"""Time between two load requests; one engine at a time, so that the cost does not grow with the
-number of engines."""
+"""Time between load requests, one engine each: the cost is independent of their number."""
 
 OFFER_POLL_S = 30.0
 CONFIG_WAIT_MS = 5_000
@@ -66,10 +65,8 @@
         self.sequence = 0
         self.platform_seen_ms = -1
 
-    # Starting and stopping.
-
     async def start(self) -> None:
-        """Open the peer listener, add the peers and start the periodic tasks."""
+        """Open the peer listener and start the periodic tasks."""
         host, port = addresses.split(self.settings.listen.peers)
         port = await self.transport.listen(host, port)
         self.node.address = f"{host}:{port}"
@@ -112,10 +109,8 @@
         await self.platform.close()
         await self.endpoints.close()
 
-    # Events and actions.
-
     def handle(self, event: events.Event) -> None:
-        """Let the node handle an event and carry out the resulting actions."""
+        """Handle an event and carry out the resulting actions."""
         for action in self.node.handle(event):
             self._perform(action)
 
@@ -176,8 +171,6 @@
         self.metrics.count(events.Count("peer_drops", label=why[:60]))
         log.debug("Peer traffic dropped: {}.", why)
 
-    # Callers.
-
     def new_stream(self) -> streams.CallerStream:
         """Return a stream for a caller's next request."""
         self.sequence += 1
@@ -195,8 +188,6 @@
         if self.callers.pop(stream.watcher_id, None) is not None and stream.end is None:
             self.handle(events.CallerGone(stream.watcher_id))
 
-    # Endpoints.
-
     def _dispatch(self, order: events.HandOver) -> None:
         name = (order.request.id, order.attempt)
         task = self.spawn(self.endpoints.run(order, self.handle))
@@ -225,8 +216,6 @@
             return
         self.handle(events.LoadSeen(report))
 
-    # The platform.
-
     async def _get(self, action: events.PlatformGet) -> None:
         status = events.PlatformStatus
         try:
@@ -342,8 +331,6 @@
             self._platform_failed(error)
         return since
 
-    # Configuration.
-
     async def _watch_config(self) -> None:
         """Watch the configuration's head on the platform."""
         since = -1
--- a/plumarch/daemon/status_pages.py
+++ b/plumarch/daemon/status_pages.py
@@ -1,4 +1,4 @@
-"""The pages of a gateway: readiness for the platform, metrics and status for operators."""
+"""A gateway's pages: readiness, metrics and status."""
 
 from collections.abc import Callable
 
@@ -10,16 +10,16 @@
 METRICS_PATH = b"/metrics"
 STATUS_PATH = b"/status"
 MAX_QUARANTINED_LISTED = 20
-"""Quarantined requests that the status page lists at most."""
+"""Limit of listed quarantined requests."""
 
 MAX_EXCLUDED_LISTED = 20
-"""Endpoints that the status page lists at most for each reason."""
+"""Limit of listed endpoints for each reason."""
 
 TEXT = [(b"content-type", b"text/plain; version=0.0.4")]
 
 
 class StatusPages:
-    """Answers /metrics and /status, and all other paths with the readiness."""
+    """Answers /metrics, /status, and other paths with the readiness."""
 
     def __init__(
         self,
--- a/plumarch/daemon/streams.py
+++ b/plumarch/daemon/streams.py
@@ -1,4 +1,4 @@
-"""Streams of a caller's answer, from the node to the HTTP handler that waits for it."""
+"""Streams of answers from the node to waiting HTTP handlers."""
 
 import asyncio
 import dataclasses
@@ -17,7 +17,7 @@
 class CallerStream:
     """One caller's answer, buffered until the reader fetches it.
 
-    The reader fetches all tokens of a window at once, which saves a wake-up and a write per token.
+    The reader fetches a window's tokens at once, which saves a wake-up and a write per token.
     """
 
     def __init__(self, watcher_id: str) -> None:
@@ -63,10 +63,8 @@
     async def next_batch(self, window_ms: int) -> TokenBatch | None:
         """Wait for tokens, then until the window ends.
 
-        Args:
-          window_ms: how long to collect tokens after the first one.
         Returns:
-          The tokens, or None once the answer has ended and all tokens are read.
+          The tokens, or None once the answer has ended and all are read.
         """
         while not self.tokens:
             if self.end is not None:
