--- a/plumarch/standins/engine_app.py
+++ b/plumarch/standins/engine_app.py
@@ -1,4 +1,4 @@
-"""HTTP stand-in for a model engine: batching, streaming, resumption, KV export, load reports."""
+"""HTTP stand-in for a model engine."""
 
 import asyncio
 import dataclasses
@@ -51,8 +51,6 @@
     """State and speed of one engine.
 
     Attributes:
-      token_ms: time between tokens.
-      tokens_per_event: tokens in one streamed event.
       delay_ms: added time to first token, which simulates a slow engine.
     """
 
--- a/plumarch/standins/engine_cloud.py
+++ b/plumarch/standins/engine_cloud.py
@@ -1,4 +1,4 @@
-"""Cloud that boots and reclaims engines on virtual time, for replays of engine plans."""
+"""Cloud of engines on virtual time, for replays of engine plans."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -12,7 +12,6 @@
     """An engine that is booting, running or draining.
 
     Attributes:
-      ready_ms: when booting completes.
       ends_ms: when it stops, or None if that is not scheduled.
     """
 
@@ -27,12 +26,9 @@
     """The engines of one service.
 
     Attributes:
-      engines: booting and running engines.
       unavailable_until_ms: until when a data centre offers no spot engines.
       notice_ms: how long a reclaimed engine keeps running, without new requests.
       cost: accumulated cost; a firm engine at price 1 costs 1 per second.
-      firm_cost: the part of `cost` due to firm engines.
-      refusals: spot orders refused for lack of supply.
     """
 
     clock: clock.ManualClock
--- a/plumarch/standins/gossip_fleet.py
+++ b/plumarch/standins/gossip_fleet.py
@@ -1,4 +1,4 @@
-"""Simulated fleet of gossiping nodes on virtual time, over a network with injected faults."""
+"""Simulated fleet of gossiping nodes on virtual time."""
 
 import dataclasses
 import heapq
@@ -135,13 +135,10 @@
     """Nodes, the network between them, and injected faults.
 
     Attributes:
-      loss_fraction: fraction of datagrams lost.
-      duplicate_fraction: fraction of datagrams delivered twice.
       late_ms: maximum additional delay of a datagram.
       cut: predicate that tells whether two nodes are partitioned.
       datagrams: number sent, by whether they left the data centre.
       bytes: bytes sent, by whether they left the data centre.
-      region_bytes: bytes sent to other regions.
     """
 
     def __init__(
@@ -150,8 +147,7 @@
         """Start all nodes.
 
         Args:
-          knows_all: whether a node starts with the members that started before it; otherwise it
-            knows the seeds only.
+          knows_all: whether a node knows those started before it, not just the seeds.
         """
         self.time = clock.ManualClock(START_MS)
         self.rng = random.Random(seed)
@@ -183,11 +179,7 @@
         self.schedule(after_ms, lambda: self.start(number, data_centre, knows_all))
 
     def start(self, number: int, data_centre: str, knows_all: bool = True) -> Node:
-        """Start a node, replacing a former process of the same name.
-
-        Args:
-          knows_all: whether it starts with all members known.
-        """
+        """Start a node, replacing a former process of the same name."""
         node = Node(self, number, data_centre, self.starts.seeds_of.get(data_centre, self.seeds))
         before = self.nodes.get(node.name)
         if before is not None:
--- a/plumarch/standins/objects.py
+++ b/plumarch/standins/objects.py
@@ -1,4 +1,4 @@
-"""In-memory object store with versions, conditional writes and injected faults."""
+"""In-memory object store with injected faults."""
 
 import dataclasses
 import random
@@ -20,10 +20,8 @@
     """Faults to inject.
 
     Attributes:
-      down: all calls fail.
       lose_answers: fraction of writes that succeed but whose response is lost.
       refuse: fraction of calls that fail before taking effect.
-      slow_ms: latency added to each call.
       forget_history: watches raise TooOld.
     """
 
--- a/plumarch/standins/platform_app.py
+++ b/plumarch/standins/platform_app.py
@@ -1,4 +1,4 @@
-"""HTTP stand-in for the platform: objects, watches, VM list, cloud, weight store, faults."""
+"""HTTP stand-in for the platform."""
 
 import asyncio
 import dataclasses
@@ -21,7 +21,7 @@
 
 
 class FaultChange(msgspec.Struct, frozen=True):
-    """Faults to set, by field of objects.Faults, and the number of VM starts to refuse."""
+    """Faults by field of objects.Faults, and the number of VM starts to refuse."""
 
     faults: dict[str, bool | float | int] = {}
     refused_starts: int | None = None
--- a/plumarch/standins/region_replay.py
+++ b/plumarch/standins/region_replay.py
@@ -1,6 +1,6 @@
 """Replays load on a multi-region fleet on virtual time.
 
-Nodes choose endpoints by delayed load reports, so oscillation due to stale data becomes visible.
+Nodes see delayed load reports, so oscillation due to stale data becomes visible.
 """
 
 import dataclasses
@@ -51,8 +51,6 @@
     """A dispatched request.
 
     Attributes:
-      sent_ms: time of dispatch.
-      region: region of its caller.
       took_ms: time to the answer or the first token.
     """
 
--- a/plumarch/standins/scripted_endpoint.py
+++ b/plumarch/standins/scripted_endpoint.py
@@ -1,6 +1,6 @@
 """Endpoint that sends raw bytes chosen by a test.
 
-Used for truncated, late, surplus or misdirected answers that an HTTP library would not send.
+Sends answers that an HTTP library would not: truncated, late, surplus or misdirected.
 """
 
 import asyncio
--- a/plumarch/standins/store_replay.py
+++ b/plumarch/standins/store_replay.py
@@ -1,4 +1,4 @@
-"""Simulated fleets on virtual time that follow a store with counted calls.
+"""Simulated fleets on virtual time that follow a store.
 
 The store, the network and the transfer of snapshots are simulated; the rest is product code.
 """
@@ -30,12 +30,9 @@
     Attributes:
       refused: nodes whose calls fail at once.
       unresponsive: nodes whose calls, watches included, time out.
-      down: whether all calls fail at once.
       kept: records, by kind and name.
-      removed: revisions at which records were removed.
       reads: read calls per second, failed ones included.
       writes: write calls per second, failed ones included.
-      by_call: calls by operation.
     """
 
     version: int = 1
--- a/plumarch/standins/suspended.py
+++ b/plumarch/standins/suspended.py
@@ -29,8 +29,6 @@
 
     Attributes:
       at_step: step, counted over all coroutines, before which it occurs; 0 for never.
-      for_ms: duration of the suspension.
-      steps: steps counted so far.
     """
 
     time: ShiftedClock
--- a/plumarch/standins/virtual.py
+++ b/plumarch/standins/virtual.py
@@ -1,7 +1,4 @@
-"""Simulates nodes, endpoints and a platform in one process on virtual time.
-
-Messages across each interface can be delayed, lost, duplicated or partitioned.
-"""
+"""Simulates nodes, endpoints and a platform on virtual time, with faults between them."""
 
 import collections
 import dataclasses
@@ -31,7 +28,6 @@
       double: fraction of messages delivered twice.
       late: fraction of messages delayed by up to late_ms.
       cuts: pairs of data centres or nodes that are partitioned.
-      platform_cuts: data centres or nodes that cannot reach the platform.
     """
 
     delay_ms: int = 2
@@ -73,12 +69,9 @@
     """Performance model of a fake engine.
 
     Attributes:
-      prefill_ms: fixed part of the time to first token.
       prefill_token_ms: additional time for each prompt token not in the prefix cache.
       crowding: relative slowdown of decoding per other request in the batch.
       prefix_tokens: prompt tokens that a cached prefix covers.
-      cache_limit: maximum number of cached prefixes.
-      tokens_per_event: tokens per event after the first.
       batch: maximum batch size, beyond which requests queue; 0 for no limit.
     """
 
@@ -100,7 +93,6 @@
       fencing: highest fencing token seen for each slot.
       break_at: stage at which the next call fails: "", "connect", "sent" or "ran".
       backoff_ms: if set, each call is rejected with this Retry-After.
-      refused: number of rejected calls.
       announced_rate: request rate announced with each answer, or None.
     """
 
@@ -176,8 +168,6 @@
         self.interfere: Callable[[Host, events.Action], bool] | None = None
         self.bytes_sent: collections.Counter[str] = collections.Counter()
 
-    # Time.
-
     def at(self, delay_ms: int, callback: Callable[[], None]) -> None:
         """Schedule a callback after a delay."""
         due = self.clock.now() + max(0, delay_ms)
@@ -192,8 +182,6 @@
             callback()
         self.clock.advance_to(end)
 
-    # Nodes.
-
     def start(self, name: str, data_centre: str, peers: tuple[str, ...]) -> Host:
         """Start a node, or a new incarnation of one."""
         self.incarnations[name] += 1
@@ -291,8 +279,6 @@
             case events.Observe():
                 self.observed.append(action)
 
-    # The network between nodes.
-
     def cut(self, one: str, other: str) -> None:
         """Partition two data centres or nodes."""
         self.network.cuts.add(frozenset((one, other)))
@@ -338,8 +324,6 @@
 
         self.at(delay, arrive)
 
-    # The platform.
-
     def _platform(self, host: Host, action: events.PlatformGet | events.PlatformPut) -> None:
         faults = self.store.faults
         delay = 3 + self.rng.randrange(4) + faults.slow_ms
@@ -383,8 +367,6 @@
                 stored = None
         self._answer(host, action.call_id, status, 3, stored)
 
-    # The cloud.
-
     def _order(self, host: Host, order: events.CloudOrder) -> None:
         status = events.CloudStatus
         if self.store.faults.down or host.data_centre in self.network.platform_cuts:
@@ -448,8 +430,6 @@
         for host in self.hosts.values():
             self.deliver(host, events.OffersSeen(offers))
 
-    # Endpoints.
-
     def add_endpoint(self, info: data.Endpoint) -> FakeEndpoint:
         """Add an endpoint; publish_endpoints makes it known to nodes."""
         endpoint = FakeEndpoint(info)
@@ -620,8 +600,6 @@
         if endpoint is not None:
             self._remove_from_batch(endpoint, action.request_id, action.attempt)
 
-    # Reclaims.
-
     def reclaim(self, names: tuple[str, ...], left_ms: int, notified: tuple[str, ...]) -> None:
         """Announce a reclaim of VMs to some nodes and remove the VMs at the deadline."""
         for name in names:
@@ -639,8 +617,6 @@
                 self.kill(name)
         self.publish_endpoints()
 
-    # Callers.
-
     def call(self, name: str, request: data.Request) -> invariants.CallerView:
         """Submit a request through an entry node."""
         caller = self._new_caller(name, request.workspace, request)
--- a/plumarch/standins/virtual_time.py
+++ b/plumarch/standins/virtual_time.py
@@ -7,11 +7,7 @@
 
 
 class VirtualSelector(selectors.DefaultSelector):
-    """Selector that advances virtual time instead of blocking.
-
-    Attributes:
-      now_s: elapsed virtual time in seconds.
-    """
+    """Selector that advances virtual time instead of blocking."""
 
     def __init__(self) -> None:
         super().__init__()
