--- a/plumarch/gateway/callers/admission.py
+++ b/plumarch/gateway/callers/admission.py
@@ -14,7 +14,7 @@
 RETRY_WITHOUT_CONFIGURATION_MS = 500.0
 RETRY_ELSEWHERE_MS = 10.0
 PLAIN_ANSWER_MS = 1_500.0
-"""Plain requests are refused when less than this is left before the process stops."""
+"""Plain requests are refused in this last time before the process stops."""
 
 DEFAULT_DEADLINE_MS = 30_000.0
 
@@ -69,7 +69,7 @@
 
 
 def urgency(admitted: Admitted) -> int:
-    """Return a request's priority at an engine, 0 being first; workspace rank before route rank."""
+    """Return a request's priority at an engine: 0 first, workspace rank before route rank."""
     return _rank(admitted.workspace, admitted.route)
 
 
@@ -80,7 +80,7 @@
 
 
 def refuse_over_memory_budget(state: fleet_state.FleetState, admitted: Admitted) -> Refusal:
-    """Refund a request and return its refusal: its workspace is over its memory limit."""
+    """Refund and refuse a request whose workspace is over its memory limit."""
     if admitted.workspace is not None:
         state.quota.refund(admitted.workspace, admitted.units)
     back_in_ms = return_times.spread(
@@ -92,7 +92,7 @@
 def admit(
     state: fleet_state.FleetState, request: caller_requests.CallerRequest
 ) -> Admitted | Refusal:
-    """Admit or refuse a request; charge its workspace if it is admitted."""
+    """Admit a request and charge its workspace, or refuse it."""
     table = state.table
     names = state.names
     if table is None:
@@ -113,7 +113,7 @@
     fingerprint = request_identity.fingerprint(workspace_name, request)
     quarantined = state.quarantine.find_quarantined(fingerprint)
     if quarantined is not None and quarantined.back_in_ms > 0:
-        # Another run would crash another endpoint and fail the other requests there.
+        # Another run would crash another endpoint, with its other requests.
         return Refusal(503, "quarantined", float(quarantined.back_in_ms), workspace_name)
     rank = _rank(workspace, route)
     usage = memory_admission.MemoryUsage(state.memory.total(), state.memory.budget)
@@ -145,7 +145,7 @@
 
 
 def _quota_rank(table: routing_table.RoutingTable, route: traffic.Route) -> int:
-    """Return a request's rank within its workspace's quota; plain requests always rank first."""
+    """Return a request's rank in its workspace's quota; plain requests rank first."""
     if route.kind is not traffic.RouteKind.STREAMING:
         return 0
     return max(0, route.priority - table.most_urgent_stream)
@@ -182,7 +182,7 @@
 
 
 def requested_timeout_ms(names: dialect.Dialect, headers: caller_requests.Headers) -> float:
-    """Return the timeout in a request's deadline header, or the default."""
+    """Return the deadline header's timeout, or the default."""
     try:
         timeout_ms = float(dialect.header_value(headers, names.deadline_ms))
     except ValueError:
--- a/plumarch/gateway/callers/caller_connection.py
+++ b/plumarch/gateway/callers/caller_connection.py
@@ -17,10 +17,10 @@
 from plumarch.limits import memory_account
 
 LINGER_S = 1.0
-"""Time for which bytes are still read after a final answer, which a reset could discard."""
+"""Bytes are read this long after a final answer, which a reset could discard."""
 
 READ_AHEAD_BYTES = 65_536
-"""Maximum bytes of pipelined requests that are read while a request is served."""
+"""Maximum bytes of pipelined requests read while one is served."""
 
 BODY_TIME_MS = 30_000.0
 """Default time limit for receiving a body."""
@@ -34,14 +34,12 @@
 
 @dataclasses.dataclass(slots=True)
 class CallerServer:
-    """State shared by all connections of callers.
+    """State shared by callers' connections.
 
     Attributes:
       draining: whether connections are closed after each answer.
-      time_allowed_ms: returns a request's timeout from its headers.
       on_disconnect: called with the reason and the number of unread bytes.
       back_in_ms: returns the expected time until so many bytes are free.
-      stall_ms: how long a caller may read nothing.
     """
 
     clock: clock.Clock
@@ -62,7 +60,7 @@
         return CallerConnection(self)
 
     def busy(self) -> int:
-        """Return the number of connections with a request in progress or an unread answer."""
+        """Count connections with a request in progress or an unread answer."""
         return sum(1 for one in self.connections if one.task is not None or one.unread.size)
 
     def close_idle(self) -> None:
@@ -136,7 +134,7 @@
         self._count_ahead()
 
     def _count_ahead(self) -> None:
-        """Reserve memory for bytes that aren't parsed yet."""
+        """Reserve memory for unparsed bytes."""
         ahead = len(self.http.trailing_data[0])
         if not self.server.memory.resize(self.ahead, ahead):
             self.disconnect("no_memory")
@@ -168,8 +166,6 @@
         if self.output is not None:
             self.output.count()
 
-    # Receiving a request
-
     def _await_request(self) -> None:
         self.head = None
         self.body.end()
@@ -241,8 +237,6 @@
         self.send(status, headers, b"")
         self._linger()
 
-    # Serving a request
-
     def _serve(self) -> None:
         assert self.head is not None
         request = caller_requests.CallerRequest(
@@ -339,14 +333,12 @@
             self.transport.abort()
 
     def disconnect(self, reason: str) -> None:
-        """Disconnect the caller, for a stall or lack of memory."""
+        """Disconnect the caller."""
         if not self.disconnect_reason:
             self.disconnect_reason = reason
             self.server.on_disconnect(reason, self.unread.size)
         self.abort()
 
-    # Closing
-
     def close_if_idle(self) -> None:
         """Close the connection unless a request has begun."""
         if self.began_ms < 0 and self.task is None and self.transport is not None:
@@ -388,5 +380,5 @@
 
 
 def _declared_size(head: h11.Request) -> int:
-    """Return a request's Content-Length, which h11 has validated."""
+    """Return the Content-Length, validated by h11."""
     return int(dialect.header_value(head.headers, b"content-length") or 0)
--- a/plumarch/gateway/callers/caller_requests.py
+++ b/plumarch/gateway/callers/caller_requests.py
@@ -1,4 +1,4 @@
-"""Interfaces of a caller's request, its reply and the request handler."""
+"""Interfaces of requests, replies and handlers."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -21,12 +21,12 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-"""Reason phrases of the statuses that the gateway itself answers with."""
+"""Reason phrases of the gateway's own statuses."""
 
 
 @dataclasses.dataclass(slots=True)
 class CallerRequest:
-    """A request that was received completely.
+    """A completely received request.
 
     Attributes:
       body: emptied once the request can't be sent to another endpoint.
@@ -49,7 +49,6 @@
     """The answer to one request.
 
     Attributes:
-      started: whether its head was sent.
       disconnect_reason: why the gateway disconnected the caller, or "".
     """
 
--- a/plumarch/gateway/callers/incoming_body.py
+++ b/plumarch/gateway/callers/incoming_body.py
@@ -1,4 +1,4 @@
-"""A request body that is being received, limited in size, time and idle time."""
+"""Request bodies, limited in size, time and idle time."""
 
 from collections.abc import Hashable
 
@@ -14,9 +14,7 @@
     """A request body; its memory stays reserved until the request is answered.
 
     Attributes:
-      reservation: its bytes in the node's memory account.
       data: bytes received; emptied once the body is complete.
-      last_seen_ms: when bytes were last received.
       ends_ms: deadline of the request.
     """
 
@@ -63,7 +61,7 @@
         return max(1.0, min(self.ends_ms, self.last_seen_ms + self.limits.idle_timeout_ms) - now)
 
     def complete(self) -> bytes:
-        """Return the complete body; its memory stays reserved."""
+        """Return the complete body."""
         found = bytes(self.data)
         self.data.clear()
         self.memory.change_purpose(self.reservation, memory_account.Purpose.KEPT_BODIES)
--- a/plumarch/gateway/callers/request_identity.py
+++ b/plumarch/gateway/callers/request_identity.py
@@ -1,4 +1,4 @@
-"""Fingerprints of requests: the same for each retry, at any node and under any request id."""
+"""Fingerprints of requests, independent of node and request id."""
 
 from plumarch.core import hashing
 from plumarch.gateway.callers import caller_requests
