--- a/plumarch/gateway/connections/__init__.py
+++ b/plumarch/gateway/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Connections: requests to endpoints, write buffers, keep-alive probes, and open runs."""
+"""Connections to endpoints, write buffers and keep-alive probes."""
--- a/plumarch/gateway/connections/exchange.py
+++ b/plumarch/gateway/connections/exchange.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 client connections to endpoints and platforms, on h11.
 
-HTTP clients with connection pools retry some requests by themselves; a request here may run once.
+HTTP clients with pools retry some requests by themselves; a request here may run once.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 """An endpoint that accepts no byte of a request for this long is given up."""
 
 READ_BUFFER = bytearray(READ_BYTES)
-"""Shared by all connections; bytes are copied out of it before the next read."""
+"""Shared by all connections; bytes are copied out before the next read."""
 
 
 class Exchange(asyncio.BufferedProtocol):
@@ -37,7 +37,6 @@
       unparsed: upper bound of received, unparsed bytes.
       nothing_accepted: whether it was closed before the endpoint accepted a byte of the request.
       peer_restarted: whether it was closed because the endpoint has restarted.
-      outgoing: write buffer of a request whose memory is counted.
     """
 
     def __init__(self) -> None:
@@ -105,7 +104,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Record the end of the connection; without a preceding EOF it is a fault."""
+        """Record the connection's end; without a preceding EOF it is a fault."""
         if not self.at_eof:
             self.fault = self.fault or f"connection lost: {exc or 'closed'}"
         if self.outgoing is not None:
@@ -210,7 +209,7 @@
         return errors.ConnectionBroken(self.fault or "the peer closed the connection")
 
     def _continue_reading(self) -> None:
-        """Resume reading once all received bytes are parsed."""
+        """Resume reading once all bytes are parsed."""
         self.unparsed = 0
         if not self.is_paused and self.transport is not None:
             self.transport.resume_reading()
@@ -245,7 +244,7 @@
                     raise errors.ConnectionBroken(f"the answer is longer than {limit} bytes")
 
     def reuse(self) -> bool:
-        """Prepare for another request; return False if the connection can't be reused."""
+        """Prepare for another request; False if the connection can't be reused."""
         if self.fault or self.at_eof or self.http.trailing_data[0]:
             return False
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
@@ -254,7 +253,7 @@
         return True
 
     def close_restarted(self, why: str) -> None:
-        """Close the connection, since the process at its other end has restarted."""
+        """Close the connection to a restarted process."""
         self.peer_restarted = True
         self.fault = self.fault or why
         self.close()
--- a/plumarch/gateway/connections/keepalive.py
+++ b/plumarch/gateway/connections/keepalive.py
@@ -9,12 +9,11 @@
 IDLE_S = 1
 INTERVAL_S = 1
 PROBES = 2
-"""An idle connection is probed each second and closed after two unanswered probes, which is 3 s
-after the peer's last packet."""
+"""An idle connection is probed each second and closed after two unanswered probes."""
 
 
 def enable_probes(transport: asyncio.BaseTransport) -> None:
-    """Let the kernel probe a connection, and close it when the peer is unreachable."""
+    """Let the kernel probe a connection."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
--- a/plumarch/gateway/connections/open_runs.py
+++ b/plumarch/gateway/connections/open_runs.py
@@ -1,6 +1,6 @@
 """Connections with a request in progress, closed when their endpoint has restarted.
 
-A VM that loses power resets no connection, so that its requests would wait for their deadline.
+A VM that loses power resets no connection: requests would wait for their deadline.
 """
 
 import dataclasses
--- a/plumarch/gateway/connections/outgoing.py
+++ b/plumarch/gateway/connections/outgoing.py
@@ -1,4 +1,4 @@
-"""Write buffers of connections, counted in the node's memory account; stalled peers are reported.
+"""Write buffers of connections, counted in the node's memory account.
 
 asyncio's transports buffer any number of bytes that the socket doesn't accept.
 """
@@ -24,8 +24,6 @@
     """The bytes written to one connection.
 
     Attributes:
-      written: total number of bytes.
-      empty: set while the socket has accepted all bytes.
       extra_timeout_ms: added to the kernel's timeout of the connection.
       stalled: called when the peer has read nothing for too long.
     """
@@ -52,14 +50,14 @@
         transport.set_write_buffer_limits(0)
 
     def write(self, data: bytes) -> bool:
-        """Write bytes; False if there is no memory for unread bytes: abort the connection then."""
+        """Write bytes; False if memory is short: abort the connection then."""
         if self.transport.is_closing():
             return True
         self.transport.write(data)
         return self.track(len(data))
 
     def track(self, size: int) -> bool:
-        """Count written bytes and schedule stall checks; False if there is no memory for them."""
+        """Count written bytes and schedule stall checks; False if memory is short."""
         if self.timer is None:
             # The peer has acknowledged all earlier bytes.
             self.progress.begin(self.written, _now_ms())
@@ -68,7 +66,7 @@
         return self.count()
 
     def count(self) -> bool:
-        """Reserve memory for bytes that the socket hasn't accepted; False if there is none."""
+        """Reserve memory for unsent bytes; False if there is none."""
         unread = self.unread()
         if not unread and not self.reservation.size:
             return True
@@ -81,11 +79,11 @@
         return True
 
     def unread(self) -> int:
-        """Return the number of bytes that the socket hasn't accepted."""
+        """Return the number of unsent bytes."""
         return self.transport.get_write_buffer_size()
 
     def acknowledged(self) -> int:
-        """Return the number of bytes that the peer has acknowledged."""
+        """Return the number of acknowledged bytes."""
         return self.written - self.unread() - _unacknowledged_bytes(self.transport)
 
     def end(self) -> None:
