--- a/plumarch/gateway/store/follower.py
+++ b/plumarch/gateway/store/follower.py
@@ -1,4 +1,4 @@
-"""Keeps configuration and endpoints in sync with the platform's store: list, then watch."""
+"""Keeps configuration and endpoints in sync with the platform's store."""
 
 import asyncio
 import dataclasses
@@ -10,32 +10,32 @@
 from plumarch.gateway import fleet_state, ports
 
 WATCH_MS = 2_500
-"""How long the store holds a single follower's watch, which can only be found stale at its end."""
+"""Duration of a single follower's watch, which can only be found stale at its end."""
 
 SHARED_WATCH_MS = 5_000
 """The same with several followers: longer, as peers also report changes that a watch missed."""
 
 LOOK_MS = 500.0
 MAX_STALE_CHECKS = 3
-"""A watch is stale if three checks in a row find a change that peers reported and it did not."""
+"""A watch is stale if three checks in a row find a change that only peers reported."""
 
 NEWS_PAUSE_MS = 200.0
-"""Pause between an answer and the next watch, which batches changes in quick succession."""
+"""Pause before the next watch, which batches changes in quick succession."""
 
 SHARED_WATCH_PAUSE_MS = (200.0, 800.0)
-"""Range of the pause with several followers; random, so that one of them watches again early."""
+"""Range of the pause with several followers; random, so that one watches again early."""
 
 FIRST_LIST_PAUSE_MS = 800.0
 """Pause after the first list, in which a node learns of the other followers."""
 
 NOT_WATCHING_MS = 1_000.0
-"""How often a node that doesn't watch checks whether it has to."""
+"""Interval at which a node checks whether it has to watch."""
 
 BACKOFF = backoff.Backoff(first_ms=150.0, max_ms=600.0)
 """For a node that can't serve without the store, or is the only one to notice its recovery."""
 
 SHARED_BACKOFF = backoff.Backoff(first_ms=500.0, max_ms=4_000.0)
-"""For a node that gets changes from its peers. Longer, as failed calls are billed too."""
+"""For a node that gets changes from peers; failed calls are billed too."""
 
 STORE = "store"
 ENDPOINTS = "endpoint"
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Dependency:
-    """Tracks whether a dependency answers; logs its loss and recovery."""
+    """Logs a dependency's loss and recovery."""
 
     state: fleet_state.FleetState
     name: str
@@ -83,7 +83,7 @@
 
 
 class Follower:
-    """Keeps the state's configuration and registry up to date from the store.
+    """Keeps the state up to date from the store.
 
     A node that doesn't watch the store gets changes from its peers.
     """
@@ -99,7 +99,6 @@
         """Create a follower.
 
         Args:
-          on_change: called when something changed.
           watches: returns whether this node has to watch the store.
           shared: returns whether some nodes watch it for the whole fleet.
         """
--- a/plumarch/gateway/store/quarantine_record.py
+++ b/plumarch/gateway/store/quarantine_record.py
@@ -1,7 +1,7 @@
 """The quarantine's record in the platform's store, for isolated nodes and full restarts of a fleet.
 
-In each partition of the fleet the most senior node that reaches the store watches and writes it. A
-trial run of a quarantined request is granted to the node whose conditional write succeeds.
+In each partition the most senior node that reaches the store watches and writes it. A trial run is
+granted to the node whose conditional write succeeds.
 """
 
 import asyncio
@@ -20,22 +20,22 @@
 NAME = "requests"
 
 WATCH_MS = 20_000
-"""How long the store holds a watch: long, as changes are rare and calls are billed."""
+"""Duration of a watch: long, as calls are billed."""
 
 MIN_POINTS = 2 * quarantine.EARLY_POINTS
 """Points from which a request is recorded: one crash early, as partitions' crashes add up."""
 
 MAX_SUSPECTS = 64
-"""Maximum number of requests in the record, whose size the store limits to 1 MB."""
+"""Maximum requests in the record, which the store limits to 1 MB."""
 
 FIRST_LIST_MS = 500.0
 """Delay of the first list, in which a new process learns of other followers."""
 
 WRITE_CHECK_MS = 100.0
-"""How often a node checks whether something has to be written."""
+"""Interval of the checks for due writes."""
 
 SUSPECT_DELAY_MS = 500
-"""Delay of writing a request that isn't quarantined yet, which batches writes."""
+"""Delay of writing a request not yet quarantined, which batches writes."""
 
 
 class QuarantineRecord:
@@ -67,8 +67,6 @@
         self.due_ms: int | None = None
         state.request_trial = self.claim
 
-    # Reading
-
     async def follow_forever(self) -> None:
         """Apply changes of the record while this node follows it, forever."""
         dependency = follower.Dependency(self.state, "store-quarantine")
@@ -140,8 +138,6 @@
         if self.state.publish_suspect is not None:
             self.state.publish_suspect(fingerprint)
 
-    # Writing
-
     async def write_forever(self) -> None:
         """Write missing requests while this node follows the record, forever."""
         while True:
@@ -219,8 +215,6 @@
         else:
             self.revision, self.recorded = 0, {}
 
-    # Trials
-
     async def claim(self, fingerprint: str) -> bool:
         """Claim the trial run of a quarantined request; only one node is granted it."""
         await self._reload()
--- a/plumarch/gateway/store/registration.py
+++ b/plumarch/gateway/store/registration.py
@@ -1,6 +1,6 @@
 """Node records in the platform's store, by which new nodes find the fleet when its seeds are gone.
 
-Calls are billed: each node reads the records once, and writes are rare.
+Calls are billed: each node reads once, and writes are rare.
 """
 
 import asyncio
@@ -13,13 +13,13 @@
 from plumarch.membership import fleet_view, node_record, tiers
 
 CHECK_MS = 1_000.0
-"""How often a node checks whether it has to write a record."""
+"""Interval of the checks for due writes."""
 
 SETTLE_MS = 1_500
 """Delay of the first write, in which a new process learns of the fleet."""
 
 ISOLATED_READ_INTERVAL_MS = 3_000
-"""How often a node that sees no other live node reads the records again."""
+"""Interval at which a node without live peers reads again."""
 
 MIN_LIVE_NODES = 2
 """A data centre's record is rewritten when fewer of its nodes are alive."""
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WantedRecord:
-    """A record that this node has to maintain, and the nodes that it lists."""
+    """A record to maintain, and its nodes."""
 
     name: str
     nodes: list[node_record.NodeRecord]
@@ -102,7 +102,7 @@
         self.gossip.send_heartbeat_soon()
 
     def _wanted(self) -> WantedRecord | None:
-        """Return the record that this node has to maintain, if any."""
+        """Return the record to maintain, if any."""
         view = self.view
         if view.role is tiers.Role.FLAT and view.estimated_size() <= tiers.FLAT_FLEET:
             mine = node_record.NodeRecord(view.address, view.data_centre)
@@ -116,7 +116,7 @@
         )
 
     def _is_written(self, wanted: WantedRecord) -> bool:
-        """Return whether the stored record lists enough live nodes."""
+        """Return whether the record lists enough live nodes."""
         record = self.known.get(wanted.name)
         written = node_record.decode(record) if record is not None else None
         if not written:
