--- a/plumarch/config/fields.py
+++ b/plumarch/config/fields.py
@@ -1,4 +1,4 @@
-"""Types of the keys of INI sections, and the conversion of a key's text to its type.
+"""Types of INI keys, and parsing of their texts.
 
 Uses msgspec for validation, since its import is fast and every start of a node waits for it.
 """
--- a/plumarch/config/files.py
+++ b/plumarch/config/files.py
@@ -100,7 +100,7 @@
 
 
 def difference(old: dict[str, str], new: dict[str, str]) -> list[str]:
-    """Return the lines of a unified diff between two sets of documents."""
+    """Return a unified diff of two sets of documents."""
     lines: list[str] = []
     for name in sorted(old.keys() | new.keys()):
         before = old.get(name, "").splitlines()
--- a/plumarch/config/ini.py
+++ b/plumarch/config/ini.py
@@ -83,9 +83,6 @@
 def parse(file: str, text: str) -> Document:
     """Parse an INI text.
 
-    Args:
-      file: its name, for problems.
-      text: the text.
     Returns:
       The document; syntax errors are among its problems.
     """
--- a/plumarch/config/publishing.py
+++ b/plumarch/config/publishing.py
@@ -1,7 +1,7 @@
 """Publishes a configuration on the platform atomically.
 
-Documents are written first, under names that are digests of their content. One conditional write
-of the head object, which lists all documents, then puts them in force.
+Documents are written first, named by digest. One conditional write of the head object, which lists
+them all, then puts them in force.
 """
 
 import dataclasses
@@ -76,8 +76,6 @@
 
     Args:
       platform: where the documents in force are read from.
-      current: the configuration in force.
-      given: the operator's documents.
       prune: whether to remove documents that are not among the given ones.
     """
     kept = {} if prune else current.head.manifest
@@ -118,7 +116,7 @@
 
 
 async def _write_document(platform: protocol.Platform, digest: str, text: str) -> None:
-    """Write a document, unless it exists: its name is the digest of its content."""
+    """Write a document, unless it exists."""
     for _ in range(MAX_WRITE_ATTEMPTS):
         try:
             await platform.put(document_name(digest), text.encode(), 0)
--- a/plumarch/config/rendering.py
+++ b/plumarch/config/rendering.py
@@ -102,7 +102,6 @@
 
     Args:
       file: the workspace document's name, for problems.
-      text: the workspace document.
       template_text: its template; "" if there is none of that name.
     Returns:
       The workspace, or None if there are problems; and all problems.
--- a/plumarch/config/routing_table.py
+++ b/plumarch/config/routing_table.py
@@ -1,4 +1,4 @@
-"""The gateway's configuration and its index: routes, services, workspaces, limits."""
+"""The gateway's configuration and its index."""
 
 import dataclasses
 
--- a/plumarch/config/state.py
+++ b/plumarch/config/state.py
@@ -1,7 +1,6 @@
 """The configuration in force on a node.
 
-Documents are compared by digest, so that a change renders only the workspaces whose document or
-template changed.
+Documents are compared by digest, so that a change renders only the affected workspaces.
 """
 
 import hashlib
