--- a/bench/demo_runs.py
+++ b/bench/demo_runs.py
@@ -64,10 +64,7 @@
     """Run the demo and print how many runs passed; exit with 1 unless all did.
 
     Args:
-      folder: directory for the output of the runs.
-      runs: number of runs.
       busy: processes that each keep a core busy meanwhile; -1 for one per core.
-      at_once: concurrent runs.
     """
     output_folder = pathlib.Path(folder)
     output_folder.mkdir(parents=True, exist_ok=True)
--- a/bench/rounds/settings.py
+++ b/bench/rounds/settings.py
@@ -30,8 +30,6 @@
     Attributes:
       why: hypothesis, recorded in the journal entry of each run.
       before: checkout without the change, outside of /tmp.
-      after: checkout with the change.
-      at_once: maximum of concurrent runs.
       no_cpu: exclude processor time from the score, so that runs are nearly reproducible.
       extra: prefix of the reason recorded with each run, such as "trial".
     """
--- a/bench/rounds/tables.py
+++ b/bench/rounds/tables.py
@@ -1,4 +1,4 @@
-"""Tables of a round: metrics before and after, their difference and its standard deviation."""
+"""Tables of a round's metrics before and after."""
 
 import csv
 import dataclasses
