--- a/conftest.py
+++ b/conftest.py
@@ -1,7 +1,6 @@
-"""Marks the tests listed in KNOWN-RED.txt as expected failures and prints the list.
+"""Marks the tests listed in KNOWN-RED.txt as strict expected failures and prints the list.
 
-A line is `TEST: CAUSE; COMMAND AND SEED; WHAT WAS SEEN; ISSUE`. A listed test that passes fails the
-run, unless its cause begins with "at times". A test without parameters stands for all of them.
+A line is `TEST: CAUSE; COMMAND AND SEED; WHAT WAS SEEN; ISSUE`.
 """
 
 import pathlib
@@ -10,8 +9,6 @@
 
 KNOWN_RED = pathlib.Path(__file__).parent / "KNOWN-RED.txt"
 MAX_KNOWN_RED = 3
-AT_TIMES = "at times"
-"""Start of the cause of a test that fails in some runs only."""
 
 
 def known_red() -> dict[str, str]:
@@ -23,13 +20,11 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Mark listed tests as expected failures, strict ones unless they fail only at times."""
+    """Mark listed tests as expected failures; one that passes fails the run."""
     listed = known_red()
     for item in items:
-        line = listed.get(item.nodeid) or listed.get(item.nodeid.partition("[")[0])
-        if line is not None:
-            strict = not line.partition(": ")[2].startswith(AT_TIMES)
-            item.add_marker(pytest.mark.xfail(strict=strict, reason=line))
+        if item.nodeid in listed:
+            item.add_marker(pytest.mark.xfail(strict=True, reason=listed[item.nodeid]))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
