--- a/plumarch/core/addresses.py
+++ b/plumarch/core/addresses.py
@@ -5,7 +5,10 @@
 LAST_PORT = 65_535
 
 BACKLOG = 1024
-"""Limit of a listening socket's accept queue; a full one drops SYN packets."""
+"""Limit of a listening socket's accept queue.
+
+A full queue drops SYN packets, which are resent only after a second or more.
+"""
 
 
 def split(address: str) -> tuple[str, int]:
--- a/plumarch/gateway/connections/keepalive.py
+++ b/plumarch/gateway/connections/keepalive.py
@@ -4,7 +4,10 @@
 import socket
 
 USER_TIMEOUT_MS = 3_000
-"""The kernel closes a connection whose bytes or probes are unacknowledged for this long."""
+"""The kernel closes a connection whose bytes or probes are unacknowledged for this long.
+
+Longer than a lost packet and its retransmission take.
+"""
 
 IDLE_S = 1
 INTERVAL_S = 1
--- a/plumarch/gateway/dispatch/stream_relay.py
+++ b/plumarch/gateway/dispatch/stream_relay.py
@@ -101,7 +101,10 @@
             raise errors.ConnectionBroken(f"event {event.id} came after {last}")
 
     def _may_abandon(self) -> bool:
-        """Return whether the stream may be resumed later, which spends the retry budget."""
+        """Return whether the stream may be resumed later.
+
+        This spends the retry budget, which bounds the sends that a slow caller can cause.
+        """
         route = self.admitted.route
         if not route.repeatable() or not self.progress.last_event_id.isdigit():
             return False
--- a/plumarch/gateway/gossip/snapshots.py
+++ b/plumarch/gateway/gossip/snapshots.py
@@ -18,7 +18,10 @@
 FETCH_TIMEOUT_MS = 1_500
 
 MIN_COMPRESSED = 4_096
-"""Bytes from which a snapshot is compressed."""
+"""Bytes from which a snapshot is compressed.
+
+Many nodes may fetch a snapshot from one coordinator at once.
+"""
 
 LEGACY_RETRY_MS = 750
 """Time within which a repeated request means that the peer could not read the answer.
--- a/plumarch/routing/endpoint_limits.py
+++ b/plumarch/routing/endpoint_limits.py
@@ -1,4 +1,4 @@
-"""Limits what an endpoint is given at once.
+"""Limits on the concurrent requests at an endpoint and on their weight.
 
 Slots, connections and cache size are configured; lower limits are learned from rejections, crashes
 and late answers.
